--- a/pkg/rollout/keeper_test.go
+++ b/pkg/rollout/keeper_test.go
@@ -42,6 +42,13 @@
 	f.reply = r
 }
 
+// stop makes every later fetch fail.
+func (f *fakeControl) stop() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.down = true
+}
+
 func (f *fakeControl) Fetch(_ context.Context, _ *rpc.FetchRequest) (*rpc.FetchReply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,7 +248,7 @@
 			peer := httptest.NewServer(rpc.NewRolloutServer(near))
 			defer peer.Close()
 			withKeeper(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Keeper, cut *fakeControl) {
-				cut.down = true
+				cut.stop()
 				Eventually(func() bool {
 					sure, _ := far.Confirmed()
 					return sure
