--- a/pkg/cmds/fleetcmd/run.go
+++ b/pkg/cmds/fleetcmd/run.go
@@ -41,22 +41,22 @@
 		Folder: cfg.Data,
 		IP:     cfg.IP,
 		Port:   cfg.ControlPort(),
-		Founding: fleetcontrol.Founding{
-			New: cfg.Founding,
-			IPs: cfg.SeedIPs(),
+		Bootstrap: fleetcontrol.Bootstrap{
+			FirstStart: cfg.Founding,
+			IPs:        cfg.SeedIPs(),
 		},
-		SeedIPs:   func() []string { return p.cfg.Load().SeedIPs() },
-		Losses:    cfg.Bounds.Losses,
-		Heartbeat: cfg.Bounds.Heartbeat.Or(time.Second),
-		Decoder:   platform.Decoder{},
-		Orders:    platform.NewBackend(endpointClients(cfg.IP)),
-		Client:    p.client,
-		Timer:     p.svc,
-		Log:       p.log,
-		Metrics:   p.set,
+		SeedIPs:         func() []string { return p.cfg.Load().SeedIPs() },
+		ToleratedLosses: cfg.Bounds.Losses,
+		Heartbeat:       cfg.Bounds.Heartbeat.Or(time.Second),
+		Decoder:         platform.Decoder{},
+		Orders:          platform.NewEndpointClient(endpointClients(cfg.IP)),
+		Client:          p.client,
+		Timer:           p.svc,
+		Log:             p.log,
+		Metrics:         p.set,
 	}, p.group)
 	return p.run([]server{
-		{address: cfg.Listen.Control, handler: platform.NewControl(s)},
+		{address: cfg.Listen.Control, handler: platform.NewControlHandler(s)},
 		{address: net.JoinHostPort(cfg.IP, cfg.ControlPort()), handler: fleetcontrol.Forwarded(s.RPC())},
 		{address: net.JoinHostPort(cfg.IP, controlMetricsPort), handler: p.set.Handler()},
 	}, s.Run, func(ctx context.Context) {
@@ -69,31 +69,31 @@
 		return cmdutil.Usage(err)
 	}
 	p := newProcess(cfg, file, "entry")
-	f := fleetentry.NewFollower(fleetentry.FollowerConfig{
-		Name:          cfg.Host,
-		Domain:        cfg.Domain,
-		CallerAddress: cfg.Listen.Callers,
-		Seeds:         func() []string { return p.cfg.Load().SeedAddresses() },
-		Revoke:        cfg.Bounds.RevokeBound(),
-		Decoder:       platform.Decoder{},
-		Client:        p.client,
-		Timer:         p.svc,
-		Log:           p.log,
+	f := fleetentry.NewControlClient(fleetentry.ControlClientConfig{
+		Name:               cfg.Host,
+		Domain:             cfg.Domain,
+		CallerAddress:      cfg.Listen.Callers,
+		Seeds:              func() []string { return p.cfg.Load().SeedAddresses() },
+		MaxRevocationDelay: cfg.Bounds.RevokeBound(),
+		Decoder:            platform.Decoder{},
+		Client:             p.client,
+		Timer:              p.svc,
+		Log:                p.log,
 	})
-	budget := gateway.Budget{
+	budget := gateway.RetryBudget{
 		Ratio:  cfg.Bounds.RepeatRatio,
 		Extra:  cfg.Bounds.RepeatExtra,
 		Window: cfg.Bounds.RepeatWindow.Or(time.Second),
 	}
-	g := gateway.New(cfg.Domain, platform.NewBackend(endpointClients(cfg.IP)), f, budget, p.svc, p.log, p.set)
-	f.Tell(g.Tracker(), g.Quarantine(), g.Rests(), g.Permits())
+	g := gateway.New(cfg.Domain, platform.NewEndpointClient(endpointClients(cfg.IP)), f, budget, p.svc, p.log, p.set)
+	f.SetSources(g.Tracker(), g.Quarantine(), g.Backoffs(), g.Permits())
 	grace := cfg.Bounds.Grace.Or(time.Second)
 	host := fleetentry.NewHost(f, grace, p.svc, p.log)
 	keep := min(directoryKeep, cfg.Bounds.DirectoryKeep.Or(directoryKeep))
 	return p.run([]server{
-		{address: cfg.Listen.Callers, handler: platform.NewFront(g, host, p.svc)},
-		{address: cfg.Listen.Ready, handler: platform.NewReady(host)},
-		{address: cfg.Listen.Directory, handler: platform.NewDirectory(host, keep)},
+		{address: cfg.Listen.Callers, handler: platform.NewCallerHandler(g, host, p.svc)},
+		{address: cfg.Listen.Ready, handler: platform.NewReadinessHandler(host)},
+		{address: cfg.Listen.Directory, handler: platform.NewDirectoryHandler(host, keep)},
 		{address: net.JoinHostPort(cfg.IP, entryMetricsPort), handler: p.set.Handler()},
 	}, func(ctx context.Context) error {
 		f.Run(ctx)
--- a/pkg/crowd/crowd.go
+++ b/pkg/crowd/crowd.go
@@ -29,13 +29,13 @@
 	Now() time.Time
 }
 
-// Crowd holds streams back that callers resume, where these come all at once, as after
+// Spreader holds streams back that callers resume, where these come all at once, as after
 // a stop of all hosts. Their pause has made them late already; streams that begin can
 // still be in time, but not behind the prompts of all others. It is safe for use by
 // several goroutines.
 //
 // Invariant: a stream that begins is never held.
-type Crowd struct {
+type Spreader struct {
 	clock Clock
 
 	mu      sync.Mutex
@@ -45,24 +45,24 @@
 }
 
 // New returns a crowd of none.
-func New(clock Clock) *Crowd {
-	return &Crowd{
+func New(clock Clock) *Spreader {
+	return &Spreader{
 		clock: clock,
 		at:    clock.Now(),
 	}
 }
 
-// Begin notes a stream that begins.
-func (c *Crowd) Begin() {
+// NoteNew notes a stream that begins.
+func (c *Spreader) NoteNew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fade()
 	c.begun++
 }
 
-// Resume notes a stream that its caller resumes and that came in at a time, and
+// ResumeDelay notes a stream that its caller resumes and that came in at a time, and
 // returns how long to hold it.
-func (c *Crowd) Resume(received time.Time) time.Duration {
+func (c *Spreader) ResumeDelay(received time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.fade()
@@ -75,7 +75,7 @@
 }
 
 // fade lets what was noted count less, and returns the time.
-func (c *Crowd) fade() time.Time {
+func (c *Spreader) fade() time.Time {
 	now := c.clock.Now()
 	f := math.Exp(-float64(now.Sub(c.at)) / float64(memory))
 	c.resumed *= f
--- a/pkg/entry/generate.go
+++ b/pkg/entry/generate.go
@@ -116,14 +116,14 @@
 		s.fail(w, a.Name, err)
 		return
 	}
-	if err := s.accounts.Enter(a, g.tokens); err != nil {
+	if err := s.accounts.Acquire(a, g.tokens); err != nil {
 		s.fail(w, a.Name, err)
 		return
 	}
 	began := s.svc.Now()
 	out := newOutput(w, &g)
 	result, err := s.admitAndRun(r.Context(), w, &g, out)
-	s.accounts.Leave(a, g.tokens-result.Tokens)
+	s.accounts.Release(a, g.tokens-result.Tokens)
 	s.note(&g, began, out, result, err)
 	if err == nil {
 		out.finish(result)
@@ -196,12 +196,12 @@
 
 func (s *Server) admitAndRun(ctx context.Context, w http.ResponseWriter, g *generation, out *output) (chain.Result, error) {
 	queued := s.svc.Now()
-	if err := s.gate.Enter(ctx, g.account, g.pipeline.Priority); err != nil {
+	if err := s.gate.Acquire(ctx, g.account, g.pipeline.Priority); err != nil {
 		return chain.Result{}, err
 	}
 	entered := s.svc.Now()
 	defer func() {
-		s.gate.Leave(s.svc.Now().Sub(entered))
+		s.gate.Release(s.svc.Now().Sub(entered))
 	}()
 	s.observe("queue_wait_us", g.account.Name, entered.Sub(queued))
 	if g.once {
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -33,7 +33,7 @@
 	defer ticks.Stop()
 	for {
 		s.beat(ctx)
-		s.gate.Wake()
+		s.gate.CapacityChanged()
 		s.countState()
 		select {
 		case <-ctx.Done():
@@ -65,7 +65,7 @@
 }
 
 func (s *Server) countState() {
-	waiting, running := s.gate.Waiting()
+	waiting, running := s.gate.Counts()
 	s.metrics.Gauge("queue_waiting").Update(int64(waiting))
 	s.metrics.Gauge("queue_running").Update(int64(running))
 	s.metrics.Gauge("capacity").Update(int64(s.capacity()))
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -34,12 +34,12 @@
 	clients  Clients
 	metrics  *metrics.Set
 	group    *group.Group
-	keeper   *rollout.Keeper
+	keeper   *rollout.Syncer
 	dir      *directory.Directory
 	router   *route.Router
 	runner   *chain.Runner
 	accounts *limits.Accounts
-	gate     *limits.Gate
+	gate     *limits.AdmissionQueue
 	claims   *claimer
 	watcher  *watcher
 
@@ -84,7 +84,7 @@
 		Group:     g,
 	})
 	s.accounts = limits.NewAccounts(svc, s.hosts)
-	s.gate = limits.NewGate(svc, cfg.LatencyBudget.Or(defaultBudget), s.capacity)
+	s.gate = limits.NewAdmissionQueue(svc, cfg.LatencyBudget.Or(defaultBudget), s.capacity)
 	s.claims = newClaimer(cfg.Host, s.incarnation, cfg.Control, clients.RPC, cfg.RequestLimit.Or(defaultRequestTimeout))
 	s.watcher = newWatcher(clients.Endpoints, svc)
 	return s, nil
@@ -107,7 +107,7 @@
 }
 
 // Keeper returns the holder of the set in force.
-func (s *Server) Keeper() *rollout.Keeper {
+func (s *Server) Keeper() *rollout.Syncer {
 	return s.keeper
 }
 
@@ -117,7 +117,7 @@
 }
 
 // Gate returns the queue in front of the engines.
-func (s *Server) Gate() *limits.Gate {
+func (s *Server) Gate() *limits.AdmissionQueue {
 	return s.gate
 }
 
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -43,11 +43,11 @@
 		s.fail(w, a.Name, err)
 		return
 	}
-	if err := s.accounts.Enter(a, 0); err != nil {
+	if err := s.accounts.Acquire(a, 0); err != nil {
 		s.fail(w, a.Name, err)
 		return
 	}
-	defer s.accounts.Leave(a, 0)
+	defer s.accounts.Release(a, 0)
 	began := s.svc.Now()
 	rep, repeated, err := s.callService(r.Context(), c)
 	s.metrics.Counter("account_calls", accountLabel(a.Name)).Inc(1)
--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -40,7 +40,7 @@
 	}
 	b = strconv.AppendBool(b, e.Loading)
 	b = strconv.AppendBool(b, e.Silent)
-	return strconv.AppendFloat(b, e.Slow, 'g', -1, 64)
+	return strconv.AppendFloat(b, e.Slowdown, 'g', -1, 64)
 }
 
 // AddressesDigest is a number that two lists of addresses share if they are the
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -6,12 +6,12 @@
 type Endpoint struct {
 	// ID is the incarnation's (IncarnationID).
 	ID string
-	// Born is when it started by its own clock, as a Unix time in ms; 0: it doesn't tell.
-	Born    int64
-	Service string
-	Address string
-	Domain  string
-	Slots   int
+	// StartedAt is when it started by its own clock, as a Unix time in ms; 0: it doesn't tell.
+	StartedAt int64
+	Service   string
+	Address   string
+	Domain    string
+	Slots     int
 	// Leaving endpoints take no new work; Gone ones have ended.
 	Leaving bool
 	Gone    bool
@@ -26,15 +26,15 @@
 	Orders uint64
 	// Loading says that an order is under way.
 	Loading bool
-	// HeardAt is when a control host last had a heartbeat.
-	HeardAt time.Time
+	// LastHeartbeat is when a control host last had a heartbeat.
+	LastHeartbeat time.Time
 	// Silent endpoints have missed heartbeats.
 	Silent bool
 	// Recalled says that only a control host's own disk told of it: no heartbeat
 	// came since that host was started.
 	Recalled bool
-	// Slow is how many times as slow as its kind the endpoint said it was.
-	Slow float64
+	// Slowdown is how many times as slow as its kind the endpoint said it was.
+	Slowdown float64
 }
 
 // Usable reports whether new work may be sent to the endpoint.
@@ -53,8 +53,8 @@
 	return r.To - r.From
 }
 
-// Part is one endpoint's share of a path.
-type Part struct {
+// Stage is one endpoint's share of a path.
+type Stage struct {
 	ID      string
 	Address string
 	Domain  string
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -72,7 +72,7 @@
 	It("comes back as it was, with its age", func() {
 		now := time.Unix(1000, 0)
 		e := Endpoint{ID: "i", Service: "s", Address: "a:1", Domain: "d", Slots: 3, Leaving: true, Sequence: 9, Kind: "k",
-			Model: "m", Layers: Range{From: 2, To: 5}, Loading: true, Silent: true, Slow: 2.5, HeardAt: now.Add(-time.Second)}
+			Model: "m", Layers: Range{From: 2, To: 5}, Loading: true, Silent: true, Slowdown: 2.5, LastHeartbeat: now.Add(-time.Second)}
 		Expect(EndpointFromWire(e.ToWire(now), now)).To(Equal(e))
 	})
 })
--- a/pkg/fleet/wire.go
+++ b/pkg/fleet/wire.go
@@ -22,10 +22,10 @@
 		FirstLayer: uint32(e.Layers.From),
 		EndLayer:   uint32(e.Layers.To),
 		Loading:    e.Loading,
-		HeardMsAgo: uint64(max(0, now.Sub(e.HeardAt).Milliseconds())),
+		HeardMsAgo: uint64(max(0, now.Sub(e.LastHeartbeat).Milliseconds())),
 		Silent:     e.Silent,
-		Slow:       e.Slow,
-		Born:       e.Born,
+		Slow:       e.Slowdown,
+		Born:       e.StartedAt,
 	}
 }
 
@@ -46,11 +46,11 @@
 			From: int(a.GetFirstLayer()),
 			To:   int(a.GetEndLayer()),
 		},
-		Loading: a.GetLoading(),
-		HeardAt: now.Add(-time.Duration(a.GetHeardMsAgo()) * time.Millisecond),
-		Silent:  a.GetSilent(),
-		Slow:    a.GetSlow(),
-		Born:    a.GetBorn(),
+		Loading:       a.GetLoading(),
+		LastHeartbeat: now.Add(-time.Duration(a.GetHeardMsAgo()) * time.Millisecond),
+		Silent:        a.GetSilent(),
+		Slowdown:      a.GetSlow(),
+		StartedAt:     a.GetBorn(),
 	}
 }
 
--- a/pkg/fleet/word.go
+++ b/pkg/fleet/word.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Word is what an endpoint says of itself in an answer, whatever the answer is to.
-type Word struct {
+// Notice is what an endpoint says of itself in an answer, whatever the answer is to.
+type Notice struct {
 	// Leaving says that it takes no new work, for good.
 	Leaving bool
-	// Rest is for how long it wants nothing from this host; 0: it asks for none.
-	Rest time.Duration
+	// Backoff is for how long it wants nothing from this host; 0: it asks for none.
+	Backoff time.Duration
 	// Limit is how much it takes from all hosts together.
 	Limit Limit
 }
 
-// LimitWord is what an answer says of a limit.
-type LimitWord int
+// LimitStatus is what an answer says of a limit.
+type LimitStatus int
 
 // The words.
 const (
-	// LimitUnsaid: there was no answer, or its word can't be read.
-	LimitUnsaid LimitWord = iota
+	// LimitUnknown: there was no answer, or its word can't be read.
+	LimitUnknown LimitStatus = iota
 	// LimitNone: an answer that names no limit.
 	LimitNone
-	// LimitNamed: an answer that names one.
-	LimitNamed
+	// LimitSet: an answer that names one.
+	LimitSet
 )
 
 // Limit is the limit that an answer names, or doesn't.
 type Limit struct {
-	Says      LimitWord
+	Status    LimitStatus
 	PerSecond float64 // requests, if it is named; 0 or more
 }
 
-// TurnedAway is the error of an order that an endpoint didn't take.
-type TurnedAway struct {
+// RejectedError is the error of an order that an endpoint didn't take.
+type RejectedError struct {
 	Status int
 	Text   string
-	Says   Word
+	Notice Notice
 }
 
 // Error implements error.
-func (e *TurnedAway) Error() string {
+func (e *RejectedError) Error() string {
 	return "status " + strconv.Itoa(e.Status) + ": " + e.Text
 }
--- a/pkg/fleetcontrol/announce.go
+++ b/pkg/fleetcontrol/announce.go
@@ -13,8 +13,8 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// ErrAlone says that a leave is known to too few control replicas.
-var ErrAlone = errors.New("no majority of the control replicas could be told")
+// ErrNoMajority says that a leave is known to too few control replicas.
+var ErrNoMajority = errors.New("no majority of the control replicas could be told")
 
 // Announce takes an endpoint's heartbeat. That an endpoint leaves is
 // acknowledged only once a majority of the replicas knows it: whichever leads next
@@ -38,16 +38,16 @@
 
 // Deregister takes an endpoint's last word.
 func (s *Server) Deregister(ctx context.Context, id string) error {
-	return s.spreadNow(ctx, s.table.Gone(id))
+	return s.spreadNow(ctx, s.table.MarkGone(id))
 }
 
 // spreadNow tells the other replicas of one endpoint at once, and waits for
 // the answers, but not for long. It fails if no majority knows it then.
 func (s *Server) spreadNow(ctx context.Context, e fleet.Endpoint) error {
-	e.HeardAt = s.cfg.Timer.Now()
+	e.LastHeartbeat = s.cfg.Timer.Now()
 	others, told := s.spreadSoon(ctx, e)
 	if ctx.Err() != nil || 2*(int(told)+1) <= others+1 {
-		return ErrAlone
+		return ErrNoMajority
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 	s.table.Merge(known(q.GetEndpoints(), now))
 	reply := &rpc.SpreadReply{}
 	if q.GetWhole() {
-		reply.Endpoints = fleet.EndpointsToWire(s.table.Heard(), now)
+		reply.Endpoints = fleet.EndpointsToWire(s.table.Announced(), now)
 	}
 	return reply, nil
 }
@@ -120,7 +120,7 @@
 		if leader == "" || leader == s.replica.address() {
 			return
 		}
-		if list := s.table.HeardSince(spreadInterval + spreadInterval/2); len(list) > 0 {
+		if list := s.table.AnnouncedWithin(spreadInterval + spreadInterval/2); len(list) > 0 {
 			s.spread(ctx, []string{leader}, list)
 		}
 	})
--- a/pkg/fleetcontrol/announce_test.go
+++ b/pkg/fleetcontrol/announce_test.go
@@ -49,8 +49,8 @@
 				}
 			}
 			s := c.hosts[alone].server
-			Expect(s.Announce(context.Background(), announcement(true, 2))).To(MatchError(ErrAlone))
-			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrAlone))
+			Expect(s.Announce(context.Background(), announcement(true, 2))).To(MatchError(ErrNoMajority))
+			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrNoMajority))
 		})
 	})
 
@@ -72,8 +72,8 @@
 					left--
 				}
 			}
-			Expect(s.Announce(context.Background(), announcement(true, 3))).To(MatchError(ErrAlone))
-			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrAlone))
+			Expect(s.Announce(context.Background(), announcement(true, 3))).To(MatchError(ErrNoMajority))
+			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrNoMajority))
 		})
 	})
 
@@ -89,8 +89,8 @@
 			}
 			machine, _, _ := s.replica.Leads(context.Background())
 			Expect(machine).NotTo(BeNil(), "the lease holds for 0.27 s")
-			Expect(s.Announce(context.Background(), announcement(true, 3))).To(MatchError(ErrAlone))
-			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrAlone))
+			Expect(s.Announce(context.Background(), announcement(true, 3))).To(MatchError(ErrNoMajority))
+			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrNoMajority))
 		})
 	})
 
--- a/pkg/fleetcontrol/documents.go
+++ b/pkg/fleetcontrol/documents.go
@@ -38,13 +38,13 @@
 		return nil, err
 	}
 	if doc.GetVersion() == 0 {
-		return nil, ErrNoneYet
+		return nil, ErrNoConfiguration
 	}
 	return fleet.Unpack(doc.GetContent())
 }
 
-// ErrNoneYet says that no configuration was ever accepted.
-var ErrNoneYet = errors.New("no configuration was accepted yet")
+// ErrNoConfiguration says that no configuration was ever accepted.
+var ErrNoConfiguration = errors.New("no configuration was accepted yet")
 
 // Replace puts a whole configuration in force, and returns once a majority
 // holds it, or a newer one. Its error is an *InvalidError if it was refused.
--- a/pkg/fleetcontrol/fixture_test.go
+++ b/pkg/fleetcontrol/fixture_test.go
@@ -147,18 +147,18 @@
 		Folder: folder,
 		IP:     ip,
 		Port:   c.port,
-		Founding: Founding{
-			New: founding,
-			IPs: c.ips,
+		Bootstrap: Bootstrap{
+			FirstStart: founding,
+			IPs:        c.ips,
 		},
-		SeedIPs:   c.seedIPs,
-		Losses:    c.losses,
-		Heartbeat: c.beat,
-		Decoder:   plainDecoder{},
-		Orders:    c.orders,
-		Client:    client,
-		Timer:     timer.NewSystem(),
-		Metrics:   metrics.New(),
+		SeedIPs:         c.seedIPs,
+		ToleratedLosses: c.losses,
+		Heartbeat:       c.beat,
+		Decoder:         plainDecoder{},
+		Orders:          c.orders,
+		Client:          client,
+		Timer:           timer.NewSystem(),
+		Metrics:         metrics.New(),
 	}, g)
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, c.port))
 	Expect(err).NotTo(HaveOccurred())
--- a/pkg/fleetcontrol/learn_test.go
+++ b/pkg/fleetcontrol/learn_test.go
@@ -98,7 +98,7 @@
 		withLearner(list, others, func(ctx context.Context, s *Server) {
 			s.recall()
 			s.learn(ctx)
-			Expect(s.table.HasRecalled()).To(BeFalse(), "the second has heard of them")
+			Expect(s.table.HasRestored()).To(BeFalse(), "the second has heard of them")
 			s.dropRecalled(ctx)
 			Expect(ids(s)).To(Equal([]string{"a", "b"}))
 		})
--- a/pkg/fleetcontrol/limits.go
+++ b/pkg/fleetcontrol/limits.go
@@ -17,16 +17,16 @@
 
 // hearLimits takes what a host tells of limits, and the permits that it didn't use.
 func (s *Server) hearLimits(q *rpc.SyncRequest, term uint64) {
-	s.lender.Enter(term)
-	s.noteLimits(s.lender.Hear(permit.WordsFromWire(q.GetLimitWords(), s.cfg.Timer.Now())))
-	s.lender.Unused(q.GetLimitsTerm(), permit.TableFromWire(q.GetUnused()))
+	s.lender.BeginTerm(term)
+	s.noteLimits(s.lender.Observe(permit.LimitReportsFromWire(q.GetLimitWords(), s.cfg.Timer.Now())))
+	s.lender.ReturnUnused(q.GetLimitsTerm(), permit.CountsFromWire(q.GetUnused()))
 }
 
 // noteLimits logs limits that are new, or over.
-func (s *Server) noteLimits(news []permit.Change) {
+func (s *Server) noteLimits(news []permit.LimitChange) {
 	for _, c := range news {
 		says := "named"
-		if c.Over {
+		if c.Removed {
 			says = "over"
 		}
 		s.cfg.Log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", s.nameOf(c.Key)), eventlog.Str("says", says),
@@ -36,7 +36,7 @@
 
 // nameOf returns the endpoint that has a key, or the key if it isn't known.
 func (s *Server) nameOf(key uint32) string {
-	if id := s.table.Find(func(id string) bool { return permit.Key(id) == key }); id != "" {
+	if id := s.table.Find(func(id string) bool { return permit.EndpointKey(id) == key }); id != "" {
 		return id
 	}
 	return strconv.FormatUint(uint64(key), 16)
@@ -45,19 +45,19 @@
 // tellLimits adds the limits that a host lacks, and lends it permits by what it was asked
 // for.
 func (s *Server) tellLimits(q *rpc.SyncRequest, reply *rpc.SyncReply, term uint64) {
-	list, version, whole := s.lender.Since(q.GetLimitsTerm(), q.GetLimitsVersion(), q.GetLimitsDigest())
+	list, version, whole := s.lender.ChangesSince(q.GetLimitsTerm(), q.GetLimitsVersion(), q.GetLimitsDigest())
 	reply.LimitsTerm = term
 	reply.LimitsVersion = version
 	reply.LimitsWhole = whole
-	reply.Limits = permit.ChangesToWire(list)
-	lent := permit.Table{}
+	reply.Limits = permit.LimitChangesToWire(list)
+	lent := permit.Counts{}
 	for _, d := range permit.DemandsFromWire(q.GetDemands()) {
-		for key, n := range s.lender.Lend(d) {
+		for key, n := range s.lender.Grant(d) {
 			lent[key] += n
 		}
 	}
 	reply.Permits = lent.ToWire()
-	s.cfg.Metrics.Counter("permits_lent").Inc(int64(lent.Sum()))
+	s.cfg.Metrics.Counter("permits_lent").Inc(int64(lent.Total()))
 }
 
 // Borrow implements rpc.Fleet. It waits for permits as long as the caller may, if they
@@ -70,8 +70,8 @@
 			Leader: leader,
 		}, nil
 	}
-	s.lender.Enter(term)
-	s.noteLimits(s.lender.Hear(permit.WordsFromWire(q.GetWords(), began)))
+	s.lender.BeginTerm(term)
+	s.noteLimits(s.lender.Observe(permit.LimitReportsFromWire(q.GetWords(), began)))
 	reply := &rpc.BorrowReply{
 		Term: term,
 	}
@@ -93,19 +93,19 @@
 
 // lend lends what a call asks for, or tells when that is due.
 func (s *Server) lend(ctx context.Context, q *rpc.BorrowRequest, reply *rpc.BorrowReply, began time.Time) error {
-	loan := s.lender.Queue(q.GetEndpoints(), q.GetEach(), int(q.GetPriority()))
-	defer s.lender.Leave(loan)
+	loan := s.lender.Enqueue(q.GetEndpoints(), q.GetEach(), int(q.GetPriority()))
+	defer s.lender.Dequeue(loan)
 	end := began.Add(min(mostBorrowHold, time.Duration(q.GetWaitMs())*time.Millisecond))
 	for {
-		lent, due := s.lender.Try(loan)
+		lent, due := s.lender.TryGrant(loan)
 		if due == 0 {
 			reply.Permits = lent.ToWire()
-			s.cfg.Metrics.Counter("permits_lent").Inc(int64(lent.Sum()))
+			s.cfg.Metrics.Counter("permits_lent").Inc(int64(lent.Total()))
 			return nil
 		}
 		if s.cfg.Timer.Now().Add(due).After(end) {
 			reply.DueMs = uint32(due.Milliseconds()) + 1
-			reply.GapMs = uint32((time.Duration(s.hosts.count()) * s.lender.Gap(loan)).Milliseconds())
+			reply.GapMs = uint32((time.Duration(s.hosts.count()) * s.lender.GrantInterval(loan)).Milliseconds())
 			s.cfg.Metrics.Counter("permits_denied").Inc(1)
 			return nil
 		}
@@ -117,22 +117,22 @@
 
 // hearLimit takes what an endpoint's answer to this leader says of its limit.
 func (c *considerate) hearLimit(id string, l fleet.Limit, sent time.Time) {
-	w := permit.Word{
-		Key:       permit.Key(id),
-		PerSecond: -1,
-		Sent:      sent,
-		Heard:     c.svc.Now(),
+	w := permit.LimitReport{
+		Key:        permit.EndpointKey(id),
+		PerSecond:  -1,
+		SentAt:     sent,
+		ReceivedAt: c.svc.Now(),
 	}
-	switch l.Says {
-	case fleet.LimitUnsaid:
+	switch l.Status {
+	case fleet.LimitUnknown:
 		return
-	case fleet.LimitNamed:
+	case fleet.LimitSet:
 		w.PerSecond = l.PerSecond
 	}
 	if e, ok := c.table.Get(id); ok {
 		w.Service = e.Service
 	}
-	for _, change := range c.lender.Hear([]permit.Word{w}) {
+	for _, change := range c.lender.Observe([]permit.LimitReport{w}) {
 		c.log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", id), eventlog.Str("says", "named"),
 			eventlog.Str("per_second", strconv.FormatFloat(change.PerSecond, 'g', 4, 64)), eventlog.Str("by", "control"))
 	}
@@ -140,5 +140,5 @@
 
 // short reports whether an endpoint has a limit under what its service is asked for.
 func (s *Server) short(id string) bool {
-	return s.lender.Short(permit.Key(id))
+	return s.lender.BelowDemand(permit.EndpointKey(id))
 }
--- a/pkg/fleetcontrol/limits_test.go
+++ b/pkg/fleetcontrol/limits_test.go
@@ -24,7 +24,7 @@
 		clock := s.cfg.Timer.(*timer.Manual)
 		s.leadership = &fixedLead{term: limitTerm, machine: state.New(claimWindow.Milliseconds())}
 		s.noteLeading(limitTerm, clock.Now())
-		s.lender.Enter(limitTerm)
+		s.lender.BeginTerm(limitTerm)
 		s.hear(perSecond, clock.Now())
 		clock.Advance(10 * time.Second)
 		f(s, clock)
@@ -32,19 +32,19 @@
 }
 
 func (s *Server) hear(perSecond float64, at time.Time) {
-	s.lender.Hear([]permit.Word{{Key: permit.Key("e1"), Service: "s", PerSecond: perSecond, Sent: at, Heard: at}})
+	s.lender.Observe([]permit.LimitReport{{Key: permit.EndpointKey("e1"), Service: "s", PerSecond: perSecond, SentAt: at, ReceivedAt: at}})
 }
 
 // want is a host's call by which it has use for permits to e1.
 func want(requests uint32) *rpc.SyncRequest {
 	q := call(1, true)
 	q.LimitsTerm = limitTerm
-	q.Demands = []*rpc.Demand{{Service: "s", Requests: requests, Wanted: []uint32{permit.Key("e1")}}}
+	q.Demands = []*rpc.Demand{{Service: "s", Requests: requests, Wanted: []uint32{permit.EndpointKey("e1")}}}
 	return q
 }
 
 func borrowing(wait time.Duration) *rpc.BorrowRequest {
-	return &rpc.BorrowRequest{Host: "h1", Endpoints: []uint32{permit.Key("e1")}, WaitMs: uint32(wait.Milliseconds())}
+	return &rpc.BorrowRequest{Host: "h1", Endpoints: []uint32{permit.EndpointKey("e1")}, WaitMs: uint32(wait.Milliseconds())}
 }
 
 var _ = Describe("the leader's answers on limits", func() {
@@ -52,9 +52,9 @@
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			reply := &rpc.SyncReply{}
 			s.tellLimits(want(4), reply, limitTerm)
-			Expect(reply.GetLimits()[0].GetEndpoint()).To(Equal(permit.Key("e1")))
+			Expect(reply.GetLimits()[0].GetEndpoint()).To(Equal(permit.EndpointKey("e1")))
 			Expect(reply.GetLimitsTerm()).To(Equal(uint64(limitTerm)))
-			Expect(permit.TableFromWire(reply.GetPermits())).To(Equal(permit.Table{permit.Key("e1"): 4}))
+			Expect(permit.CountsFromWire(reply.GetPermits())).To(Equal(permit.Counts{permit.EndpointKey("e1"): 4}))
 			q := want(4)
 			q.LimitsVersion = reply.GetLimitsVersion()
 			again := &rpc.SyncReply{}
@@ -66,13 +66,13 @@
 
 	It("count what a host tells, its words and its unused permits", func() {
 		withLimit(8, func(s *Server, clock *timer.Manual) {
-			for s.lender.Lend(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.Key("e1")}}).Sum() > 0 {
+			for s.lender.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
 			}
-			clock.Advance(2 * permit.Valid)
-			s.lender.Spend(permit.Key("e1"))
+			clock.Advance(2 * permit.Lifetime)
+			s.lender.ChargeProbe(permit.EndpointKey("e1"))
 			q := want(0)
-			q.Unused = permit.Table{permit.Key("e1"): 3}.ToWire()
-			q.LimitWords = []*rpc.LimitWord{{Endpoint: permit.Key("e2"), Service: "s", PerSecond: 4}}
+			q.Unused = permit.Counts{permit.EndpointKey("e1"): 3}.ToWire()
+			q.LimitWords = []*rpc.LimitWord{{Endpoint: permit.EndpointKey("e2"), Service: "s", PerSecond: 4}}
 			s.hearLimits(q, limitTerm)
 			Expect(s.lender.Size()).To(Equal(2))
 		})
@@ -83,13 +83,13 @@
 			reply, err := s.Borrow(context.Background(), borrowing(0))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetConfirmed()).To(BeTrue())
-			Expect(permit.TableFromWire(reply.GetPermits()).Sum()).To(Equal(1))
+			Expect(permit.CountsFromWire(reply.GetPermits()).Total()).To(Equal(1))
 		})
 		withLimit(0.5, func(s *Server, clock *timer.Manual) {
 			s.hosts.hear(clock.Now(), call(1, true))
 			s.hosts.hear(clock.Now(), call(2, true))
 			first, _ := s.Borrow(context.Background(), borrowing(0)) // its error is told by Confirmed
-			Expect(permit.TableFromWire(first.GetPermits()).Sum()).To(Equal(1))
+			Expect(permit.CountsFromWire(first.GetPermits()).Total()).To(Equal(1))
 			reply, err := s.Borrow(context.Background(), borrowing(0))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetPermits()).To(BeNil())
@@ -97,14 +97,14 @@
 			Expect(reply.GetGapMs()).To(Equal(uint32(4000)), "two hosts share one in 2 s")
 		})
 		withLimit(8, func(s *Server, clock *timer.Manual) {
-			for s.lender.Lend(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.Key("e1")}}).Sum() > 0 {
+			for s.lender.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
 			}
-			clock.Advance(permit.Valid)
-			s.lender.Spend(permit.Key("e1"))
+			clock.Advance(permit.Lifetime)
+			s.lender.ChargeProbe(permit.EndpointKey("e1"))
 			for { // until the next is due in a moment
-				loan := s.lender.Queue([]uint32{permit.Key("e1")}, true, 5)
-				_, due := s.lender.Try(loan)
-				s.lender.Leave(loan)
+				loan := s.lender.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
+				_, due := s.lender.TryGrant(loan)
+				s.lender.Dequeue(loan)
 				if due > 0 {
 					break
 				}
@@ -118,7 +118,7 @@
 				clock.Advance(10 * time.Millisecond)
 				select {
 				case reply := <-done:
-					Expect(permit.TableFromWire(reply.GetPermits()).Sum()).To(Equal(1))
+					Expect(permit.CountsFromWire(reply.GetPermits()).Total()).To(Equal(1))
 					return true
 				default:
 					return false
@@ -143,7 +143,7 @@
 			q.Epoch = epochOf(limitTerm, false)
 			machine := s.leadership.(*fixedLead).machine
 			Expect(s.news(q, limitTerm, machine)).To(BeTrue())
-			_, version, _ := s.lender.Since(0, 0, 0)
+			_, version, _ := s.lender.ChangesSince(0, 0, 0)
 			q.LimitsVersion = version
 			q.EndpointsVersion = s.table.Version()
 			Expect(s.news(q, limitTerm, machine)).To(BeFalse())
@@ -165,7 +165,7 @@
 			asked := 0
 			withServer(func(string) (placement.Report, error) { asked++; return placement.Report{}, nil }, func(s *Server, g *group.Group) {
 				clock := s.cfg.Timer.(*timer.Manual)
-				s.lender.Enter(limitTerm)
+				s.lender.BeginTerm(limitTerm)
 				s.hear(c.limit, clock.Now())
 				s.table.Announce(announcement(false, 1))
 				e, _ := s.table.Get("e1")
@@ -182,13 +182,13 @@
 	It("take places, questions and orders alike", func() {
 		withConsiderate(&engines{}, func(c *considerate, _ *registry.Table, clock *timer.Manual) {
 			loan := func() time.Duration {
-				n := c.lender.Queue([]uint32{permit.Key("e1")}, true, 5)
-				defer c.lender.Leave(n)
-				_, due := c.lender.Try(n)
+				n := c.lender.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
+				defer c.lender.Dequeue(n)
+				_, due := c.lender.TryGrant(n)
 				return due
 			}
-			c.lender.Enter(limitTerm)
-			c.hearLimit("e1", fleet.Limit{Says: fleet.LimitNamed, PerSecond: 0.5}, clock.Now())
+			c.lender.BeginTerm(limitTerm)
+			c.hearLimit("e1", fleet.Limit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
 			clock.Advance(6 * time.Second) // two and a half places
 			callBoth(c)
 			Expect(loan()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
@@ -196,17 +196,17 @@
 	})
 
 	It("hear of limits in every answer, and that one is over", func() {
-		e := &engines{says: fleet.Word{Limit: fleet.Limit{Says: fleet.LimitNamed, PerSecond: 8}}}
+		e := &engines{says: fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: 8}}}
 		withConsiderate(e, func(c *considerate, _ *registry.Table, clock *timer.Manual) {
-			c.lender.Enter(limitTerm)
+			c.lender.BeginTerm(limitTerm)
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the test's
 			Expect(c.lender.Size()).To(Equal(1))
 			e.says.Limit = fleet.Limit{}
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 			clock.Advance(5 * time.Second)
-			c.lender.Sweep()
+			c.lender.Expire()
 			Expect(c.lender.Size()).To(Equal(1), "what can't be read ends nothing")
-			e.says.Limit = fleet.Limit{Says: fleet.LimitNone}
+			e.says.Limit = fleet.Limit{Status: fleet.LimitNone}
 			for range 2 {
 				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 				clock.Advance(5 * time.Second)
--- a/pkg/fleetcontrol/listing.go
+++ b/pkg/fleetcontrol/listing.go
@@ -67,7 +67,7 @@
 	if l.last.packed != nil && young {
 		return l.last
 	}
-	all, version := t.Since(0)
+	all, version := t.ChangesSince(0)
 	packed, err := packEndpoints(all, now)
 	if err != nil {
 		l.log.Event(eventlog.Unexpected, eventlog.Str("what", "the list of endpoints can't be packed"), eventlog.Err(err))
--- a/pkg/fleetcontrol/quarantine.go
+++ b/pkg/fleetcontrol/quarantine.go
@@ -31,7 +31,7 @@
 // Those that hold stand in the log.
 type court struct {
 	svc      timer.Service
-	suspects *quarantine.Suspects
+	suspects *quarantine.Detector
 
 	mu       sync.Mutex
 	term     uint64 // in which this replica was told
@@ -57,7 +57,7 @@
 func newCourt(svc timer.Service) *court {
 	return &court{
 		svc:      svc,
-		suspects: quarantine.NewSuspects(svc),
+		suspects: quarantine.NewDetector(svc),
 	}
 }
 
@@ -65,11 +65,11 @@
 func (c *court) hear(q *rpc.SyncRequest, held func(f quarantine.Fingerprint) bool) {
 	for _, e := range q.GetEnded() {
 		f := quarantine.Fingerprint(e.GetFingerprint())
-		c.suspects.Add(quarantine.End{
-			Fingerprint: f,
-			Endpoint:    e.GetEndpoint(),
-			Early:       e.GetEarly(),
-			After:       time.Duration(e.GetAfterMs()) * time.Millisecond,
+		c.suspects.Add(quarantine.Crash{
+			Fingerprint:    f,
+			Endpoint:       e.GetEndpoint(),
+			BeforeResponse: e.GetEarly(),
+			After:          time.Duration(e.GetAfterMs()) * time.Millisecond,
 		}, held(f))
 	}
 	if len(q.GetServed()) == 0 {
@@ -103,7 +103,7 @@
 	}
 	c.term = term
 	c.served = nil
-	c.suspects.Forget()
+	c.suspects.Reset()
 }
 
 // current returns the verdicts that hosts are told.
@@ -217,7 +217,7 @@
 		_, known := held[uint64(f)]
 		return known
 	}
-	for _, one := range s.court.suspects.Judge(before) {
+	for _, one := range s.court.suspects.Detect(before) {
 		s.hold(ctx, one)
 	}
 	for _, f := range s.court.takeServed() {
@@ -237,11 +237,11 @@
 func (s *Server) hold(ctx context.Context, one quarantine.Finding) {
 	err := s.decide(ctx, one.Fingerprint, false)
 	s.cfg.Log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", one.Fingerprint.String()), eventlog.Str("by", "control"),
-		eventlog.Int("ends", int64(len(one.Ends))), eventlog.Err(err))
+		eventlog.Int("ends", int64(len(one.Crashes))), eventlog.Err(err))
 	if err == nil {
 		return
 	}
-	for _, e := range one.Ends {
+	for _, e := range one.Crashes {
 		s.court.suspects.Add(e, false)
 	}
 }
--- a/pkg/fleetcontrol/quarantine_test.go
+++ b/pkg/fleetcontrol/quarantine_test.go
@@ -61,18 +61,18 @@
 
 	It("is found by a leader that comes new, from what hosts tell it again", func() {
 		withCluster(func(c *cluster) {
-			host := quarantine.NewHost(timer.NewSystem())
-			host.Ended(quarantine.End{Fingerprint: guilty, Endpoint: 1, Early: true})
-			host.Ended(quarantine.End{Fingerprint: guilty, Endpoint: 2, Early: true})
+			host := quarantine.NewEnforcer(timer.NewSystem())
+			host.RecordCrash(quarantine.Crash{Fingerprint: guilty, Endpoint: 1, BeforeResponse: true})
+			host.RecordCrash(quarantine.Crash{Fingerprint: guilty, Endpoint: 2, BeforeResponse: true})
 			tellAll := func() {
 				term := uint64(c.tell("a").GetEpoch() / 2)
-				ends, _ := host.Untold(term)
+				ends, _ := host.Unreported(term)
 				var list []*rpc.EndedSend
 				for _, e := range ends {
 					list = append(list, end(e.Endpoint))
 				}
 				c.tell("a", list...)
-				host.Told(term, ends, 0)
+				host.Acknowledge(term, ends, 0)
 			}
 			tellAll()
 			lost := c.leader()
@@ -99,7 +99,7 @@
 				leads.machine = machine
 				leads.term = c.term
 				s.hearEnds(&rpc.SyncRequest{Ended: []*rpc.EndedSend{end(3)}}, machine, c.term)
-				found := s.court.suspects.Judge(func(quarantine.Fingerprint) bool { return false })
+				found := s.court.suspects.Detect(func(quarantine.Fingerprint) bool { return false })
 				Expect(found).To(HaveLen(c.found))
 			}
 		})
--- a/pkg/fleetcontrol/recall.go
+++ b/pkg/fleetcontrol/recall.go
@@ -84,7 +84,7 @@
 		s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the list of endpoints can't be read; heartbeats will tell"), eventlog.Err(err))
 		return
 	}
-	n := s.table.Recall(list)
+	n := s.table.Restore(list)
 	s.cfg.Log.Event(eventlog.Reloaded, eventlog.Str("what", "endpoints"), eventlog.Str("from", "disk"), eventlog.Int("count", int64(n)))
 	for _, e := range list {
 		s.ask(e, 0, "recalled")
@@ -104,7 +104,7 @@
 func (s *Server) dropRecalled(ctx context.Context) {
 	_, _, leader := s.replica.Leads(ctx)
 	for _, address := range append([]string{leader}, s.others()...) {
-		if !s.table.HasRecalled() {
+		if !s.table.HasRestored() {
 			return
 		}
 		if address == "" || address == s.replica.address() {
@@ -119,7 +119,7 @@
 
 // forgetRecalled forgets what no heartbeat that this replica knows of has borne out.
 func (s *Server) forgetRecalled() {
-	if n := s.table.DropRecalled(); n > 0 {
+	if n := s.table.DropRestored(); n > 0 {
 		s.cfg.Log.Event(eventlog.Reloaded, eventlog.Str("what", "endpoints without a heartbeat dropped"), eventlog.Int("count", int64(n)))
 	}
 }
--- a/pkg/fleetcontrol/recall_test.go
+++ b/pkg/fleetcontrol/recall_test.go
@@ -56,8 +56,8 @@
 					return placement.Report{}, errors.New("connection refused")
 				}
 				return placement.Report{
-					Layers: fleet.Range{From: 3, To: 9},
-					Slow:   1,
+					Layers:   fleet.Range{From: 3, To: 9},
+					Slowdown: 1,
 				}, nil
 			}}
 			engine := announcement(false, 1)
--- a/pkg/fleetcontrol/replica.go
+++ b/pkg/fleetcontrol/replica.go
@@ -37,10 +37,10 @@
 	callTimeout = time.Second
 )
 
-// Founding says how a replica with an empty disk starts.
-type Founding struct {
-	// New is set at the very first start of the whole system.
-	New bool
+// Bootstrap says how a replica with an empty disk starts.
+type Bootstrap struct {
+	// FirstStart is set at the very first start of the whole system.
+	FirstStart bool
 	// IPs are the founders'.
 	IPs []string
 }
@@ -51,7 +51,7 @@
 	folder   string
 	ip       string
 	port     string
-	founding Founding
+	founding Bootstrap
 	losses   int
 	peers    func() []string
 	client   *http.Client
@@ -105,7 +105,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	found := r.founding.New && r.founds()
+	found := r.founding.FirstStart && r.founds()
 	if id == 0 {
 		if found {
 			id = founderID(r.ip)
--- a/pkg/fleetcontrol/server.go
+++ b/pkg/fleetcontrol/server.go
@@ -44,17 +44,17 @@
 	Folder string
 	IP     string
 	// Port is of the system's own calls, on every control host.
-	Port      string
-	Founding  Founding
-	SeedIPs   func() []string
-	Losses    int // disks that may be lost at once
-	Heartbeat time.Duration
-	Decoder   Decoder
-	Orders    placement.Orderer
-	Client    *http.Client
-	Timer     timer.Service
-	Log       *eventlog.Log
-	Metrics   *metrics.Set
+	Port            string
+	Bootstrap       Bootstrap
+	SeedIPs         func() []string
+	ToleratedLosses int // disks that may be lost at once
+	Heartbeat       time.Duration
+	Decoder         Decoder
+	Orders          placement.EndpointClient
+	Client          *http.Client
+	Timer           timer.Service
+	Log             *eventlog.Log
+	Metrics         *metrics.Set
 }
 
 // Server is a control host.
@@ -69,12 +69,12 @@
 	history    *fleet.History
 	spreads    spreader
 	orders     *considerate
-	keeper     *placement.Keeper
+	keeper     *placement.Controller
 	group      *group.Group
 
 	survey *survey
 	court  *court
-	lender *permit.Lender
+	lender *permit.Granter
 	// standing is the configuration that lead read last.
 	standing *fleet.Configuration
 
@@ -135,14 +135,14 @@
 		group:   g,
 		survey:  newSurvey(),
 		court:   newCourt(cfg.Timer),
-		lender:  permit.NewLender(cfg.Timer),
+		lender:  permit.NewGranter(cfg.Timer),
 	}
 	s.replica = &Replica{
 		folder:   cfg.Folder,
 		ip:       cfg.IP,
 		port:     cfg.Port,
-		founding: cfg.Founding,
-		losses:   cfg.Losses,
+		founding: cfg.Bootstrap,
+		losses:   cfg.ToleratedLosses,
 		peers:    s.seedAddresses,
 		client:   cfg.Client,
 		svc:      cfg.Timer,
@@ -151,7 +151,7 @@
 	}
 	s.leadership = s.replica
 	s.orders = newConsiderate(cfg.Orders, s.table, s.lender, cfg.Timer, cfg.Log)
-	s.keeper = placement.NewKeeper(s.orders, s.table, s.short, cfg.Heartbeat, cfg.Timer, cfg.Log, g)
+	s.keeper = placement.NewController(s.orders, s.table, s.short, cfg.Heartbeat, cfg.Timer, cfg.Log, g)
 	return s
 }
 
@@ -211,17 +211,17 @@
 		if machine == nil {
 			s.noteLeading(0, now)
 			s.hosts.forget()
-			s.keeper.Forget()
+			s.keeper.Reset()
 			return
 		}
 		since := s.noteLeading(term, now)
 		s.hosts.bury(now)
-		s.noteLimits(s.lender.Sweep())
+		s.noteLimits(s.lender.Expire())
 		if now.Sub(since) < settleBeats*s.cfg.Heartbeat {
 			return
 		}
 		s.settle(term)
-		s.askAll(s.table.Judge())
+		s.askAll(s.table.Sweep())
 		doc := machine.Document()
 		if doc == nil {
 			return
@@ -231,7 +231,7 @@
 			s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration that stands can't be read"), eventlog.Err(err))
 			return
 		}
-		s.keeper.Tend(ctx, cfg, func() bool {
+		s.keeper.Reconcile(ctx, cfg, func() bool {
 			m, t, _ := s.replica.Leads(ctx)
 			return m != nil && t == term
 		})
--- a/pkg/fleetcontrol/survey.go
+++ b/pkg/fleetcontrol/survey.go
@@ -135,7 +135,7 @@
 // ask asks one endpoint, if it wasn't for as long as pause, or longer if it has a limit:
 // questions take places of requests.
 func (s *Server) ask(e fleet.Endpoint, pause time.Duration, why string) {
-	pause = max(pause, s.lender.AskPause(permit.Key(e.ID)))
+	pause = max(pause, s.lender.ProbeInterval(permit.EndpointKey(e.ID)))
 	if e.Gone || s.orders.rests(e.ID) || !s.survey.due(e.ID, s.cfg.Timer.Now(), pause) {
 		return
 	}
@@ -158,13 +158,13 @@
 	case err == nil:
 		s.survey.answered(e.ID)
 		if e.Kind != "" {
-			s.table.Reported(e.ID, report)
+			s.table.UpdateStatus(e.ID, report)
 		}
-	case errors.Is(err, placement.ErrNoReport), errors.Is(err, errRests), report.Says.Rest > 0:
+	case errors.Is(err, placement.ErrNoReport), errors.Is(err, errRests), report.Notice.Backoff > 0:
 		s.survey.answered(e.ID)
-		s.table.Answered(e.ID)
+		s.table.MarkAnswered(e.ID)
 	case s.survey.missed(e.ID) >= doubtful || !silent:
 		s.cfg.Log.Event(eventlog.EndpointAvoided, eventlog.Str("endpoint", e.ID), eventlog.Str("why", "report"), eventlog.Err(err))
-		s.table.Lost(e.ID)
+		s.table.MarkSilent(e.ID)
 	}
 }
--- a/pkg/fleetcontrol/sync.go
+++ b/pkg/fleetcontrol/sync.go
@@ -102,7 +102,7 @@
 	return s.table.Version() != q.GetEndpointsVersion() ||
 		epochOf(term, s.settled(term)) != q.GetEpoch() ||
 		s.court.current(machine).digest != q.GetSuspectsDigest() ||
-		!s.lender.Holds(q.GetLimitsTerm(), q.GetLimitsVersion()) ||
+		!s.lender.UpToDate(q.GetLimitsTerm(), q.GetLimitsVersion()) ||
 		machine.Document().GetVersion() > q.GetDocumentVersion() &&
 			s.hosts.documentDue(s.cfg.Timer.Now(), q.GetHost().GetName())
 }
@@ -154,7 +154,7 @@
 func (s *Server) tellEndpoints(q *rpc.SyncRequest, reply *rpc.SyncReply, now time.Time) {
 	least := uint64(0)
 	if q.GetEpoch() == reply.GetEpoch() {
-		list, version, few := s.table.Changes(q.GetEndpointsVersion(), manyRows)
+		list, version, few := s.table.ChangesUpTo(q.GetEndpointsVersion(), manyRows)
 		if few {
 			reply.Endpoints = fleet.EndpointsToWire(list, now)
 			reply.EndpointsVersion = version
@@ -170,7 +170,7 @@
 	if !s.listing.room(now, all) {
 		reply.Epoch = q.GetEpoch()
 		reply.EndpointsVersion = q.GetEndpointsVersion()
-		reply.Endpoints = fleet.EndpointsToWire(s.table.Leaving(now.Add(-leaveKeep)), now)
+		reply.Endpoints = fleet.EndpointsToWire(s.table.LeavingSince(now.Add(-leaveKeep)), now)
 		return
 	}
 	reply.EndpointsVersion = all.version
--- a/pkg/fleetcontrol/words.go
+++ b/pkg/fleetcontrol/words.go
@@ -22,16 +22,16 @@
 // that have limits, and takes what they say of themselves. A rest is for the machine: requests of its entry process, questions
 // and orders count together, and the leader asks each engine every second.
 type considerate struct {
-	orders placement.Orderer
+	orders placement.EndpointClient
 	table  *registry.Table
 	log    *eventlog.Log
-	asked  *rest.Book // of this process
-	told   *rest.Book // by the entry process of this machine, of what it was asked for
-	lender *permit.Lender
+	asked  *rest.Tracker // of this process
+	told   *rest.Tracker // by the entry process of this machine, of what it was asked for
+	lender *permit.Granter
 	svc    timer.Service
 }
 
-func newConsiderate(orders placement.Orderer, table *registry.Table, lender *permit.Lender, svc timer.Service, log *eventlog.Log) *considerate {
+func newConsiderate(orders placement.EndpointClient, table *registry.Table, lender *permit.Granter, svc timer.Service, log *eventlog.Log) *considerate {
 	return &considerate{
 		orders: orders,
 		table:  table,
@@ -45,17 +45,17 @@
 
 // rests reports whether an endpoint wants nothing from this machine.
 func (c *considerate) rests(id string) bool {
-	return c.asked.Left(id) > 0 || c.told.Left(id) > 0
+	return c.asked.Remaining(id) > 0 || c.told.Remaining(id) > 0
 }
 
 // hear takes what an endpoint says of itself.
-func (c *considerate) hear(id string, w fleet.Word) {
+func (c *considerate) hear(id string, w fleet.Notice) {
 	if w.Leaving {
-		c.table.Left(id)
+		c.table.MarkLeaving(id)
 	}
-	if w.Rest > 0 {
-		c.asked.Ask(id, w.Rest)
-		c.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Rest))
+	if w.Backoff > 0 {
+		c.asked.Record(id, w.Backoff)
+		c.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Backoff))
 	}
 }
 
@@ -64,26 +64,26 @@
 	if c.rests(id) {
 		return placement.Report{}, errRests
 	}
-	c.lender.Spend(permit.Key(id))
+	c.lender.ChargeProbe(permit.EndpointKey(id))
 	sent := c.svc.Now()
 	report, err := c.orders.Report(ctx, id, address)
-	c.hear(id, report.Says)
-	c.hearLimit(id, report.Says.Limit, sent)
+	c.hear(id, report.Notice)
+	c.hearLimit(id, report.Notice.Limit, sent)
 	return report, err
 }
 
 // Place implements placement.Orderer.
 func (c *considerate) Place(ctx context.Context, o placement.Order, address string, orders uint64) (placement.Outcome, error) {
 	if c.rests(o.ID) {
-		return placement.Refused, errRests
+		return placement.Rejected, errRests
 	}
-	c.lender.Spend(permit.Key(o.ID))
+	c.lender.ChargeProbe(permit.EndpointKey(o.ID))
 	sent := c.svc.Now()
 	outcome, err := c.orders.Place(ctx, o, address, orders)
-	var away *fleet.TurnedAway
+	var away *fleet.RejectedError
 	if errors.As(err, &away) {
-		c.hear(o.ID, away.Says)
-		c.hearLimit(o.ID, away.Says.Limit, sent)
+		c.hear(o.ID, away.Notice)
+		c.hearLimit(o.ID, away.Notice.Limit, sent)
 	}
 	return outcome, err
 }
@@ -91,13 +91,13 @@
 // hearWords takes what a host tells of endpoints' words to it.
 func (s *Server) hearWords(q *rpc.SyncRequest) {
 	for _, id := range q.GetLeaving() {
-		s.table.Left(id)
+		s.table.MarkLeaving(id)
 	}
 	if !s.sameMachine(q) {
 		return
 	}
 	for _, r := range q.GetResting() {
-		s.orders.told.Told(r.GetEndpoint(), rest.FromWire(r))
+		s.orders.told.Merge(r.GetEndpoint(), rest.FromWire(r))
 	}
 }
 
@@ -112,5 +112,5 @@
 	if !s.sameMachine(q) {
 		return
 	}
-	reply.Resting = rest.ToWire(s.orders.asked.Resting())
+	reply.Resting = rest.ToWire(s.orders.asked.Active())
 }
--- a/pkg/fleetcontrol/words_test.go
+++ b/pkg/fleetcontrol/words_test.go
@@ -19,21 +19,21 @@
 // engines counts calls, and answers them with a word.
 type engines struct {
 	reports, orders int
-	says            fleet.Word
+	says            fleet.Notice
 	err             error
 }
 
 func (e *engines) Place(context.Context, placement.Order, string, uint64) (placement.Outcome, error) {
 	e.orders++
-	if e.says.Rest > 0 {
-		return placement.Refused, &fleet.TurnedAway{Status: 503, Says: e.says}
+	if e.says.Backoff > 0 {
+		return placement.Rejected, &fleet.RejectedError{Status: 503, Notice: e.says}
 	}
-	return placement.Taken, nil
+	return placement.Accepted, nil
 }
 
 func (e *engines) Report(context.Context, string, string) (placement.Report, error) {
 	e.reports++
-	return placement.Report{Says: e.says}, e.err
+	return placement.Report{Notice: e.says}, e.err
 }
 
 // withConsiderate runs f on calls to an endpoint e1 that the table holds.
@@ -41,7 +41,7 @@
 	clock := timer.NewManual(time.Unix(1000, 0))
 	table := registry.New(clock, nil, time.Second)
 	table.Announce(announcement(false, 1))
-	f(newConsiderate(e, table, permit.NewLender(clock), clock, nil), table, clock)
+	f(newConsiderate(e, table, permit.NewGranter(clock), clock, nil), table, clock)
 }
 
 // callBoth asks an endpoint and gives it an order.
@@ -58,15 +58,15 @@
 			tell func(c *considerate, e *engines)
 		}{
 			{name: "a question", tell: func(c *considerate, e *engines) {
-				e.says, e.err = fleet.Word{Rest: rested}, errors.New("status 503")
+				e.says, e.err = fleet.Notice{Backoff: rested}, errors.New("status 503")
 				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the test's
 			}},
 			{name: "an order", tell: func(c *considerate, e *engines) {
-				e.says = fleet.Word{Rest: rested}
+				e.says = fleet.Notice{Backoff: rested}
 				_, _ = c.Place(context.Background(), placement.Order{ID: "e1"}, "127.0.2.1:80", 0) // the test's
 			}},
 			{name: "the entry process", tell: func(c *considerate, _ *engines) {
-				c.told.Told("e1", rested)
+				c.told.Merge("e1", rested)
 			}},
 		}
 		for _, one := range cases {
@@ -89,7 +89,7 @@
 
 	It("leave an endpoint for there that turned a question away", func() {
 		rests := func(string) (placement.Report, error) {
-			return placement.Report{Says: fleet.Word{Rest: rested}}, errors.New("report: status 503")
+			return placement.Report{Notice: fleet.Notice{Backoff: rested}}, errors.New("report: status 503")
 		}
 		asked := 0
 		withServer(func(id string) (placement.Report, error) { asked++; return rests(id) }, func(s *Server, g *group.Group) {
@@ -108,7 +108,7 @@
 	It("are told of between the processes of one machine, and to no other", func() {
 		withServer(nil, func(s *Server, _ *group.Group) {
 			s.cfg.IP = "10.0.0.1"
-			s.orders.hear("e2", fleet.Word{Rest: rested})
+			s.orders.hear("e2", fleet.Notice{Backoff: rested})
 			cases := []struct {
 				address string
 				same    bool
@@ -138,7 +138,7 @@
 var _ = Describe("a leave that an endpoint tells in answers", func() {
 	It("reaches the table from questions, with a report or without, and from hosts", func() {
 		for _, err := range []error{nil, placement.ErrNoReport, errors.New("report: status 500")} {
-			withConsiderate(&engines{says: fleet.Word{Leaving: true}, err: err}, func(c *considerate, table *registry.Table, _ *timer.Manual) {
+			withConsiderate(&engines{says: fleet.Notice{Leaving: true}, err: err}, func(c *considerate, table *registry.Table, _ *timer.Manual) {
 				callBoth(c)
 				e, _ := table.Get("e1")
 				Expect(e.Leaving).To(BeTrue())
--- a/pkg/fleetentry/document.go
+++ b/pkg/fleetentry/document.go
@@ -27,7 +27,7 @@
 // open makes a configuration out of what a control host sent, whole or as a
 // patch of the one held; nil if it sent none. It runs without the lock: only
 // Run's goroutine changes the content held.
-func (f *Follower) open(doc *rpc.Document, patch *rpc.DocumentPatch) (*received, error) {
+func (f *ControlClient) open(doc *rpc.Document, patch *rpc.DocumentPatch) (*received, error) {
 	var content []byte
 	var err error
 	switch {
@@ -51,7 +51,7 @@
 	}, nil
 }
 
-func (f *Follower) patched(patch *rpc.DocumentPatch) ([]byte, error) {
+func (f *ControlClient) patched(patch *rpc.DocumentPatch) ([]byte, error) {
 	if f.heldVersion() != patch.GetBase() {
 		return nil, errPatch
 	}
@@ -66,7 +66,7 @@
 }
 
 // heldVersion returns the configuration's version; 0 if there is none.
-func (f *Follower) heldVersion() uint64 {
+func (f *ControlClient) heldVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.index == nil {
@@ -76,7 +76,7 @@
 }
 
 // install puts a configuration in force if it is newer. The caller holds mu.
-func (f *Follower) install(r *received, from string) {
+func (f *ControlClient) install(r *received, from string) {
 	if r == nil || f.index != nil && r.index.Version() <= f.index.Version() {
 		return
 	}
@@ -87,7 +87,7 @@
 
 // fetch takes a configuration that the leader didn't send itself from another
 // replica: each host begins with one of its own, so that they share the hosts.
-func (f *Follower) fetch(ctx context.Context, newest uint64) {
+func (f *ControlClient) fetch(ctx context.Context, newest uint64) {
 	for _, address := range f.replicasInTurn() {
 		if f.heldVersion() >= newest || ctx.Err() != nil {
 			return
@@ -98,7 +98,7 @@
 }
 
 // replicasInTurn returns the replicas, from the one that this host asks first.
-func (f *Follower) replicasInTurn() []string {
+func (f *ControlClient) replicasInTurn() []string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(f.cfg.Name)) // a hash can't fail
 	f.mu.Lock()
@@ -114,7 +114,7 @@
 // configuration: one may have just lost its disk, or be cut off.
 const standingTries = 2
 
-func (f *Follower) fetchFrom(ctx context.Context, address string) {
+func (f *ControlClient) fetchFrom(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, standingTimeout)
 	defer cancel()
 	reply, err := rpc.NewFleetProtobufClient("http://"+address, f.cfg.Client).Standing(ctx, &rpc.StandingRequest{
--- a/pkg/fleetentry/follower.go
+++ b/pkg/fleetentry/follower.go
@@ -49,31 +49,31 @@
 	Suspects() []string
 }
 
-// FollowerConfig is what a Follower is made of. Every field must be set.
-type FollowerConfig struct {
+// ControlClientConfig is what a Follower is made of. Every field must be set.
+type ControlClientConfig struct {
 	Name          string
 	Domain        string
 	CallerAddress string
 	// Seeds returns the control hosts' addresses that the settings tell.
-	Seeds   func() []string
-	Revoke  time.Duration // how long a key that was taken away may serve
-	Decoder Decoder
-	Client  *http.Client
-	Timer   timer.Service
-	Log     *eventlog.Log
+	Seeds              func() []string
+	MaxRevocationDelay time.Duration // how long a key that was taken away may serve
+	Decoder            Decoder
+	Client             *http.Client
+	Timer              timer.Service
+	Log                *eventlog.Log
 }
 
-// Follower keeps what this host believes. It is safe for use by several
+// ControlClient keeps what this host believes. It is safe for use by several
 // goroutines.
 //
 // Invariants: the configuration's version never falls; confirmedAt never
 // falls, and the configuration was the newest acknowledged one at that time or
 // later.
-type Follower struct {
-	cfg        FollowerConfig
+type ControlClient struct {
+	cfg        ControlClientConfig
 	loads      Loads
-	suspicions Suspicions
-	rests      Rests
+	suspicions Quarantine
+	rests      Backoffs
 	permits    Permits
 	heardLimit chan struct{} // holds one if the leader must be told of limits
 
@@ -114,9 +114,9 @@
 	confirmed   chan struct{} // closed with each confirmation
 }
 
-// NewFollower returns a follower that believes nothing yet.
-func NewFollower(cfg FollowerConfig) *Follower {
-	return &Follower{
+// NewControlClient returns a follower that believes nothing yet.
+func NewControlClient(cfg ControlClientConfig) *ControlClient {
+	return &ControlClient{
 		cfg:       cfg,
 		askOthers: true,
 		endpoints: map[string]fleet.Endpoint{},
@@ -130,9 +130,9 @@
 	}
 }
 
-// Tell sets where the follower learns of this host's load, of requests under which
+// SetSources sets where the follower learns of this host's load, of requests under which
 // endpoints ended, and of endpoints that rest or have limits. It must be called before Run.
-func (f *Follower) Tell(loads Loads, suspicions Suspicions, rests Rests, permits Permits) {
+func (f *ControlClient) SetSources(loads Loads, suspicions Quarantine, rests Backoffs, permits Permits) {
 	f.loads = loads
 	f.suspicions = suspicions
 	f.rests = rests
@@ -140,7 +140,7 @@
 }
 
 // Run follows the control hosts until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *ControlClient) Run(ctx context.Context) {
 	g := group.New(ctx)
 	defer g.Stop()
 	g.Go(f.tellHeard)
@@ -155,7 +155,7 @@
 }
 
 // sync asks one control host, and reports whether it confirmed.
-func (f *Follower) sync(ctx context.Context) bool {
+func (f *ControlClient) sync(ctx context.Context) bool {
 	address := f.choose()
 	if address == "" {
 		return false
@@ -183,7 +183,7 @@
 
 // choose returns the control host to ask: the one that was named as leader, or
 // the next of all that are known.
-func (f *Follower) choose() string {
+func (f *ControlClient) choose() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.hint != "" {
@@ -196,7 +196,7 @@
 	return list[f.target%len(list)]
 }
 
-func (f *Follower) missed(address, leader string, err error) {
+func (f *ControlClient) missed(address, leader string, err error) {
 	if err != nil {
 		// Connections at rest may have gone silent with this one: each would cost a
 		// time-out more.
@@ -216,7 +216,7 @@
 	}
 }
 
-func (f *Follower) request(address string) *rpc.SyncRequest {
+func (f *ControlClient) request(address string) *rpc.SyncRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.noteReady()
@@ -255,7 +255,7 @@
 }
 
 // noteReady logs when readiness has changed.
-func (f *Follower) noteReady() {
+func (f *ControlClient) noteReady() {
 	now := f.ready()
 	if now == f.wasReady {
 		return
@@ -266,7 +266,7 @@
 
 // Leave makes this host unready for good, and tells the control hosts at once.
 // It works until end at the latest.
-func (f *Follower) Leave(end time.Time) {
+func (f *ControlClient) Leave(end time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leaving = true
@@ -277,14 +277,14 @@
 	}
 }
 
-func (f *Follower) setInterrupt(cancel context.CancelFunc) {
+func (f *ControlClient) setInterrupt(cancel context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.interrupt = cancel
 	f.interrupted = false
 }
 
-func (f *Follower) wasInterrupted() bool {
+func (f *ControlClient) wasInterrupted() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.interrupted
--- a/pkg/fleetentry/follower_test.go
+++ b/pkg/fleetentry/follower_test.go
@@ -109,18 +109,18 @@
 	withFleet(c, func(address string) { f(c, address) })
 }
 
-func newFollower(clock timer.Service, seeds ...string) *Follower {
-	f := NewFollower(FollowerConfig{
-		Name:          "me",
-		Domain:        "a",
-		CallerAddress: "10.0.0.1:80",
-		Seeds:         func() []string { return seeds },
-		Revoke:        5 * time.Second,
-		Decoder:       plainDecoder{},
-		Client:        &http.Client{},
-		Timer:         clock,
+func newFollower(clock timer.Service, seeds ...string) *ControlClient {
+	f := NewControlClient(ControlClientConfig{
+		Name:               "me",
+		Domain:             "a",
+		CallerAddress:      "10.0.0.1:80",
+		Seeds:              func() []string { return seeds },
+		MaxRevocationDelay: 5 * time.Second,
+		Decoder:            plainDecoder{},
+		Client:             &http.Client{},
+		Timer:              clock,
 	})
-	f.Tell(&fakeLoads{}, quarantine.NewHost(clock), rest.New(clock), permit.NewBook(clock, 1))
+	f.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
 	return f
 }
 
@@ -204,7 +204,7 @@
 		clock := timer.NewManual(time.Unix(1000, 0))
 		f := newFollower(clock)
 		own := &fakeLoads{requests: 2}
-		f.Tell(own, quarantine.NewHost(clock), rest.New(clock), permit.NewBook(clock, 1))
+		f.SetSources(own, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
 		f.request("10.0.0.9:80")
 		reply := confirmed(1)
 		reply.Hosts = 3
@@ -224,7 +224,7 @@
 		}
 		for _, c := range cases {
 			own.requests = c.own
-			Expect(f.OthersLoad("e1")).To(Equal(c.others))
+			Expect(f.PeerLoad("e1")).To(Equal(c.others))
 		}
 	})
 
@@ -429,7 +429,7 @@
 			g := group.New(context.Background())
 			g.Go(h.Drain)
 			Eventually(h.Leaving, "5s").Should(BeTrue())
-			left, stops := h.StopsIn()
+			left, stops := h.ShutdownIn()
 			Expect(stops).To(BeTrue())
 			Expect(left).To(BeNumerically(">=", c.least))
 			Expect(left).To(BeNumerically("<", c.grace))
--- a/pkg/fleetentry/host.go
+++ b/pkg/fleetentry/host.go
@@ -29,7 +29,7 @@
 
 // Host is an entry host's own state: whether it is ready, and how it leaves.
 type Host struct {
-	*Follower
+	*ControlClient
 	svc   timer.Service
 	log   *eventlog.Log
 	grace time.Duration
@@ -40,12 +40,12 @@
 }
 
 // NewHost returns a host that may take grace to stop.
-func NewHost(f *Follower, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
+func NewHost(f *ControlClient, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
 	return &Host{
-		Follower: f,
-		svc:      svc,
-		log:      log,
-		grace:    grace,
+		ControlClient: f,
+		svc:           svc,
+		log:           log,
+		grace:         grace,
 	}
 }
 
--- a/pkg/fleetentry/limits.go
+++ b/pkg/fleetentry/limits.go
@@ -25,37 +25,37 @@
 // Permits is what this host knows of endpoints that have limits, and the permits that it
 // holds.
 type Permits interface {
-	News() permit.News
-	Words() []permit.Word
-	Told(term uint64, words []permit.Word)
-	Install(term, version uint64, whole bool, list []permit.Change)
-	Grant(term uint64, list permit.Table, end time.Time)
+	TakeReport() permit.HostReport
+	PendingReports() []permit.LimitReport
+	Acknowledge(term uint64, words []permit.LimitReport)
+	ApplyChanges(term, version uint64, whole bool, list []permit.LimitChange)
+	AddPermits(term uint64, list permit.Counts, end time.Time)
 }
 
 // tellLimits adds to a call what the leader must know to lend permits.
-func (f *Follower) tellLimits(q *rpc.SyncRequest) {
-	rep := f.permits.News()
+func (f *ControlClient) tellLimits(q *rpc.SyncRequest) {
+	rep := f.permits.TakeReport()
 	q.LimitsTerm = rep.Term
 	q.LimitsVersion = rep.Version
 	q.LimitsDigest = rep.Digest
-	q.LimitWords = permit.WordsToWire(rep.Words, f.cfg.Timer.Now())
+	q.LimitWords = permit.LimitReportsToWire(rep.LimitReports, f.cfg.Timer.Now())
 	q.Unused = rep.Unused.ToWire()
 	q.Demands = permit.DemandsToWire(rep.Demands)
-	f.telling.words = rep.Words
+	f.telling.words = rep.LimitReports
 }
 
 // takeLimits installs limits and permits of a reply to a call that was sent at a time. A
 // permit is valid from when it was lent: after the call had been held.
-func (f *Follower) takeLimits(reply *rpc.SyncReply, sent time.Time) {
+func (f *ControlClient) takeLimits(reply *rpc.SyncReply, sent time.Time) {
 	term := reply.GetLimitsTerm()
-	f.permits.Told(term, f.telling.words)
-	f.permits.Install(term, reply.GetLimitsVersion(), reply.GetLimitsWhole(), permit.ChangesFromWire(reply.GetLimits()))
+	f.permits.Acknowledge(term, f.telling.words)
+	f.permits.ApplyChanges(term, reply.GetLimitsVersion(), reply.GetLimitsWhole(), permit.LimitChangesFromWire(reply.GetLimits()))
 	lent := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
-	f.permits.Grant(term, permit.TableFromWire(reply.GetPermits()), lent.Add(permit.Valid))
+	f.permits.AddPermits(term, permit.CountsFromWire(reply.GetPermits()), lent.Add(permit.Lifetime))
 }
 
-// TellLimits implements gateway.Source.
-func (f *Follower) TellLimits() {
+// ReportLimits implements gateway.Source.
+func (f *ControlClient) ReportLimits() {
 	select {
 	case f.heardLimit <- struct{}{}:
 	default: // what was heard goes with the call that is due
@@ -64,19 +64,19 @@
 
 // tellHeard tells the leader at once of limits that this host heard: until all hosts know,
 // they go on sending. What can't be told goes with the next held call.
-func (f *Follower) tellHeard(ctx context.Context) {
+func (f *ControlClient) tellHeard(ctx context.Context) {
 	for {
 		select {
 		case <-f.heardLimit:
 		case <-ctx.Done():
 			return
 		}
-		words := f.permits.Words()
+		words := f.permits.PendingReports()
 		if len(words) == 0 {
 			continue
 		}
 		reply, err := f.borrow(ctx, &rpc.BorrowRequest{
-			Words: permit.WordsToWire(words, f.cfg.Timer.Now()),
+			Words: permit.LimitReportsToWire(words, f.cfg.Timer.Now()),
 		}, 0)
 		if err != nil || !reply.GetConfirmed() {
 			f.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "limits couldn't be told at once; they go with the next call"), eventlog.Err(err))
@@ -85,15 +85,15 @@
 			}
 			continue
 		}
-		f.permits.Told(reply.GetTerm(), words)
+		f.permits.Acknowledge(reply.GetTerm(), words)
 	}
 }
 
-// Borrow implements gateway.Source.
-func (f *Follower) Borrow(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) gateway.Loan {
+// RequestPermits implements gateway.Source.
+func (f *ControlClient) RequestPermits(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) gateway.PermitReply {
 	if f.leader() == "" {
-		return gateway.Loan{
-			Due: leaderDue,
+		return gateway.PermitReply{
+			AvailableIn: leaderDue,
 		}
 	}
 	q := &rpc.BorrowRequest{
@@ -102,27 +102,27 @@
 		WaitMs:   uint32(max(0, wait.Milliseconds())),
 	}
 	for _, id := range ids {
-		q.Endpoints = append(q.Endpoints, permit.Key(id))
+		q.Endpoints = append(q.Endpoints, permit.EndpointKey(id))
 	}
 	sent := f.cfg.Timer.Now()
 	reply, err := f.borrow(ctx, q, wait)
 	if err != nil || !reply.GetConfirmed() {
-		return gateway.Loan{
-			Due: askAgain,
+		return gateway.PermitReply{
+			AvailableIn: askAgain,
 		}
 	}
 	if reply.GetDueMs() == 0 {
 		lent := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
-		f.permits.Grant(reply.GetTerm(), permit.TableFromWire(reply.GetPermits()), lent.Add(permit.Valid))
+		f.permits.AddPermits(reply.GetTerm(), permit.CountsFromWire(reply.GetPermits()), lent.Add(permit.Lifetime))
 	}
-	return gateway.Loan{
-		Due: time.Duration(reply.GetDueMs()) * time.Millisecond,
-		Gap: time.Duration(reply.GetGapMs()) * time.Millisecond,
+	return gateway.PermitReply{
+		AvailableIn: time.Duration(reply.GetDueMs()) * time.Millisecond,
+		Interval:    time.Duration(reply.GetGapMs()) * time.Millisecond,
 	}
 }
 
 // borrow calls the leader, which may hold the call for wait.
-func (f *Follower) borrow(ctx context.Context, q *rpc.BorrowRequest, wait time.Duration) (*rpc.BorrowReply, error) {
+func (f *ControlClient) borrow(ctx context.Context, q *rpc.BorrowRequest, wait time.Duration) (*rpc.BorrowReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+borrowTimeout)
 	defer cancel()
 	q.Host = f.cfg.Name
@@ -130,7 +130,7 @@
 }
 
 // leader returns the address of the leader that this host follows; empty if it has none.
-func (f *Follower) leader() string {
+func (f *ControlClient) leader() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lost {
--- a/pkg/fleetentry/limits_test.go
+++ b/pkg/fleetentry/limits_test.go
@@ -38,17 +38,17 @@
 }
 
 // withLending runs f on a follower of a leader that lends by reply, and knows of e1's limit.
-func withLending(reply *rpc.BorrowReply, f func(follower *Follower, book *permit.Book, c *lendingControl, clock *timer.Manual)) {
+func withLending(reply *rpc.BorrowReply, f func(follower *ControlClient, book *permit.Holder, c *lendingControl, clock *timer.Manual)) {
 	c := &lendingControl{fakeControl: &fakeControl{}, reply: reply}
 	withFleet(c, func(address string) {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		follower := newFollower(clock)
-		book := permit.NewBook(clock, 1)
-		follower.Tell(&fakeLoads{}, quarantine.NewHost(clock), rest.New(clock), book)
+		book := permit.NewHolder(clock, 1)
+		follower.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), book)
 		first := confirmed(3)
 		first.LimitsTerm = 1
 		first.LimitsVersion = 1
-		first.Limits = []*rpc.Limit{{Endpoint: permit.Key("e1"), Service: "s", PerSecond: 8}}
+		first.Limits = []*rpc.Limit{{Endpoint: permit.EndpointKey("e1"), Service: "s", PerSecond: 8}}
 		follower.take(address, first, clock.Now())
 		f(follower, book, c, clock)
 	})
@@ -56,16 +56,16 @@
 
 var _ = Describe("an entry host's dealings with limits", func() {
 	It("tells words, demand and unused permits with each call, and what wasn't taken again", func() {
-		withLending(nil, func(f *Follower, book *permit.Book, _ *lendingControl, clock *timer.Manual) {
-			book.Hear("e1", "s", fleet.Limit{Says: fleet.LimitNamed, PerSecond: 7}, clock.Now())
-			book.Ask("s")
-			book.Ask("s")
+		withLending(nil, func(f *ControlClient, book *permit.Holder, _ *lendingControl, clock *timer.Manual) {
+			book.Observe("e1", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 7}, clock.Now())
+			book.CountRequest("s")
+			book.CountRequest("s")
 			q := f.request("10.0.0.9:80")
 			Expect(q.GetLimitsTerm()).To(Equal(uint64(1)))
 			Expect(q.GetLimitsVersion()).To(Equal(uint64(1)))
 			Expect(q.GetLimitWords()[0].GetPerSecond()).To(Equal(7.0))
 			Expect(q.GetDemands()[0].GetRequests()).To(Equal(uint32(2)))
-			Expect(q.GetDemands()[0].GetWanted()).To(Equal([]uint32{permit.Key("e1")}))
+			Expect(q.GetDemands()[0].GetWanted()).To(Equal([]uint32{permit.EndpointKey("e1")}))
 			q = f.request("10.0.0.9:80")
 			Expect(q.GetLimitWords()).To(HaveLen(1), "the call before got no answer")
 			reply := confirmed(3)
@@ -77,17 +77,17 @@
 	})
 
 	It("uses permits for their time, counted from when they were lent", func() {
-		withLending(nil, func(f *Follower, book *permit.Book, _ *lendingControl, clock *timer.Manual) {
+		withLending(nil, func(f *ControlClient, book *permit.Holder, _ *lendingControl, clock *timer.Manual) {
 			sent := clock.Now()
 			clock.Advance(800 * time.Millisecond) // of which the leader held the call 300
 			reply := confirmed(3)
 			reply.LimitsTerm = 1
 			reply.HeldMs = 300
-			reply.Permits = permit.Table{permit.Key("e1"): 2}.ToWire()
+			reply.Permits = permit.Counts{permit.EndpointKey("e1"): 2}.ToWire()
 			f.take("c", reply, sent)
-			Expect(book.Take("e1")).To(BeTrue())
-			clock.Advance(permit.Valid - 500*time.Millisecond)
-			Expect(book.Take("e1")).To(BeFalse())
+			Expect(book.TryAcquire("e1")).To(BeTrue())
+			clock.Advance(permit.Lifetime - 500*time.Millisecond)
+			Expect(book.TryAcquire("e1")).To(BeFalse())
 		})
 	})
 
@@ -99,41 +99,41 @@
 			due   time.Duration
 			gap   time.Duration
 		}{
-			{name: "lent", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, Permits: permit.Table{permit.Key("e1"): 1}.ToWire()}},
+			{name: "lent", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}},
 			{name: "none", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, DueMs: 700, GapMs: 1400}, due: 700 * time.Millisecond, gap: 1400 * time.Millisecond},
-			{name: "not by who doesn't lead", reply: &rpc.BorrowReply{Permits: permit.Table{permit.Key("e1"): 1}.ToWire()}, due: askAgain},
+			{name: "not by who doesn't lead", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, due: askAgain},
 			{name: "no leader", lost: true, due: leaderDue},
 		}
 		for _, c := range cases {
-			withLending(c.reply, func(f *Follower, book *permit.Book, _ *lendingControl, _ *timer.Manual) {
+			withLending(c.reply, func(f *ControlClient, book *permit.Holder, _ *lendingControl, _ *timer.Manual) {
 				if c.lost {
 					f.missed("c", "", nil)
 				}
-				loan := f.Borrow(context.Background(), []string{"e1"}, true, 5, 0)
-				Expect(loan.Due).To(Equal(c.due), c.name)
-				Expect(loan.Gap).To(Equal(c.gap), c.name)
-				Expect(book.Take("e1")).To(Equal(c.due == 0), c.name)
+				loan := f.RequestPermits(context.Background(), []string{"e1"}, true, 5, 0)
+				Expect(loan.AvailableIn).To(Equal(c.due), c.name)
+				Expect(loan.Interval).To(Equal(c.gap), c.name)
+				Expect(book.TryAcquire("e1")).To(Equal(c.due == 0), c.name)
 			})
 		}
 	})
 
 	It("tells the leader at once of a limit that it heard of, and later if it couldn't", func() {
-		withLending(&rpc.BorrowReply{Confirmed: true, Term: 1}, func(f *Follower, book *permit.Book, c *lendingControl, clock *timer.Manual) {
+		withLending(&rpc.BorrowReply{Confirmed: true, Term: 1}, func(f *ControlClient, book *permit.Holder, c *lendingControl, clock *timer.Manual) {
 			g := group.New(context.Background())
 			defer g.Stop()
 			g.Go(f.tellHeard)
-			book.Hear("e2", "s", fleet.Limit{Says: fleet.LimitNamed, PerSecond: 2}, clock.Now())
-			f.TellLimits()
+			book.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
+			f.ReportLimits()
 			Eventually(c.borrows, "5s").Should(Equal(1))
-			Expect(c.asked[0].GetWords()[0].GetEndpoint()).To(Equal(permit.Key("e2")))
-			Eventually(book.Words, "5s").Should(BeEmpty())
+			Expect(c.asked[0].GetWords()[0].GetEndpoint()).To(Equal(permit.EndpointKey("e2")))
+			Eventually(book.PendingReports, "5s").Should(BeEmpty())
 		})
-		withLending(&rpc.BorrowReply{}, func(f *Follower, book *permit.Book, c *lendingControl, clock *timer.Manual) {
+		withLending(&rpc.BorrowReply{}, func(f *ControlClient, book *permit.Holder, c *lendingControl, clock *timer.Manual) {
 			g := group.New(context.Background())
 			defer g.Stop()
 			g.Go(f.tellHeard)
-			book.Hear("e2", "s", fleet.Limit{Says: fleet.LimitNamed, PerSecond: 2}, clock.Now())
-			f.TellLimits()
+			book.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
+			f.ReportLimits()
 			Eventually(c.borrows, "5s").Should(Equal(1))
 			Expect(f.request("10.0.0.9:80").GetLimitWords()).To(HaveLen(1))
 		})
--- a/pkg/fleetentry/suspects.go
+++ b/pkg/fleetentry/suspects.go
@@ -9,32 +9,32 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// Suspicions is what this host knows of requests under which endpoints ended.
-type Suspicions interface {
-	// Untold returns what the leader of a term must be told.
-	Untold(term uint64) (ends []quarantine.End, served []quarantine.Fingerprint)
-	// Told notes that the leader of a term took that.
-	Told(term uint64, ends []quarantine.End, served int)
-	// Take installs what the control hosts say, and Digest returns its digest.
-	Take(list []quarantine.Verdict, digest uint64)
+// Quarantine is what this host knows of requests under which endpoints ended.
+type Quarantine interface {
+	// Unreported returns what the leader of a term must be told.
+	Unreported(term uint64) (ends []quarantine.Crash, served []quarantine.Fingerprint)
+	// Acknowledge notes that the leader of a term took that.
+	Acknowledge(term uint64, ends []quarantine.Crash, served int)
+	// SetDecisions installs what the control hosts say, and Digest returns its digest.
+	SetDecisions(list []quarantine.Decision, digest uint64)
 	Digest() uint64
 }
 
 // telling is what one call tells of suspicions and limits.
 type telling struct {
-	ends   []quarantine.End
+	ends   []quarantine.Crash
 	served int
-	words  []permit.Word
+	words  []permit.LimitReport
 }
 
 // tellSuspects adds to a call what the leader that answered last wasn't told.
-func (f *Follower) tellSuspects(q *rpc.SyncRequest) {
-	ends, served := f.suspicions.Untold(termOf(f.epoch))
+func (f *ControlClient) tellSuspects(q *rpc.SyncRequest) {
+	ends, served := f.suspicions.Unreported(termOf(f.epoch))
 	for _, e := range ends {
 		q.Ended = append(q.Ended, &rpc.EndedSend{
 			Fingerprint: uint64(e.Fingerprint),
 			Endpoint:    e.Endpoint,
-			Early:       e.Early,
+			Early:       e.BeforeResponse,
 			AfterMs:     uint32(min(e.After.Milliseconds(), math.MaxUint32)),
 		})
 	}
@@ -49,19 +49,19 @@
 }
 
 // takeSuspects notes that a call was taken, and installs what it brings.
-func (f *Follower) takeSuspects(reply *rpc.SyncReply) {
-	f.suspicions.Told(termOf(reply.GetEpoch()), f.telling.ends, f.telling.served)
+func (f *ControlClient) takeSuspects(reply *rpc.SyncReply) {
+	f.suspicions.Acknowledge(termOf(reply.GetEpoch()), f.telling.ends, f.telling.served)
 	if reply.GetSuspectsDigest() == f.suspicions.Digest() {
 		return
 	}
-	list := make([]quarantine.Verdict, 0, len(reply.GetSuspects()))
+	list := make([]quarantine.Decision, 0, len(reply.GetSuspects()))
 	for _, s := range reply.GetSuspects() {
-		list = append(list, quarantine.Verdict{
+		list = append(list, quarantine.Decision{
 			Fingerprint: quarantine.Fingerprint(s.GetFingerprint()),
-			Held:        time.Duration(s.GetHeldMs()) * time.Millisecond,
+			HoldTime:    time.Duration(s.GetHeldMs()) * time.Millisecond,
 		})
 	}
-	f.suspicions.Take(list, reply.GetSuspectsDigest())
+	f.suspicions.SetDecisions(list, reply.GetSuspectsDigest())
 }
 
 // termOf returns the leader's term of an epoch (fleetcontrol.epochOf).
--- a/pkg/fleetentry/take.go
+++ b/pkg/fleetentry/take.go
@@ -15,7 +15,7 @@
 // take installs a confirmed reply. It confirms the configuration held here only
 // if that is the one that stands. The reply was true after the call had
 // waited for as long as it says, so after sent plus that time.
-func (f *Follower) take(address string, reply *rpc.SyncReply, sent time.Time) bool {
+func (f *ControlClient) take(address string, reply *rpc.SyncReply, sent time.Time) bool {
 	doc, err := f.open(reply.GetDocument(), reply.GetPatch())
 	if err != nil {
 		f.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration can't be read; it is asked for whole"), eventlog.Err(err))
@@ -59,7 +59,7 @@
 
 // takeEndpoints merges a list; only one that is whole and settled takes rows
 // away that it doesn't hold.
-func (f *Follower) takeEndpoints(reply *rpc.SyncReply, list []fleet.Endpoint, now time.Time) {
+func (f *ControlClient) takeEndpoints(reply *rpc.SyncReply, list []fleet.Endpoint, now time.Time) {
 	if reply.GetWhole() && reply.GetSettled() {
 		f.endpoints = map[string]fleet.Endpoint{}
 	}
@@ -75,7 +75,7 @@
 }
 
 // mergeEndpoint keeps what never goes back, whichever control host tells it.
-func (f *Follower) mergeEndpoint(e fleet.Endpoint) {
+func (f *ControlClient) mergeEndpoint(e fleet.Endpoint) {
 	old, known := f.endpoints[e.ID]
 	if known && e.Sequence < old.Sequence {
 		old.Leaving = old.Leaving || e.Leaving
@@ -89,12 +89,12 @@
 }
 
 // rebuild sorts the usable endpoints by service.
-func (f *Follower) rebuild(now time.Time) {
+func (f *ControlClient) rebuild(now time.Time) {
 	f.byService = map[string][]fleet.Endpoint{}
 	told := make([]fleet.Endpoint, 0, len(f.endpoints))
 	for id, e := range f.endpoints {
 		if !e.Usable() {
-			if now.Sub(e.HeardAt) > goneKeep {
+			if now.Sub(e.LastHeartbeat) > goneKeep {
 				delete(f.endpoints, id)
 			}
 			continue
@@ -132,7 +132,7 @@
 
 // takeLoads takes what all hosts have under way, this one's share off: that is
 // what it told with the call that is being answered.
-func (f *Follower) takeLoads(l *rpc.LoadTable) {
+func (f *ControlClient) takeLoads(l *rpc.LoadTable) {
 	if l == nil || len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
 		return // not told this time
 	}
@@ -155,7 +155,7 @@
 }
 
 // takeHosts takes which hosts callers may be told of, and how many there are.
-func (f *Follower) takeHosts(reply *rpc.SyncReply) {
+func (f *ControlClient) takeHosts(reply *rpc.SyncReply) {
 	if n := reply.GetHosts(); n > 0 {
 		f.hosts = int(n)
 	}
--- a/pkg/fleetentry/view.go
+++ b/pkg/fleetentry/view.go
@@ -8,7 +8,7 @@
 )
 
 // View implements gateway.Source.
-func (f *Follower) View() gateway.View {
+func (f *ControlClient) View() gateway.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := f.cfg.Timer.Now().Sub(f.confirmedAt)
@@ -20,34 +20,34 @@
 	}
 }
 
-func (f *Follower) trusted(age time.Duration) bool {
-	return f.cfg.Revoke <= 0 || age < f.cfg.Revoke-revokeMargin
+func (f *ControlClient) trusted(age time.Duration) bool {
+	return f.cfg.MaxRevocationDelay <= 0 || age < f.cfg.MaxRevocationDelay-revokeMargin
 }
 
 // Endpoints implements gateway.Source. The caller must not change the list.
-func (f *Follower) Endpoints(service string) []fleet.Endpoint {
+func (f *ControlClient) Endpoints(service string) []fleet.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byService[service]
 }
 
 // EndpointLeaving implements gateway.Source.
-func (f *Follower) EndpointLeaving(id string) bool {
+func (f *ControlClient) EndpointLeaving(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, known := f.endpoints[id]
 	return known && !e.Usable() || f.heardLeaving(id)
 }
 
-// EndpointSlow implements gateway.Source.
-func (f *Follower) EndpointSlow(id string) float64 {
+// EndpointSlowdown implements gateway.Source.
+func (f *ControlClient) EndpointSlowdown(id string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.endpoints[id].Slow
+	return f.endpoints[id].Slowdown
 }
 
-// GaveUp implements gateway.Source.
-func (f *Follower) GaveUp(id string, layers fleet.Range) bool {
+// HasReleased implements gateway.Source.
+func (f *ControlClient) HasReleased(id string, layers fleet.Range) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, known := f.endpoints[id]
@@ -55,32 +55,32 @@
 }
 
 // Confirmed implements gateway.Source.
-func (f *Follower) Confirmed() <-chan struct{} {
+func (f *ControlClient) Confirmed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmed
 }
 
 // Settled implements gateway.Source.
-func (f *Follower) Settled() bool {
+func (f *ControlClient) Settled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.settled
 }
 
 // Changed implements gateway.Source.
-func (f *Follower) Changed() <-chan struct{} {
+func (f *ControlClient) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// OthersLoad implements gateway.Source. What the other hosts told is up to two
+// PeerLoad implements gateway.Source. What the other hosts told is up to two
 // calls old, or as many as it takes to tell of all endpoints. What this host has
 // begun since then, they are taken to have begun too: after a stop or a loss,
 // requests come to all hosts at once, and each would send them to the same
 // endpoints.
-func (f *Follower) OthersLoad(id string) gateway.Load {
+func (f *ControlClient) PeerLoad(id string) gateway.Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.loads.Load(id)
@@ -92,27 +92,27 @@
 	return load
 }
 
-// Hosts implements gateway.Source.
-func (f *Follower) Hosts() int {
+// HostCount implements gateway.Source.
+func (f *ControlClient) HostCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(1, f.hosts)
 }
 
 // Ready reports whether callers should be sent here.
-func (f *Follower) Ready() bool {
+func (f *ControlClient) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ready()
 }
 
-func (f *Follower) ready() bool {
+func (f *ControlClient) ready() bool {
 	age := f.cfg.Timer.Now().Sub(f.confirmedAt)
 	return f.index != nil && !f.leaving && f.trusted(age) && len(f.byService) > 0
 }
 
-// StopsIn implements gateway.Source.
-func (f *Follower) StopsIn() (time.Duration, bool) {
+// ShutdownIn implements gateway.Source.
+func (f *ControlClient) ShutdownIn() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.stopsAt.IsZero() {
@@ -122,7 +122,7 @@
 }
 
 // Leaving reports whether Leave was called.
-func (f *Follower) Leaving() bool {
+func (f *ControlClient) Leaving() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving
@@ -130,7 +130,7 @@
 
 // Addresses returns where callers may connect: the ready hosts, or this one if
 // no other is known.
-func (f *Follower) Addresses() []string {
+func (f *ControlClient) Addresses() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []string
--- a/pkg/fleetentry/words.go
+++ b/pkg/fleetentry/words.go
@@ -9,18 +9,18 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// Rests is which endpoints asked this host for rest.
-type Rests interface {
-	// Resting returns for how much longer.
-	Resting() map[string]time.Duration
-	// Told notes a rest that another process of this host was asked for.
-	Told(id string, left time.Duration)
+// Backoffs is which endpoints asked this host for rest.
+type Backoffs interface {
+	// Active returns for how much longer.
+	Active() map[string]time.Duration
+	// Merge notes a rest that another process of this host was asked for.
+	Merge(id string, left time.Duration)
 }
 
-// Leaves implements gateway.Source: an endpoint told this host itself that it leaves. The
+// MarkLeaving implements gateway.Source: an endpoint told this host itself that it leaves. The
 // host keeps that for good, whatever control hosts tell: they may be out of reach, and
 // what they were told by the endpoint may be older. They are told with the next call.
-func (f *Follower) Leaves(id string) {
+func (f *ControlClient) MarkLeaving(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.heardLeaving(id) {
@@ -35,13 +35,13 @@
 	f.rebuild(now)
 }
 
-func (f *Follower) heardLeaving(id string) bool {
+func (f *ControlClient) heardLeaving(id string) bool {
 	_, heard := f.leaves[id]
 	return heard
 }
 
 // forgetLeaves drops those of endpoints that aren't known any more.
-func (f *Follower) forgetLeaves(now time.Time) {
+func (f *ControlClient) forgetLeaves(now time.Time) {
 	for id, at := range f.leaves {
 		if _, known := f.endpoints[id]; !known && now.Sub(at) > goneKeep {
 			delete(f.leaves, id)
@@ -53,13 +53,13 @@
 // which of them leave, as far as it doesn't know; to one on this machine which rest, as
 // its questions and orders come from the same machine. Those that rest are no suspects:
 // they have just answered, and questions are what they don't want.
-func (f *Follower) tellWords(q *rpc.SyncRequest, address string) {
+func (f *ControlClient) tellWords(q *rpc.SyncRequest, address string) {
 	for id := range f.leaves {
 		if e, known := f.endpoints[id]; known && e.Usable() {
 			q.Leaving = append(q.Leaving, id)
 		}
 	}
-	resting := f.rests.Resting()
+	resting := f.rests.Active()
 	for _, id := range f.loads.Suspects() {
 		if resting[id] == 0 {
 			q.Suspects = append(q.Suspects, id)
@@ -72,9 +72,9 @@
 }
 
 // takeRests takes what endpoints asked the control process of this machine for.
-func (f *Follower) takeRests(reply *rpc.SyncReply) {
+func (f *ControlClient) takeRests(reply *rpc.SyncReply) {
 	for _, r := range reply.GetResting() {
-		f.rests.Told(r.GetEndpoint(), rest.FromWire(r))
+		f.rests.Merge(r.GetEndpoint(), rest.FromWire(r))
 	}
 }
 
--- a/pkg/fleetentry/words_test.go
+++ b/pkg/fleetentry/words_test.go
@@ -28,20 +28,20 @@
 func (s *suspecting) Suspects() []string { return s.list }
 
 // withFollower runs f on a follower that believes in an endpoint e1 of service s.
-func withFollower(f func(f *Follower, rests *rest.Book, clock *timer.Manual)) {
+func withFollower(f func(f *ControlClient, rests *rest.Tracker, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	follower := newFollower(clock)
 	rests := rest.New(clock)
-	follower.Tell(&suspecting{list: []string{"e1", "e2"}}, quarantine.NewHost(clock), rests, permit.NewBook(clock, 1))
+	follower.SetSources(&suspecting{list: []string{"e1", "e2"}}, quarantine.NewEnforcer(clock), rests, permit.NewHolder(clock, 1))
 	follower.take("c", confirmed(3), clock.Now())
 	f(follower, rests, clock)
 }
 
 var _ = Describe("an endpoint's own word that it leaves", func() {
 	It("takes it away at once, and stands whatever control hosts tell of that start", func() {
-		withFollower(func(f *Follower, _ *rest.Book, clock *timer.Manual) {
+		withFollower(func(f *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			changed := f.Changed()
-			f.Leaves("e1")
+			f.MarkLeaving("e1")
 			Expect(changed).To(BeClosed())
 			Expect(f.Endpoints("s")).To(BeEmpty())
 			Expect(f.EndpointLeaving("e1")).To(BeTrue())
@@ -64,8 +64,8 @@
 	})
 
 	It("doesn't hold for another start of it", func() {
-		withFollower(func(f *Follower, _ *rest.Book, clock *timer.Manual) {
-			f.Leaves(fleet.IncarnationID("e1", 100))
+		withFollower(func(f *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
+			f.MarkLeaving(fleet.IncarnationID("e1", 100))
 			reply := confirmed(3)
 			reply.PackedEndpoints = packed(&rpc.Announcement{Id: fleet.IncarnationID("e1", 200), Service: "s", Address: "10.1.0.1:80", Sequence: 1})
 			f.take("c", reply, clock.Now())
@@ -74,9 +74,9 @@
 	})
 
 	It("is told to the leader until that knows, and changes nothing of what the host names as held", func() {
-		withFollower(func(f *Follower, _ *rest.Book, clock *timer.Manual) {
+		withFollower(func(f *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			before := f.request(there).GetEndpointsDigest()
-			f.Leaves("e1")
+			f.MarkLeaving("e1")
 			for range 2 {
 				q := f.request(there)
 				Expect(q.GetLeaving()).To(Equal([]string{"e1"}))
@@ -90,9 +90,9 @@
 	})
 
 	It("is forgotten some time after the endpoint", func() {
-		withFollower(func(f *Follower, _ *rest.Book, clock *timer.Manual) {
+		withFollower(func(f *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			for _, id := range []string{"gone-1", "gone-2", "e1"} {
-				f.Leaves(id)
+				f.MarkLeaving(id)
 			}
 			clock.Advance(2 * goneKeep)
 			f.take("c", confirmed(3), clock.Now())
@@ -103,8 +103,8 @@
 
 var _ = Describe("an endpoint's rest", func() {
 	It("is told to a control process of the same machine only, and makes no suspect", func() {
-		withFollower(func(f *Follower, rests *rest.Book, _ *timer.Manual) {
-			rests.Ask("e1", 3*time.Second)
+		withFollower(func(f *ControlClient, rests *rest.Tracker, _ *timer.Manual) {
+			rests.Record("e1", 3*time.Second)
 			q := f.request(there)
 			Expect(q.GetResting()).To(BeEmpty())
 			Expect(q.GetSuspects()).To(Equal([]string{"e2"}))
@@ -116,13 +116,13 @@
 	})
 
 	It("is taken from the control process of the same machine", func() {
-		withFollower(func(f *Follower, rests *rest.Book, clock *timer.Manual) {
+		withFollower(func(f *ControlClient, rests *rest.Tracker, clock *timer.Manual) {
 			reply := confirmed(3)
 			reply.Resting = []*rpc.Resting{{Endpoint: "e1", LeftMs: 1500}}
 			f.take("c", reply, clock.Now())
-			Expect(rests.Left("e1")).To(Equal(1500 * time.Millisecond))
+			Expect(rests.Remaining("e1")).To(Equal(1500 * time.Millisecond))
 		})
 	})
 })
 
-var _ gateway.Source = (*Follower)(nil)
+var _ gateway.Source = (*ControlClient)(nil)
--- a/pkg/gateway/asker.go
+++ b/pkg/gateway/asker.go
@@ -25,7 +25,7 @@
 // asked meanwhile or shortly after: when an endpoint is slow or lost, all of its
 // streams ask at once. It is safe for use by several goroutines.
 type asker struct {
-	backend Backend
+	backend EndpointClient
 	manners manners
 	svc     timer.Service
 
@@ -38,12 +38,12 @@
 	// mayAsk reports whether an endpoint may be asked now, and takes what that needs.
 	mayAsk(id string) bool
 	// asked takes what the answer to a question sent at a time says of an endpoint.
-	asked(service, id string, w fleet.Word, sent time.Time)
+	asked(service, id string, w fleet.Notice, sent time.Time)
 }
 
 // mayAsk implements manners.
 func (g *Gateway) mayAsk(id string) bool {
-	if !g.rests.May(id) || !g.permits.Take(id) || !g.rests.Take(id) {
+	if !g.rests.MayCall(id) || !g.permits.TryAcquire(id) || !g.rests.TryAcquire(id) {
 		return false
 	}
 	g.countLimited("question", id)
@@ -51,7 +51,7 @@
 }
 
 // asked implements manners.
-func (g *Gateway) asked(service, id string, w fleet.Word, sent time.Time) {
+func (g *Gateway) asked(service, id string, w fleet.Notice, sent time.Time) {
 	g.hear(id, w)
 	g.hearLimit(service, id, w.Limit, sent)
 }
@@ -60,7 +60,7 @@
 type question struct {
 	done   chan struct{} // closed with the answer
 	at     time.Time     // of the answer; zero before it
-	found  Standstill
+	found  StallReport
 	err    error
 	silent int // questions in a row without an answer, with this one
 }
@@ -69,7 +69,7 @@
 // endpoints that hold first layers.
 const maxQuestions = 1000
 
-func newAsker(m manners, backend Backend, svc timer.Service) *asker {
+func newAsker(m manners, backend EndpointClient, svc timer.Service) *asker {
 	return &asker{
 		backend: backend,
 		manners: m,
@@ -89,9 +89,9 @@
 	if mine {
 		sent := a.svc.Now()
 		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallAskTimeout)
-		found, err := a.backend.Stalled(askCtx, address)
+		found, err := a.backend.QueryStalls(askCtx, address)
 		cancel()
-		a.manners.asked(service, id, found.Says, sent)
+		a.manners.asked(service, id, found.Notice, sent)
 		a.answer(q, found, err)
 		return q
 	}
@@ -135,7 +135,7 @@
 	return (q.err == nil || q.lost()) && a.svc.Now().Sub(q.at) < sharedFor
 }
 
-func (a *asker) answer(q *question, found Standstill, err error) {
+func (a *asker) answer(q *question, found StallReport, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	q.found = found
--- a/pkg/gateway/asker_test.go
+++ b/pkg/gateway/asker_test.go
@@ -16,16 +16,16 @@
 
 // askBackend counts questions, and answers each when release lets it.
 type askBackend struct {
-	Backend
+	EndpointClient
 	asked   atomic.Int64
 	release chan error
-	heard   []fleet.Word
+	heard   []fleet.Notice
 }
 
-func (b *askBackend) Stalled(context.Context, string) (Standstill, error) {
+func (b *askBackend) QueryStalls(context.Context, string) (StallReport, error) {
 	b.asked.Add(1)
 	err := <-b.release
-	return Standstill{At: map[string]string{"r1": "x:1"}, Says: fleet.Word{Leaving: true}}, err
+	return StallReport{Addresses: map[string]string{"r1": "x:1"}, Notice: fleet.Notice{Leaving: true}}, err
 }
 
 // withAsker runs f on an asker whose questions wait for release.
@@ -39,13 +39,13 @@
 
 // listener lets endpoints that don't rest be asked, and notes what they say.
 type listener struct {
-	rests   *rest.Book
+	rests   *rest.Tracker
 	backend *askBackend
 }
 
-func (l *listener) mayAsk(id string) bool { return l.rests.Take(id) }
+func (l *listener) mayAsk(id string) bool { return l.rests.TryAcquire(id) }
 
-func (l *listener) asked(_, _ string, w fleet.Word, _ time.Time) {
+func (l *listener) asked(_, _ string, w fleet.Notice, _ time.Time) {
 	l.backend.heard = append(l.backend.heard, w)
 }
 
@@ -63,7 +63,7 @@
 			b.release <- nil
 			g.Wait()
 			for range 20 {
-				Expect((<-answers).found.At).To(HaveKey("r1"))
+				Expect((<-answers).found.Addresses).To(HaveKey("r1"))
 			}
 			Expect(b.asked.Load()).To(Equal(int64(1)))
 			clock.Advance(sharedFor)
@@ -83,7 +83,7 @@
 			b.release <- nil
 			a.ask(ctx, "s", "x", "x:1")
 			a.ask(ctx, "s", "x", "x:1") // the same answer
-			Expect(b.heard).To(Equal([]fleet.Word{{Leaving: true}}))
+			Expect(b.heard).To(Equal([]fleet.Notice{{Leaving: true}}))
 			clock.Advance(sharedFor)
 			b.release <- errors.New("status 500")
 			a.ask(ctx, "s", "x", "x:1")
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -15,9 +15,9 @@
 func (s *streamRun) demand() pathing.Demand {
 	e := s.j.service.Engine
 	d := pathing.Demand{
-		Prompt: float64(s.j.req.Prompt),
-		Answer: float64(s.j.req.AnswerHint),
-		Home:   s.g.domain,
+		Prompt:     float64(s.j.req.PromptTokens),
+		Answer:     float64(s.j.req.AnswerTokensHint),
+		HomeDomain: s.g.domain,
 	}
 	if d.Prompt <= 0 {
 		d.Prompt = float64(e.Prompt)
@@ -25,34 +25,34 @@
 	if d.Answer <= 0 {
 		d.Answer = float64(e.Answer)
 	}
-	if most := float64(s.j.req.MaxAnswer); most > 0 {
+	if most := float64(s.j.req.MaxAnswerTokens); most > 0 {
 		d.Answer = min(d.Answer, most)
 	}
 	return d
 }
 
 // stages returns the endpoints that hold layers and may be called now, with their load.
-func (s *streamRun) stages(avoid func(e *fleet.Endpoint) bool) []pathing.Stage {
-	if !s.g.rests.Any() && !s.g.permits.Any() {
+func (s *streamRun) stages(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
+	if !s.g.rests.HasAny() && !s.g.permits.HasLimits() {
 		return s.holders(avoid)
 	}
 	return s.holders(func(e *fleet.Endpoint) bool {
-		return s.g.rests.Left(e.ID) > 0 || !s.g.permits.May(e.ID) || avoid(e)
+		return s.g.rests.Remaining(e.ID) > 0 || !s.g.permits.MayCall(e.ID) || avoid(e)
 	})
 }
 
 // holders is stages with endpoints that rest or have no permit.
-func (s *streamRun) holders(avoid func(e *fleet.Endpoint) bool) []pathing.Stage {
+func (s *streamRun) holders(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
 	list := s.g.source.Endpoints(s.j.service.Name)
-	out := make([]pathing.Stage, 0, len(list))
+	out := make([]pathing.Candidate, 0, len(list))
 	for i := range list {
 		e := &list[i]
 		if e.Layers.Len() <= 0 || e.Loading || e.Silent || avoid(e) {
 			continue
 		}
 		own := s.g.tracker.Load(e.ID)
-		others := s.g.source.OthersLoad(e.ID)
-		out = append(out, pathing.Stage{
+		others := s.g.source.PeerLoad(e.ID)
+		out = append(out, pathing.Candidate{
 			ID:       e.ID,
 			Address:  e.Address,
 			Domain:   e.Domain,
@@ -60,7 +60,7 @@
 			Layers:   e.Layers,
 			Requests: float64(own.Requests + others.Requests),
 			Tokens:   float64(own.Tokens + others.Tokens),
-			Slow:     e.Slow,
+			Slowdown: e.Slowdown,
 			Wait:     s.g.waits.expect(e.ID),
 		})
 	}
@@ -83,8 +83,8 @@
 	for {
 		changed := s.g.source.Changed()
 		path, e := s.choose()
-		if e == nil && (pathing.Crossings(path) == 0 || s.g.source.Settled()) {
-			if !s.g.permits.Take(idsOf(path)...) {
+		if e == nil && (pathing.DomainCrossings(path) == 0 || s.g.source.Settled()) {
+			if !s.g.permits.TryAcquire(idsOf(path)...) {
 				continue // another request was before this one
 			}
 			s.take(path)
@@ -99,7 +99,7 @@
 		if s.g.awaitEndpoints(ctx, s.j.req, changed) || s.awaitRoom(ctx, e) {
 			continue
 		}
-		if e == nil && !s.g.permits.Take(idsOf(path)...) {
+		if e == nil && !s.g.permits.TryAcquire(idsOf(path)...) {
 			continue
 		}
 		if e == nil {
@@ -132,7 +132,7 @@
 
 // choose finds a path around what failed this request or this host lately;
 // without one, around what failed this request only.
-func (s *streamRun) choose() ([]fleet.Part, *failure.Error) {
+func (s *streamRun) choose() ([]fleet.Stage, *failure.Error) {
 	e := s.j.service.Engine
 	if e == nil {
 		return s.chooseSingle()
@@ -143,17 +143,17 @@
 		loose := s.stages(func(p *fleet.Endpoint) bool { return s.failed(p.ID) })
 		path = pathing.Choose(e, loose, s.demand(), s.jitter)
 	}
-	if path == nil || !pathing.Whole(e, path) {
+	if path == nil || !pathing.CoversAllLayers(e, path) {
 		path = s.lastPath()
 	}
 	if path == nil {
 		return nil, s.noPath()
 	}
 	d := s.demand()
-	if s.g.pipes.take(e, path, d.Prompt+d.Answer, s.g.source.Hosts()) {
+	if s.g.pipes.take(e, path, d.Prompt+d.Answer, s.g.source.HostCount()) {
 		return path, nil
 	}
-	d.Stay = true
+	d.SingleDomain = true
 	if path = pathing.Choose(e, strict, d, s.jitter); path == nil {
 		return nil, failure.New(failure.Overloaded, "the pipes between failure domains are full").WithRetryAfter(pipesAgain)
 	}
@@ -190,7 +190,7 @@
 }
 
 // chooseSingle picks an endpoint of a service whose endpoints hold everything.
-func (s *streamRun) chooseSingle() ([]fleet.Part, *failure.Error) {
+func (s *streamRun) chooseSingle() ([]fleet.Stage, *failure.Error) {
 	tried := map[string]bool{}
 	for _, e := range s.g.source.Endpoints(s.j.service.Name) {
 		tried[e.ID] = s.failed(e.ID)
@@ -202,7 +202,7 @@
 	if !ok {
 		return nil, s.noPath()
 	}
-	return []fleet.Part{{
+	return []fleet.Stage{{
 		ID:      e.ID,
 		Address: e.Address,
 		Domain:  e.Domain,
@@ -210,7 +210,7 @@
 }
 
 // take counts the request at every part of a path.
-func (s *streamRun) take(path []fleet.Part) {
+func (s *streamRun) take(path []fleet.Stage) {
 	s.release()
 	s.path = path
 	s.borrowed = 0
@@ -218,7 +218,7 @@
 	tokens := 0
 	if s.j.service.Engine != nil {
 		d := s.demand()
-		tokens = int(d.Memory())
+		tokens = int(d.MeanKVTokens())
 	}
 	for _, p := range path {
 		s.ends = append(s.ends, s.g.tracker.Begin(p.ID, tokens))
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -59,7 +59,7 @@
 }
 
 // formatPath writes a path for the log: endpoint and layers of each part.
-func formatPath(path []fleet.Part) string {
+func formatPath(path []fleet.Stage) string {
 	parts := make([]string, 0, len(path))
 	for _, p := range path {
 		parts = append(parts, p.ID+"="+strconv.Itoa(p.Layers.From)+"-"+strconv.Itoa(p.Layers.To))
--- a/pkg/gateway/fixture_test.go
+++ b/pkg/gateway/fixture_test.go
@@ -30,7 +30,7 @@
 type fakeBackend struct {
 	mu      sync.Mutex
 	calls   []*Call
-	repaths [][]fleet.Part
+	repaths [][]fleet.Stage
 	answer  func(n int, c *Call) (*Answer, error)
 	// until, if set, answers in place of answer, and may wait for ctx.
 	until    func(ctx context.Context, n int) (*Answer, error)
@@ -66,11 +66,11 @@
 	return b.answer(n, c)
 }
 
-func (b *fakeBackend) Stalled(context.Context, string) (Standstill, error) {
+func (b *fakeBackend) QueryStalls(context.Context, string) (StallReport, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked++
-	return Standstill{At: b.stalled}, b.stallErr
+	return StallReport{Addresses: b.stalled}, b.stallErr
 }
 
 // repathErr answers new paths by f.
@@ -94,7 +94,7 @@
 	b.stalled = map[string]string{request: address}
 }
 
-func (b *fakeBackend) Repath(_ context.Context, _, _ string, path []fleet.Part) error {
+func (b *fakeBackend) Repath(_ context.Context, _, _ string, path []fleet.Stage) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repaths = append(b.repaths, path)
@@ -104,7 +104,7 @@
 	for _, p := range path {
 		if p.Address == b.refuse {
 			return &RepathError{
-				At: p.Address,
+				Address: p.Address,
 			}
 		}
 	}
@@ -141,18 +141,18 @@
 	told     int // that limits were heard
 }
 
-// Borrow asks lend.
-func (s *fakeSource) Borrow(_ context.Context, ids []string, each bool, priority int, _ time.Duration) Loan {
+// RequestPermits asks lend.
+func (s *fakeSource) RequestPermits(_ context.Context, ids []string, each bool, priority int, _ time.Duration) PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.borrowed++
 	if s.lend == nil {
-		return Loan{Due: time.Second, Gap: time.Second}
+		return PermitReply{AvailableIn: time.Second, Interval: time.Second}
 	}
-	return Loan{Due: s.lend(ids, each, priority), Gap: time.Second}
+	return PermitReply{AvailableIn: s.lend(ids, each, priority), Interval: time.Second}
 }
 
-func (s *fakeSource) TellLimits() {
+func (s *fakeSource) ReportLimits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.told++
@@ -170,10 +170,10 @@
 	return s.endpoints[service]
 }
 
-func (s *fakeSource) StopsIn() (time.Duration, bool) { return s.stopsIn, s.stopsIn > 0 }
-func (s *fakeSource) OthersLoad(string) Load         { return Load{} }
-func (s *fakeSource) Hosts() int                     { return 1 }
-func (s *fakeSource) Settled() bool                  { return !s.unsettled }
+func (s *fakeSource) ShutdownIn() (time.Duration, bool) { return s.stopsIn, s.stopsIn > 0 }
+func (s *fakeSource) PeerLoad(string) Load              { return Load{} }
+func (s *fakeSource) HostCount() int                    { return 1 }
+func (s *fakeSource) Settled() bool                     { return !s.unsettled }
 
 func (s *fakeSource) EndpointLeaving(id string) bool {
 	s.mu.Lock()
@@ -181,13 +181,13 @@
 	return s.leaving[id]
 }
 
-func (s *fakeSource) EndpointSlow(id string) float64 {
+func (s *fakeSource) EndpointSlowdown(id string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.slow[id]
 }
 
-func (s *fakeSource) GaveUp(id string, _ fleet.Range) bool {
+func (s *fakeSource) HasReleased(id string, _ fleet.Range) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gaveUp[id]
@@ -205,8 +205,8 @@
 	return s.confirmed
 }
 
-// Leaves says that an endpoint leaves, by its own word.
-func (s *fakeSource) Leaves(id string) {
+// MarkLeaving says that an endpoint leaves, by its own word.
+func (s *fakeSource) MarkLeaving(id string) {
 	s.change(func() {
 		s.leaving[id] = true
 		for service, list := range s.endpoints {
@@ -260,7 +260,7 @@
 	o.answers++
 }
 
-func (o *fakeOutput) Whole(status int, _ http.Header, body []byte) {
+func (o *fakeOutput) WriteAnswer(status int, _ http.Header, body []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.status = status
@@ -268,7 +268,7 @@
 	o.answers++
 }
 
-func (o *fakeOutput) Begin(status int, _ http.Header) {
+func (o *fakeOutput) BeginStream(status int, _ http.Header) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.status = status
@@ -375,7 +375,7 @@
 		confirmed: make(chan struct{}),
 	}
 	backend := &fakeBackend{}
-	budget := Budget{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
+	budget := RetryBudget{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
 	b := &bench{
 		backend: backend,
 		source:  source,
@@ -411,7 +411,7 @@
 func (b *bench) serveFor(route string, wait time.Duration) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
-	req.Wait = wait
+	req.Timeout = wait
 	b.gateway.Serve(context.Background(), req, out)
 	return out
 }
@@ -432,7 +432,7 @@
 // and returns once the caller has it. end ends it.
 func (b *bench) underWay() (end func()) {
 	b.backend.answer = func(int, *Call) (*Answer, error) {
-		return &Answer{Status: 200, Sealed: true, Body: hang(events(1, 1))}, nil
+		return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	out, done := b.stream(ctx)
@@ -444,11 +444,11 @@
 }
 
 func whole(status int, body string) *Answer {
-	return &Answer{Status: status, Sealed: true, Body: io.NopCloser(strings.NewReader(body))}
+	return &Answer{Status: status, Verified: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 func refusedBy(fault string) *Answer {
-	return &Answer{Status: 503, NotRun: true, Fault: fault, Sealed: true, Body: io.NopCloser(strings.NewReader(""))}
+	return &Answer{Status: 503, NotRun: true, FaultAddress: fault, Verified: true, Body: io.NopCloser(strings.NewReader(""))}
 }
 
 func events(from, to int) string {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -21,7 +21,7 @@
 // Gateway carries requests. It is safe for use by several goroutines.
 type Gateway struct {
 	domain  string // this host's failure domain
-	backend Backend
+	backend EndpointClient
 	source  Source
 	svc     timer.Service
 	log     *eventlog.Log
@@ -34,15 +34,15 @@
 	asker   *asker
 	waits   *waits
 	returns *comebacks
-	crowd   *crowd.Crowd
-	held    *quarantine.Host
-	rests   *rest.Book
-	permits *permit.Book
+	crowd   *crowd.Spreader
+	held    *quarantine.Enforcer
+	rests   *rest.Tracker
+	permits *permit.Holder
 	borrows *borrowing
 }
 
 // New returns the gateway of a host in a failure domain.
-func New(domain string, backend Backend, source Source, budget Budget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
+func New(domain string, backend EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
 	rests := rest.New(svc)
 	g := &Gateway{
 		domain:  domain,
@@ -59,17 +59,17 @@
 		waits:   newWaits(svc),
 		returns: newComebacks(svc),
 		crowd:   crowd.New(svc),
-		held:    quarantine.NewHost(svc),
+		held:    quarantine.NewEnforcer(svc),
 		rests:   rests,
-		permits: permit.NewBook(svc, rand.Uint64()),
+		permits: permit.NewHolder(svc, rand.Uint64()),
 		borrows: newBorrowing(svc),
 	}
 	g.asker = newAsker(g, backend, svc)
 	return g
 }
 
-// Rests returns which endpoints asked this host for rest.
-func (g *Gateway) Rests() *rest.Book {
+// Backoffs returns which endpoints asked this host for rest.
+func (g *Gateway) Backoffs() *rest.Tracker {
 	return g.rests
 }
 
@@ -117,7 +117,7 @@
 	// once the machine was suspended: a deadline would come that much too late.
 	ctx, cancel := context.WithTimeout(ctx, j.end.Sub(g.svc.Now()))
 	defer cancel()
-	g.permits.Ask(j.service.Name)
+	g.permits.CountRequest(j.service.Name)
 	if j.route.Kind == fleet.Stream {
 		g.serveStream(ctx, j)
 		return
@@ -187,8 +187,8 @@
 		priority: route.Priority,
 		end:      req.Received.Add(route.Timeout),
 	}
-	if req.Wait > 0 && req.Wait < route.Timeout {
-		j.end = req.Received.Add(req.Wait)
+	if req.Timeout > 0 && req.Timeout < route.Timeout {
+		j.end = req.Received.Add(req.Timeout)
 	}
 	if e := g.identify(j, v); e != nil {
 		return nil, e
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -56,7 +56,7 @@
 	}
 	for _, p := range s.path[1:] {
 		switch {
-		case s.g.source.GaveUp(p.ID, p.Layers), l.slow(p):
+		case s.g.source.HasReleased(p.ID, p.Layers), l.slow(p):
 			l.part = s.g.svc.After(time.Duration(fraction(s.j.req.ID) * float64(vacateSpread)))
 			return
 		case s.g.source.EndpointLeaving(p.ID):
@@ -77,23 +77,23 @@
 // leave it; the plan covers its layers again from there on (pkg/placement).
 const slowPart = 4
 
-func (l *leaveWatch) slow(p fleet.Part) bool {
-	return l.s.g.source.EndpointSlow(p.ID) >= slowPart
+func (l *leaveWatch) slow(p fleet.Stage) bool {
+	return l.s.g.source.EndpointSlowdown(p.ID) >= slowPart
 }
 
 // mustLeave reports whether a stream should leave a part of its path.
-func (l *leaveWatch) mustLeave(p fleet.Part) bool {
-	return l.s.g.source.EndpointLeaving(p.ID) || l.s.g.source.GaveUp(p.ID, p.Layers) || l.slow(p)
+func (l *leaveWatch) mustLeave(p fleet.Stage) bool {
+	return l.s.g.source.EndpointLeaving(p.ID) || l.s.g.source.HasReleased(p.ID, p.Layers) || l.slow(p)
 }
 
 // bad reports whether a part isn't to be kept if that can be helped; worse,
 // whether it isn't to be kept though one that leaves is: that one still serves,
 // while an order waits for the streams on a part that gave up its layers.
-func (l *leaveWatch) bad(p fleet.Part) bool {
+func (l *leaveWatch) bad(p fleet.Stage) bool {
 	return l.s.shunned(p) || l.mustLeave(p)
 }
 
-func (l *leaveWatch) worse(p fleet.Part) bool {
+func (l *leaveWatch) worse(p fleet.Stage) bool {
 	return l.bad(p) && !l.s.g.source.EndpointLeaving(p.ID)
 }
 
@@ -115,8 +115,8 @@
 	if left == "" {
 		return
 	}
-	for _, path := range [][]fleet.Part{s.pathAround(l.bad), s.pathAround(l.worse), s.pathFrom(&s.path[0])} {
-		if path != nil && pathing.Crossings(path) <= pathing.Crossings(s.path) && s.follow(ctx, path, left) {
+	for _, path := range [][]fleet.Stage{s.pathAround(l.bad), s.pathAround(l.worse), s.pathFrom(&s.path[0])} {
+		if path != nil && pathing.DomainCrossings(path) <= pathing.DomainCrossings(s.path) && s.follow(ctx, path, left) {
 			break
 		}
 	}
--- a/pkg/gateway/leaves_test.go
+++ b/pkg/gateway/leaves_test.go
@@ -35,12 +35,12 @@
 			{name: "no body", answer: whole(204, "")},
 			{name: "turned away", answer: refusedBy("")},
 			{name: "damaged", answer: &Answer{Status: 200, Body: http.NoBody}},
-			{name: "torn", answer: &Answer{Status: 200, Sealed: true, Body: brokenBody{Reader: strings.NewReader("half")}}},
+			{name: "torn", answer: &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader("half")}}},
 		}
 		for _, c := range cases {
 			for _, route := range []string{"unsafe", "stream"} {
 				withGateway(func(b *bench) {
-					c.answer.Says = fleet.Word{Leaving: true}
+					c.answer.Notice = fleet.Notice{Leaving: true}
 					b.backend.answer = func(n int, call *Call) (*Answer, error) {
 						if n == 1 {
 							return c.answer, nil
@@ -59,7 +59,7 @@
 			end := b.underWay()
 			defer end()
 			path := b.backend.sent()[0].Path
-			b.gateway.hear(path[1].ID, fleet.Word{Leaving: true})
+			b.gateway.hear(path[1].ID, fleet.Notice{Leaving: true})
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
 				return b.backend.repathed()
@@ -75,8 +75,8 @@
 			end := b.underWay()
 			defer end()
 			path := b.backend.sent()[0].Path
-			b.gateway.hear(path[0].ID, fleet.Word{Rest: rested})
-			b.gateway.hear(path[1].ID, fleet.Word{Leaving: true})
+			b.gateway.hear(path[0].ID, fleet.Notice{Backoff: rested})
+			b.gateway.hear(path[1].ID, fleet.Notice{Leaving: true})
 			for range 10 {
 				b.clock.Advance(250 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
@@ -103,7 +103,7 @@
 			end := b.underWay()
 			defer end()
 			path := b.backend.sent()[0].Path
-			b.gateway.hear(path[0].ID, fleet.Word{Rest: rested})
+			b.gateway.hear(path[0].ID, fleet.Notice{Backoff: rested})
 			b.backend.stall("r1", path[1].Address)
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
@@ -117,12 +117,12 @@
 	It("isn't forgotten among many", func() {
 		withGateway(func(b *bench) {
 			for n := range 5000 {
-				b.gateway.hear("gone-"+strconv.Itoa(n), fleet.Word{Rest: time.Second})
+				b.gateway.hear("gone-"+strconv.Itoa(n), fleet.Notice{Backoff: time.Second})
 			}
-			Expect(b.gateway.rests.Size()).To(BeNumerically("<=", 5000))
+			Expect(b.gateway.rests.Len()).To(BeNumerically("<=", 5000))
 			b.clock.Advance(2 * time.Second)
-			b.gateway.hear("p", fleet.Word{Rest: time.Second})
-			Expect(b.gateway.rests.Size()).To(Equal(1), "what is over is forgotten")
+			b.gateway.hear("p", fleet.Notice{Backoff: time.Second})
+			Expect(b.gateway.rests.Len()).To(Equal(1), "what is over is forgotten")
 		})
 	})
 })
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -18,22 +18,22 @@
 )
 
 // Permits returns what this host knows of endpoints that have limits.
-func (g *Gateway) Permits() *permit.Book {
+func (g *Gateway) Permits() *permit.Holder {
 	return g.permits
 }
 
 // hearLimit takes what an answer to a call sent at a time says of an endpoint's limit.
 func (g *Gateway) hearLimit(service, id string, l fleet.Limit, sent time.Time) {
-	if id == "" || !g.permits.Hear(id, service, l, sent) {
+	if id == "" || !g.permits.Observe(id, service, l, sent) {
 		return
 	}
 	says := "none"
-	if l.Says == fleet.LimitNamed {
+	if l.Status == fleet.LimitSet {
 		says = "named"
 	}
 	g.log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", id), eventlog.Str("says", says),
 		eventlog.Str("per_second", strconv.FormatFloat(l.PerSecond, 'g', 4, 64)), eventlog.Str("by", "an answer"))
-	g.source.TellLimits()
+	g.source.ReportLimits()
 }
 
 // hearLimits takes the limit that the answer to a call names. Where the answer is about
@@ -45,7 +45,7 @@
 		g.hearLimit(j.service.Name, who, l, sent)
 		return
 	}
-	if l.Says == fleet.LimitNamed && who != "" {
+	if l.Status == fleet.LimitSet && who != "" {
 		g.hearLimit(j.service.Name, c.ID, l, sent)
 		g.hearLimit(j.service.Name, who, l, sent)
 	}
@@ -53,7 +53,7 @@
 
 // countLimited counts a call to an endpoint that has a limit, by the way it goes.
 func (g *Gateway) countLimited(way, id string) {
-	if g.permits.Limited(id) {
+	if g.permits.HasLimit(id) {
 		g.metrics.Counter("calls_limited", metrics.Label{Name: "way", Value: way}).Inc(1)
 	}
 }
@@ -131,11 +131,11 @@
 }
 
 // end notes the leader's answer, and returns when a place is due; 0 if permits were lent.
-func (b *borrowing) end(what string, priority int, l Loan) time.Duration {
+func (b *borrowing) end(what string, priority int, l PermitReply) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.running--
-	if l.Due == 0 {
+	if l.AvailableIn == 0 {
 		return 0
 	}
 	now := b.svc.Now()
@@ -150,8 +150,8 @@
 		b.denials[what] = d
 	}
 	d.at = now
-	d.due = l.Due
-	d.gap = l.Gap
+	d.due = l.AvailableIn
+	d.gap = l.Interval
 	d.priority = priority
 	return d.refuse(now)
 }
@@ -173,9 +173,9 @@
 		return due
 	}
 	wait := min(borrowWait, j.end.Sub(g.svc.Now()))
-	due = g.borrows.end(what, j.priority, g.source.Borrow(ctx, ids, each, j.priority, wait))
+	due = g.borrows.end(what, j.priority, g.source.RequestPermits(ctx, ids, each, j.priority, wait))
 	g.metrics.Counter("borrowed", metrics.Label{Name: "lent", Value: yesNo(due == 0)}).Inc(1)
-	if due > 0 && slices.ContainsFunc(ids, g.permits.May) {
+	if due > 0 && slices.ContainsFunc(ids, g.permits.MayCall) {
 		return 0
 	}
 	return due
@@ -183,12 +183,12 @@
 
 // scarce returns the endpoints of a service that lack nothing but a permit.
 func (g *Gateway) scarce(service string, tried map[string]bool) []string {
-	if !g.permits.Any() {
+	if !g.permits.HasLimits() {
 		return nil
 	}
 	var ids []string
 	for _, e := range g.source.Endpoints(service) {
-		if !tried[e.ID] && g.rests.Left(e.ID) == 0 && !g.permits.May(e.ID) {
+		if !tried[e.ID] && g.rests.Remaining(e.ID) == 0 && !g.permits.MayCall(e.ID) {
 			ids = append(ids, e.ID)
 		}
 	}
@@ -208,7 +208,7 @@
 // borrowPath asks for the permits that a path lacks where there is no other path. It
 // reports whether to choose again.
 func (s *streamRun) borrowPath(ctx context.Context) bool {
-	if !s.g.permits.Any() || s.borrowed >= maxBorrows {
+	if !s.g.permits.HasLimits() || s.borrowed >= maxBorrows {
 		return false
 	}
 	ids, each := s.lacking()
@@ -234,9 +234,9 @@
 		}
 		return s.g.scarce(s.j.service.Name, tried), false
 	}
-	path := s.pathOver(func(id string) bool { return s.g.rests.Left(id) == 0 && !s.refused[id] })
+	path := s.pathOver(func(id string) bool { return s.g.rests.Remaining(id) == 0 && !s.refused[id] })
 	for _, p := range path {
-		if !s.g.permits.May(p.ID) {
+		if !s.g.permits.MayCall(p.ID) {
 			ids = append(ids, p.ID)
 		}
 	}
@@ -244,7 +244,7 @@
 }
 
 // idsOf returns the endpoints of a path.
-func idsOf(path []fleet.Part) []string {
+func idsOf(path []fleet.Stage) []string {
 	ids := make([]string, 0, len(path))
 	for _, p := range path {
 		ids = append(ids, p.ID)
@@ -254,7 +254,7 @@
 
 // takeRepath takes the permits that an order to a stream's first endpoint needs, and those
 // of endpoints that come new into its path: the others have the stream already.
-func (s *streamRun) takeRepath(path []fleet.Part) bool {
+func (s *streamRun) takeRepath(path []fleet.Stage) bool {
 	ids := []string{s.path[0].ID}
 	had := map[string]bool{}
 	for _, p := range s.path {
@@ -265,5 +265,5 @@
 			ids = append(ids, p.ID)
 		}
 	}
-	return s.g.permits.Take(ids...)
+	return s.g.permits.TryAcquire(ids...)
 }
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -14,17 +14,17 @@
 	. "github.com/onsi/gomega"
 )
 
-func limited(perSecond float64) fleet.Word {
-	return fleet.Word{Limit: fleet.Limit{Says: fleet.LimitNamed, PerSecond: perSecond}}
+func limited(perSecond float64) fleet.Notice {
+	return fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: perSecond}}
 }
 
 // limiting answers well, and endpoints name a limit in their answers.
 func limiting(ids ...string) func(int, *Call) (*Answer, error) {
 	return func(_ int, c *Call) (*Answer, error) {
 		a := good(c)
-		a.Says = fleet.Word{Limit: fleet.Limit{Says: fleet.LimitNone}}
+		a.Notice = fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitNone}}
 		if slices.Contains(ids, c.ID) {
-			a.Says = limited(8)
+			a.Notice = limited(8)
 		}
 		return a, nil
 	}
@@ -39,11 +39,11 @@
 
 // grant has this host hold a permit for each of the endpoints.
 func (b *bench) grant(ids ...string) {
-	list := permit.Table{}
+	list := permit.Counts{}
 	for _, id := range ids {
-		list[permit.Key(id)]++
+		list[permit.EndpointKey(id)]++
 	}
-	b.gateway.permits.Grant(0, list, b.clock.Now().Add(permit.Valid))
+	b.gateway.permits.AddPermits(0, list, b.clock.Now().Add(permit.Lifetime))
 }
 
 // lendWhatIsAsked has the leader lend all that is asked for.
@@ -121,7 +121,7 @@
 			b.source.lend = nil
 			b.grant("x")
 			Expect(b.serve("stream").refusal).NotTo(BeNil())
-			Expect(b.gateway.permits.May("x")).To(BeTrue(), "a permit of half a path isn't used up")
+			Expect(b.gateway.permits.MayCall("x")).To(BeTrue(), "a permit of half a path isn't used up")
 		})
 	})
 
@@ -233,35 +233,35 @@
 					return good(c), nil
 				}
 				a := refusedBy(c.Path[1].Address)
-				a.Says = says
+				a.Notice = says
 				return a, nil
 			}
 			b.serve("stream")
 			path := b.backend.sent()[0].Path
 			for _, p := range path {
-				Expect(b.gateway.permits.Limited(p.ID)).To(BeTrue())
+				Expect(b.gateway.permits.HasLimit(p.ID)).To(BeTrue())
 			}
-			b.gateway.permits.Told(1, b.gateway.permits.Words())
+			b.gateway.permits.Acknowledge(1, b.gateway.permits.PendingReports())
 			b.clock.Advance(time.Second)
-			b.gateway.hearLimits(&job{service: &fleet.Service{Name: "llm"}}, &Call{ID: path[0].ID}, path[1].ID, fleet.Limit{Says: fleet.LimitNone}, b.clock.Now())
-			Expect(b.gateway.permits.Words()).To(BeEmpty())
+			b.gateway.hearLimits(&job{service: &fleet.Service{Name: "llm"}}, &Call{ID: path[0].ID}, path[1].ID, fleet.Limit{Status: fleet.LimitNone}, b.clock.Now())
+			Expect(b.gateway.permits.PendingReports()).To(BeEmpty())
 		})
 	})
 
 	It("isn't the one that another incarnation's answer is about", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(_ int, c *Call) (*Answer, error) {
-				return &Answer{Status: 421, Misdirected: true, Says: limited(8), Body: http.NoBody}, nil
+				return &Answer{Status: 421, Misdirected: true, Notice: limited(8), Body: http.NoBody}, nil
 			}
 			b.serve("safe")
-			Expect(b.gateway.permits.Any()).To(BeFalse())
+			Expect(b.gateway.permits.HasLimits()).To(BeFalse())
 		})
 	})
 
 	It("is heard in answers of failures, to questions, and in those that turn a path away", func() {
 		for _, a := range []*Answer{whole(500, "no"), refusedBy(""), {Status: 200, Body: http.NoBody}} {
 			withGateway(func(b *bench) {
-				a.Says = limited(8)
+				a.Notice = limited(8)
 				b.backend.answer = func(n int, c *Call) (*Answer, error) {
 					if n == 1 {
 						return a, nil
@@ -269,19 +269,19 @@
 					return good(c), nil
 				}
 				b.serve("unsafe")
-				Expect(b.gateway.permits.Limited(b.backend.sent()[0].ID)).To(BeTrue())
+				Expect(b.gateway.permits.HasLimit(b.backend.sent()[0].ID)).To(BeTrue())
 			})
 		}
 		withGateway(func(b *bench) {
 			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return nil, &SendError{Sent: true, Cause: errReset, Says: limited(8)}
+				return nil, &SendError{Sent: true, Cause: errReset, Notice: limited(8)}
 			}
 			b.serve("unsafe")
-			Expect(b.gateway.permits.Limited(b.backend.sent()[0].ID)).To(BeTrue())
+			Expect(b.gateway.permits.HasLimit(b.backend.sent()[0].ID)).To(BeTrue())
 		})
 		withGateway(func(b *bench) {
 			b.gateway.asked("llm", "x", limited(8), b.clock.Now())
-			Expect(b.gateway.permits.Limited("x")).To(BeTrue())
+			Expect(b.gateway.permits.HasLimit("x")).To(BeTrue())
 		})
 	})
 
@@ -290,12 +290,12 @@
 			at := b.gateway.borrows
 			_, ok := at.begin("e", 5)
 			Expect(ok).To(BeTrue())
-			at.end("e", 5, Loan{Due: time.Second, Gap: time.Second})
+			at.end("e", 5, PermitReply{AvailableIn: time.Second, Interval: time.Second})
 			_, ok = at.begin("e", 5)
 			Expect(ok).To(BeFalse())
 			_, ok = at.begin("e", 4)
 			Expect(ok).To(BeTrue())
-			at.end("e", 4, Loan{})
+			at.end("e", 4, PermitReply{})
 			b.clock.Advance(denialKept)
 			for range borrowsAtOnce {
 				_, ok = at.begin("e", 5)
@@ -313,8 +313,8 @@
 			b.backend.answer = limiting("p")
 			b.serve("safe")
 			b.source.lend = func([]string, bool, int) time.Duration {
-				b.gateway.permits.Told(1, b.gateway.permits.Words())
-				b.gateway.permits.Install(1, 2, false, []permit.Change{{Key: permit.Key("p"), Over: true}})
+				b.gateway.permits.Acknowledge(1, b.gateway.permits.PendingReports())
+				b.gateway.permits.ApplyChanges(1, 2, false, []permit.LimitChange{{Key: permit.EndpointKey("p"), Removed: true}})
 				return time.Second
 			}
 			Expect(b.serve("safe").status).To(Equal(200))
@@ -322,7 +322,7 @@
 	})
 
 	It("may rest or leave at once with it, and then no permit helps", func() {
-		for _, word := range []fleet.Word{{Rest: rested}, {Leaving: true}} {
+		for _, word := range []fleet.Notice{{Backoff: rested}, {Leaving: true}} {
 			withGateway(func(b *bench) {
 				b.name("p")
 				b.gateway.hear("p", word)
@@ -348,23 +348,23 @@
 				return nil, &SendError{Sent: true, Cause: ctx.Err()}
 			}
 			b.gateway.Serve(ctx, b.request("safe"), &fakeOutput{})
-			Expect(b.gateway.permits.May("p")).To(BeFalse())
+			Expect(b.gateway.permits.MayCall("p")).To(BeFalse())
 		})
 	})
 
 	It("has places promised one after the other to who is refused", func() {
 		withGateway(func(b *bench) {
 			at := b.gateway.borrows
-			loan := Loan{Due: 500 * time.Millisecond, Gap: time.Second}
+			loan := PermitReply{AvailableIn: 500 * time.Millisecond, Interval: time.Second}
 			_, _ = at.begin("e", 5)
 			Expect(at.end("e", 5, loan)).To(Equal(500 * time.Millisecond))
 			for n := range 3 {
 				due, _ := at.begin("e", 5)
-				Expect(due).To(Equal(loan.Due + time.Duration(n+1)*loan.Gap))
+				Expect(due).To(Equal(loan.AvailableIn + time.Duration(n+1)*loan.Interval))
 			}
 			b.clock.Advance(10 * time.Second)
 			_, _ = at.begin("e", 5)
-			Expect(at.end("e", 5, loan)).To(Equal(loan.Due), "these had their places")
+			Expect(at.end("e", 5, loan)).To(Equal(loan.AvailableIn), "these had their places")
 		})
 	})
 })
--- a/pkg/gateway/pipes.go
+++ b/pkg/gateway/pipes.go
@@ -42,7 +42,7 @@
 
 // take takes what a path's crossings need of the pipes, all or nothing, and
 // reports whether there was enough.
-func (p *pipes) take(e *fleet.Engine, path []fleet.Part, tokens float64, hosts int) bool {
+func (p *pipes) take(e *fleet.Engine, path []fleet.Stage, tokens float64, hosts int) bool {
 	if e.PipeMbps <= 0 || e.ActivationB <= 0 {
 		return true
 	}
@@ -84,7 +84,7 @@
 }
 
 // crossings counts a path's changes of failure domain, by pair.
-func crossings(path []fleet.Part) map[fleet.DomainPair]int {
+func crossings(path []fleet.Stage) map[fleet.DomainPair]int {
 	list := map[fleet.DomainPair]int{}
 	for i := 1; i < len(path); i++ {
 		a, b := path[i-1].Domain, path[i].Domain
--- a/pkg/gateway/pipes_test.go
+++ b/pkg/gateway/pipes_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/gomega"
 )
 
-func across(domains ...string) []fleet.Part {
-	var path []fleet.Part
+func across(domains ...string) []fleet.Stage {
+	var path []fleet.Stage
 	for _, d := range domains {
-		path = append(path, fleet.Part{Domain: d})
+		path = append(path, fleet.Stage{Domain: d})
 	}
 	return path
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -14,7 +14,7 @@
 )
 
 // Quarantine returns what this host knows of requests that end endpoints.
-func (g *Gateway) Quarantine() *quarantine.Host {
+func (g *Gateway) Quarantine() *quarantine.Enforcer {
 	return g.held
 }
 
@@ -25,7 +25,7 @@
 	if g.held.Idle() {
 		return nil
 	}
-	left := g.held.Held(j.print())
+	left := g.held.HoldRemaining(j.print())
 	if left <= 0 {
 		return nil
 	}
@@ -37,14 +37,14 @@
 func (g *Gateway) fell(j *job, endpoint string, early bool, began time.Time) {
 	after := g.svc.Now().Sub(began)
 	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(early)}).Inc(1)
-	if g.held.Ended(quarantine.End{
-		Fingerprint: j.print(),
-		Endpoint:    fleet.LoadKey(endpoint),
-		Early:       early,
-		After:       after,
+	if g.held.RecordCrash(quarantine.Crash{
+		Fingerprint:    j.print(),
+		Endpoint:       fleet.LoadKey(endpoint),
+		BeforeResponse: early,
+		After:          after,
 	}) {
 		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.print().String()), eventlog.Str("by", "this host"),
-			eventlog.Str("request", j.req.ID), eventlog.Ms("for_ms", quarantine.OwnHold))
+			eventlog.Str("request", j.req.ID), eventlog.Ms("for_ms", quarantine.LocalHold))
 	}
 }
 
@@ -58,7 +58,7 @@
 // stood notes that an endpoint answered a request: it doesn't end whatever runs it.
 func (g *Gateway) stood(j *job) {
 	if !g.held.Idle() {
-		g.held.Served(j.print())
+		g.held.RecordServed(j.print())
 	}
 }
 
--- a/pkg/gateway/repath.go
+++ b/pkg/gateway/repath.go
@@ -22,12 +22,12 @@
 		return nil
 	}
 	s.shun(s.path, address)
-	rests := s.g.rests.Left(s.path[0].ID) > 0 // it can't be told of another path
+	rests := s.g.rests.Remaining(s.path[0].ID) > 0 // it can't be told of another path
 	for range repathTries {
 		path := s.pathAround(s.shunned)
 		if rests {
 			path = nil
-		} else if path == nil || pathing.Crossings(path) > pathing.Crossings(s.path) {
+		} else if path == nil || pathing.DomainCrossings(path) > pathing.DomainCrossings(s.path) {
 			path = s.pathFrom(&s.path[0])
 		}
 		if s.betterElsewhere(path) {
@@ -48,15 +48,15 @@
 const repathTimeout = 200 * time.Millisecond
 
 // shunned reports whether a part failed this request.
-func (s *streamRun) shunned(p fleet.Part) bool {
+func (s *streamRun) shunned(p fleet.Stage) bool {
 	return s.avoid[p.ID]
 }
 
 // follow gives the stream a path around the part at address, and reports
 // whether the first endpoint took it.
-func (s *streamRun) follow(ctx context.Context, path []fleet.Part, address string) bool {
+func (s *streamRun) follow(ctx context.Context, path []fleet.Stage, address string) bool {
 	first := s.path[0]
-	if s.g.rests.Left(first.ID) > 0 || !s.takeRepath(path) {
+	if s.g.rests.Remaining(first.ID) > 0 || !s.takeRepath(path) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, repathTimeout)
@@ -74,25 +74,25 @@
 		Address: first.Address,
 		Path:    path,
 	}
-	var away *fleet.TurnedAway
+	var away *fleet.RejectedError
 	if errors.As(err, &away) {
 		s.g.hearAnswer(s.j, call, &Answer{
-			Says: away.Says,
+			Notice: away.Notice,
 		}, sent)
 	}
 	var fault *RepathError
 	if errors.As(err, &fault) {
 		s.g.hearAnswer(s.j, call, &Answer{
-			Fault: fault.At,
-			Says:  fault.Says,
+			FaultAddress: fault.Address,
+			Notice:       fault.Notice,
 		}, sent)
-		s.shun(path, fault.At)
+		s.shun(path, fault.Address)
 	}
 	return false
 }
 
 // shun keeps this request off the part of a path at address.
-func (s *streamRun) shun(path []fleet.Part, address string) {
+func (s *streamRun) shun(path []fleet.Stage, address string) {
 	for _, p := range path {
 		if p.Address == address {
 			s.avoid[p.ID] = true
@@ -101,7 +101,7 @@
 }
 
 // pathFrom returns a path that begins with a part that stands, or any if nil.
-func (s *streamRun) pathFrom(first *fleet.Part) []fleet.Part {
+func (s *streamRun) pathFrom(first *fleet.Stage) []fleet.Stage {
 	demand := s.demand()
 	if first != nil {
 		part := *first
@@ -110,7 +110,7 @@
 	path := pathing.Choose(s.j.service.Engine, s.stages(func(e *fleet.Endpoint) bool {
 		return s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	}), demand, s.jitter)
-	if path == nil || !pathing.Whole(s.j.service.Engine, path) {
+	if path == nil || !pathing.CoversAllLayers(s.j.service.Engine, path) {
 		return nil
 	}
 	return path
@@ -118,12 +118,12 @@
 
 // betterElsewhere reports whether a stream should be sent anew rather than
 // follow path.
-func (s *streamRun) betterElsewhere(path []fleet.Part) bool {
-	if !s.j.route.Resumable || s.ran+1 >= s.j.route.MaxAttempts || path != nil && pathing.Crossings(path) == 0 {
+func (s *streamRun) betterElsewhere(path []fleet.Stage) bool {
+	if !s.j.route.Resumable || s.ran+1 >= s.j.route.MaxAttempts || path != nil && pathing.DomainCrossings(path) == 0 {
 		return false
 	}
 	other := s.pathFrom(nil)
-	if other == nil || path != nil && pathing.Crossings(other) >= pathing.Crossings(path) {
+	if other == nil || path != nil && pathing.DomainCrossings(other) >= pathing.DomainCrossings(path) {
 		return false
 	}
 	return s.payAhead()
@@ -133,18 +133,18 @@
 // parts that are bad, and all else as it stands: an endpoint that comes new into
 // a path reads every token so far, and one that stays keeps its memory. It
 // returns nil if no part is bad, or their layers can't be covered.
-func (s *streamRun) pathAround(bad func(p fleet.Part) bool) []fleet.Part {
+func (s *streamRun) pathAround(bad func(p fleet.Stage) bool) []fleet.Stage {
 	kept, holes := split(s.path, bad)
 	if len(holes) == 0 {
 		return nil
 	}
-	stages := make([]pathing.Stage, 0, len(kept))
+	stages := make([]pathing.Candidate, 0, len(kept))
 	names := map[string]bool{
 		s.path[0].ID: true,
 	}
 	for _, p := range kept {
 		names[p.ID] = true
-		stages = append(stages, pathing.Stage{
+		stages = append(stages, pathing.Candidate{
 			ID:      p.ID,
 			Address: p.Address,
 			Domain:  p.Domain,
@@ -162,7 +162,7 @@
 	demand := s.demand()
 	demand.First = &s.path[0]
 	path := pathing.Choose(s.j.service.Engine, stages, demand, s.jitter)
-	if path == nil || !pathing.Whole(s.j.service.Engine, path) {
+	if path == nil || !pathing.CoversAllLayers(s.j.service.Engine, path) {
 		return nil
 	}
 	return path
@@ -170,7 +170,7 @@
 
 // split returns the parts of a path after the first that are good, and the
 // layers of those that are bad, neighbours joined.
-func split(path []fleet.Part, bad func(p fleet.Part) bool) (kept []fleet.Part, holes []fleet.Range) {
+func split(path []fleet.Stage, bad func(p fleet.Stage) bool) (kept []fleet.Stage, holes []fleet.Range) {
 	for _, p := range path[1:] {
 		n := len(holes)
 		switch {
@@ -187,12 +187,12 @@
 
 // clip limits an endpoint to the first hole that it holds layers of: a path may
 // name it once only.
-func clip(st pathing.Stage, holes []fleet.Range) (pathing.Stage, bool) {
+func clip(st pathing.Candidate, holes []fleet.Range) (pathing.Candidate, bool) {
 	for _, h := range holes {
 		from := max(st.Layers.From, h.From)
 		to := min(st.Layers.To, h.To)
 		if from < to {
-			st.Held = st.Layers.Len()
+			st.LayersHeld = st.Layers.Len()
 			st.Layers = fleet.Range{
 				From: from,
 				To:   to,
--- a/pkg/gateway/repeats.go
+++ b/pkg/gateway/repeats.go
@@ -20,7 +20,7 @@
 // repeats is this host's share of the budget of repeats: a token bucket whose
 // size and refill together stay under the budget in every window.
 type repeats struct {
-	budget Budget
+	budget RetryBudget
 	svc    timer.Service
 
 	mu     sync.Mutex
@@ -28,7 +28,7 @@
 	at     time.Time
 }
 
-func newRepeats(budget Budget, svc timer.Service) *repeats {
+func newRepeats(budget RetryBudget, svc timer.Service) *repeats {
 	return &repeats{
 		budget: budget,
 		svc:    svc,
--- a/pkg/gateway/stall.go
+++ b/pkg/gateway/stall.go
@@ -62,11 +62,11 @@
 	s := w.s
 	first := s.path[0]
 	q := s.g.asker.ask(ctx, s.j.service.Name, first.ID, first.Address)
-	if q == nil && s.g.permits.Limited(first.ID) && s.g.source.Borrow(ctx, []string{first.ID}, true, mostUrgent, questionWait).Due == 0 {
+	if q == nil && s.g.permits.HasLimit(first.ID) && s.g.source.RequestPermits(ctx, []string{first.ID}, true, mostUrgent, questionWait).AvailableIn == 0 {
 		q = s.g.asker.ask(ctx, s.j.service.Name, first.ID, first.Address)
 	}
 	if q == nil {
-		w.wait(max(stallWait, min(restAsk, s.g.rests.Left(first.ID))))
+		w.wait(max(stallWait, min(restAsk, s.g.rests.Remaining(first.ID))))
 		return nil
 	}
 	w.asks++
@@ -75,7 +75,7 @@
 		return nil
 	case q.lost():
 		s.avoid[first.ID] = true
-		s.g.tracker.Avoid(first.ID, "silent: "+q.err.Error())
+		s.g.tracker.RecordFailure(first.ID, "silent: "+q.err.Error())
 		s.g.attemptFailed(s.j, first.ID, "silent")
 		s.g.fell(s.j, first.ID, !s.moved, s.started)
 		return errors.Wrap(q.err, "the first endpoint is silent")
@@ -83,7 +83,7 @@
 		w.wait(askAgain)
 		return nil
 	}
-	if at, ok := q.found.At[s.j.req.ID]; ok {
+	if at, ok := q.found.Addresses[s.j.req.ID]; ok {
 		s.avoidAt(at, "stalled")
 		s.g.log.Event(eventlog.StreamStalled, eventlog.Str("request", s.j.req.ID), eventlog.Str("at", at), eventlog.Str("after", s.last))
 		if err := s.repath(ctx, at); err != nil {
@@ -98,7 +98,7 @@
 func (s *streamRun) avoidAt(address, why string) {
 	for _, p := range s.path {
 		if p.Address == address {
-			s.g.tracker.Avoid(p.ID, why)
+			s.g.tracker.RecordFailure(p.ID, why)
 		}
 	}
 }
--- a/pkg/gateway/stay.go
+++ b/pkg/gateway/stay.go
@@ -102,7 +102,7 @@
 // mayStay refuses a stream that would likely be cut off by the end of this host,
 // which was told to stop: nothing was sent, and others have the time.
 func (s *streamRun) mayStay() *failure.Error {
-	left, stops := s.g.source.StopsIn()
+	left, stops := s.g.source.ShutdownIn()
 	if !stops || s.j.service.Engine == nil || s.g.paces.expect(s.demand().Answer) <= left {
 		return nil
 	}
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -48,7 +48,7 @@
 	lastFrom string          // where the caller wanted to resume
 	avoid    map[string]bool // failed this request
 	refused  map[string]bool // had no room for it just now
-	path     []fleet.Part
+	path     []fleet.Stage
 	ends     []func()
 	// unsent says that the present send reached no endpoint.
 	unsent bool
@@ -89,7 +89,7 @@
 		s.giveUp(e)
 		return
 	}
-	g.repeats.earn(g.source.Hosts())
+	g.repeats.earn(g.source.HostCount())
 	defer s.release()
 	s.queue(ctx)
 	for {
@@ -126,13 +126,13 @@
 // streams come all at once. A caller that leaves meanwhile is noticed by what follows.
 func (s *streamRun) queue(ctx context.Context) {
 	if s.lastFrom == "" {
-		s.g.crowd.Begin()
+		s.g.crowd.NoteNew()
 		return
 	}
-	if _, stops := s.g.source.StopsIn(); stops {
+	if _, stops := s.g.source.ShutdownIn(); stops {
 		return // each stream must end soon here
 	}
-	s.held = s.g.crowd.Resume(s.j.req.Received)
+	s.held = s.g.crowd.ResumeDelay(s.j.req.Received)
 	if s.held > 0 {
 		_ = timer.Sleep(ctx, s.g.svc, s.held)
 	}
@@ -163,13 +163,13 @@
 	}
 	paid := s.paid
 	s.paid = false
-	return paid || notSent(cause) || s.g.repeats.spend(s.g.source.Hosts())
+	return paid || notSent(cause) || s.g.repeats.spend(s.g.source.HostCount())
 }
 
 // payAhead takes a repeat from the budget before a stream that still runs is
 // given up for another send; without one it is better left running.
 func (s *streamRun) payAhead() bool {
-	s.paid = s.paid || s.sends < maxStreamSends && s.g.repeats.spend(s.g.source.Hosts())
+	s.paid = s.paid || s.sends < maxStreamSends && s.g.repeats.spend(s.g.source.HostCount())
 	return s.paid
 }
 
@@ -197,7 +197,7 @@
 		ID:         s.path[0].ID,
 		Address:    s.path[0].Address,
 		Account:    s.j.account,
-		Wait:       s.j.end.Sub(s.started),
+		Timeout:    s.j.end.Sub(s.started),
 		LastEvent:  s.resumeFrom(),
 		Priority:   s.j.priority,
 		Repeatable: s.j.route.Resumable,
@@ -272,15 +272,15 @@
 	if a.NotRun || a.Misdirected {
 		return notRun, s.blame(a), true
 	}
-	if a.Status != http.StatusOK || !a.Sealed {
+	if a.Status != http.StatusOK || !a.Verified {
 		s.ran++
-		s.g.tracker.Avoid(s.path[0].ID, "status "+strconv.Itoa(a.Status))
+		s.g.tracker.RecordFailure(s.path[0].ID, "status "+strconv.Itoa(a.Status))
 		return broken, errors.Errorf("endpoint %s answered %d", s.path[0].ID, a.Status), true
 	}
 	if !s.begun {
 		s.begun = true
 		s.g.returns.note(s.j.service.Name, false)
-		s.j.out.Begin(a.Status, a.Header)
+		s.j.out.BeginStream(a.Status, a.Header)
 	}
 	return finished, nil, false
 }
@@ -289,13 +289,13 @@
 func (s *streamRun) blame(a *Answer) error {
 	at := s.path[0]
 	for _, p := range s.path {
-		if p.Address == a.Fault {
+		if p.Address == a.FaultAddress {
 			at = p
 		}
 	}
 	why := "status " + strconv.Itoa(a.Status)
 	s.refused[at.ID] = true
-	s.g.tracker.Avoid(at.ID, why)
+	s.g.tracker.RecordFailure(at.ID, why)
 	s.g.attemptFailed(s.j, at.ID, why)
 	return errors.Errorf("endpoint %s: %s", at.ID, why)
 }
@@ -323,7 +323,7 @@
 	if ctx.Err() != nil {
 		return left, ctx.Err()
 	}
-	s.g.tracker.Avoid(s.path[0].ID, err.Error())
+	s.g.tracker.RecordFailure(s.path[0].ID, err.Error())
 	s.avoid[s.path[0].ID] = true
 	s.g.attemptFailed(s.j, s.path[0].ID, err.Error())
 	if notSent(err) {
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -41,7 +41,7 @@
 		withGateway(func(b *bench) {
 			b.backend.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
-					return &Answer{Status: 200, Sealed: true, Body: brokenBody{Reader: strings.NewReader(events(1, 3) + "id: 4\nda")}}, nil
+					return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 3) + "id: 4\nda")}}, nil
 				}
 				Expect(c.LastEvent).To(Equal("3"))
 				return whole(200, events(4, 6)), nil
@@ -55,7 +55,7 @@
 	It("is broken off, not ended, if it can't be continued", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return &Answer{Status: 200, Sealed: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
+				return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
 			}
 			out := b.serve("stream")
 			Expect(out.aborted).To(BeTrue())
@@ -140,7 +140,7 @@
 				b.backend.mu.Lock()
 				b.backend.stalled = map[string]string{"r1": c.Path[1].Address}
 				b.backend.mu.Unlock()
-				return &Answer{Status: 200, Sealed: true, Body: hang(events(1, 1))}, nil
+				return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			_, done := b.stream(ctx)
@@ -162,7 +162,7 @@
 			b.backend.stallErr = errReset
 			b.backend.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
-					return &Answer{Status: 200, Sealed: true, Body: hang(events(1, 1))}, nil
+					return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
 				}
 				Expect(c.LastEvent).To(Equal("1"))
 				return whole(200, events(2, 3)), nil
@@ -188,7 +188,7 @@
 			first := hang(events(1, 1))
 			b.backend.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
-					return &Answer{Status: 200, Sealed: true, Body: first}, nil
+					return &Answer{Status: 200, Verified: true, Body: first}, nil
 				}
 				Expect(c.LastEvent).To(Equal("1"))
 				return whole(200, events(2, 3)), nil
@@ -230,7 +230,7 @@
 			b.backend.answer = func(n int, c *Call) (*Answer, error) {
 				switch {
 				case n == 1:
-					return &Answer{Status: 200, Sealed: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
+					return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
 				case len(room) == 0:
 					return refusedBy(c.Address), nil
 				}
@@ -257,7 +257,7 @@
 	It("leaves a part that leaves", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return &Answer{Status: 200, Sealed: true, Body: hang(events(1, 1))}, nil
+				return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			_, done := b.stream(ctx)
@@ -310,7 +310,7 @@
 				// The last part is slow now, and others hold its layers: a path
 				// chosen anew would leave it.
 				slow := engineEndpoint("z", 3, 4)
-				slow.Slow = 20
+				slow.Slowdown = 20
 				b.source.change(func() {
 					b.source.endpoints["llm"] = []fleet.Endpoint{
 						engineEndpoint("x", 0, 1), engineEndpoint("y", 1, 3), slow,
@@ -335,7 +335,7 @@
 	It("offers another path at once where one was refused for an endpoint", func() {
 		withGateway(func(b *bench) {
 			slow := engineEndpoint("z2", 2, 4)
-			slow.Slow = 20
+			slow.Slowdown = 20
 			b.source.endpoints["llm"] = []fleet.Endpoint{
 				engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4), slow,
 			}
@@ -394,7 +394,7 @@
 				out := &fakeOutput{}
 				req := b.request("stream")
 				req.Received = time.Now()
-				req.AnswerHint = c.hint
+				req.AnswerTokensHint = c.hint
 				b.gateway.Serve(context.Background(), req, out)
 				Expect(out.refusal == nil).To(Equal(c.taken))
 				if !c.taken {
--- a/pkg/gateway/tracker.go
+++ b/pkg/gateway/tracker.go
@@ -105,8 +105,8 @@
 	return list
 }
 
-// Avoid notes a failure of an endpoint, by which it gets no work for a while.
-func (t *Tracker) Avoid(id, why string) {
+// RecordFailure notes a failure of an endpoint, by which it gets no work for a while.
+func (t *Tracker) RecordFailure(id, why string) {
 	t.mu.Lock()
 	r := t.row(id)
 	now := t.svc.Now()
@@ -138,8 +138,8 @@
 	return list
 }
 
-// Good notes an answer of an endpoint that took d.
-func (t *Tracker) Good(id string, d time.Duration) {
+// RecordSuccess notes an answer of an endpoint that took d.
+func (t *Tracker) RecordSuccess(id string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.row(id)
--- a/pkg/gateway/types.go
+++ b/pkg/gateway/types.go
@@ -23,15 +23,15 @@
 	Body   []byte
 	// Key names the client account; empty if none was sent.
 	Key string
-	// Wait is how long the caller waits, counted from Received; 0 if unknown.
-	Wait     time.Duration
+	// Timeout is how long the caller waits, counted from Received; 0 if unknown.
+	Timeout  time.Duration
 	Received time.Time
 	// LastEvent is the event after which the caller resumes a stream.
 	LastEvent string
-	// Prompt and MaxAnswer are tokens; AnswerHint is the caller's estimate.
-	Prompt     int
-	MaxAnswer  int
-	AnswerHint int
+	// PromptTokens and MaxAnswer are tokens; AnswerHint is the caller's estimate.
+	PromptTokens     int
+	MaxAnswerTokens  int
+	AnswerTokensHint int
 }
 
 // Call is one request as it is sent to an endpoint.
@@ -40,8 +40,8 @@
 	ID        string // incarnation expected at Address
 	Address   string
 	Account   string
-	Wait      time.Duration
-	Path      []fleet.Part
+	Timeout   time.Duration
+	Path      []fleet.Stage
 	LastEvent string
 	Priority  int
 	// Repeatable says that the request may run more than once.
@@ -57,12 +57,12 @@
 	NotRun bool
 	// Misdirected says that another endpoint, or other layers, are there.
 	Misdirected bool
-	// Fault is the address of the endpoint on the path that is at fault.
-	Fault string
-	// Sealed says that the answer is the endpoint's own and not damaged.
-	Sealed bool
-	// Says is of the endpoint at fault, or of who gave the answer if none is named.
-	Says fleet.Word
+	// FaultAddress is the address of the endpoint on the path that is at fault.
+	FaultAddress string
+	// Verified says that the answer is the endpoint's own and not damaged.
+	Verified bool
+	// Notice is of the endpoint at fault, or of who gave the answer if none is named.
+	Notice fleet.Notice
 }
 
 // SendError says that no answer came.
@@ -70,8 +70,8 @@
 	// Sent says that the request may have reached the endpoint.
 	Sent  bool
 	Cause error
-	// Says is what the endpoint says of itself in an answer that is no good.
-	Says fleet.Word
+	// Notice is what the endpoint says of itself in an answer that is no good.
+	Notice fleet.Notice
 }
 
 // Error implements error.
@@ -90,43 +90,43 @@
 // RepathError says that a new path wasn't taken because of one endpoint on it:
 // it isn't there, or has no room.
 type RepathError struct {
-	At string // the endpoint's address
-	// Says is of that endpoint, or of the first of the path.
-	Says fleet.Word
+	Address string // the endpoint's address
+	// Notice is of that endpoint, or of the first of the path.
+	Notice fleet.Notice
 }
 
 // Error implements error.
 func (e *RepathError) Error() string {
-	return "the endpoint at " + e.At + " isn't there or has no room"
+	return "the endpoint at " + e.Address + " isn't there or has no room"
 }
 
-// Standstill is what the first endpoint of paths tells of requests that stand still.
-type Standstill struct {
-	At   map[string]string // address by request
-	Says fleet.Word
+// StallReport is what the first endpoint of paths tells of requests that stand still.
+type StallReport struct {
+	Addresses map[string]string // address by request
+	Notice    fleet.Notice
 }
 
-// Backend reaches endpoints.
-type Backend interface {
+// EndpointClient reaches endpoints.
+type EndpointClient interface {
 	// Send sends a call; its error is a *SendError.
 	Send(ctx context.Context, c *Call) (*Answer, error)
-	// Stalled asks the first endpoint of a path which requests stand still. What
+	// QueryStalls asks the first endpoint of a path which requests stand still. What
 	// it says of itself is told with any answer, also beside an error.
-	Stalled(ctx context.Context, address string) (Standstill, error)
+	QueryStalls(ctx context.Context, address string) (StallReport, error)
 	// Repath gives a request that is under way another path with the same
 	// first part. Its error is a *RepathError if it names an endpoint, or a
 	// *fleet.TurnedAway.
-	Repath(ctx context.Context, address, requestID string, path []fleet.Part) error
+	Repath(ctx context.Context, address, requestID string, path []fleet.Stage) error
 }
 
 // Output takes the answer to a caller.
 type Output interface {
 	// Refuse writes a failure of our own.
 	Refuse(e *failure.Error)
-	// Whole writes an endpoint's whole answer.
-	Whole(status int, header http.Header, body []byte)
-	// Begin writes the head of a stream.
-	Begin(status int, header http.Header)
+	// WriteAnswer writes an endpoint's whole answer.
+	WriteAnswer(status int, header http.Header, body []byte)
+	// BeginStream writes the head of a stream.
+	BeginStream(status int, header http.Header)
 	// Event passes bytes on at once.
 	Event(data []byte) error
 	// Abort breaks the answer off so that it doesn't look complete.
@@ -153,13 +153,13 @@
 	Endpoints(service string) []fleet.Endpoint
 	// EndpointLeaving reports whether an endpoint is known to leave or gone.
 	EndpointLeaving(id string) bool
-	// Leaves says that an endpoint told this host itself that it leaves.
-	Leaves(id string)
-	// GaveUp reports whether an endpoint is known to have given up some of
+	// MarkLeaving says that an endpoint told this host itself that it leaves.
+	MarkLeaving(id string)
+	// HasReleased reports whether an endpoint is known to have given up some of
 	// layers: it was ordered to hold others.
-	GaveUp(id string, layers fleet.Range) bool
-	// EndpointSlow returns how many times as slow as its kind an endpoint is.
-	EndpointSlow(id string) float64
+	HasReleased(id string, layers fleet.Range) bool
+	// EndpointSlowdown returns how many times as slow as its kind an endpoint is.
+	EndpointSlowdown(id string) float64
 	// Changed returns a channel that is closed when endpoints change.
 	Changed() <-chan struct{}
 	// Settled reports whether every endpoint had time to announce itself
@@ -167,25 +167,25 @@
 	Settled() bool
 	// Confirmed returns a channel that is closed with the next confirmation.
 	Confirmed() <-chan struct{}
-	// OthersLoad returns what the other entry hosts have under way.
-	OthersLoad(id string) Load
-	// StopsIn returns how long this host still works, once it was told to stop.
-	StopsIn() (left time.Duration, stops bool)
-	// Hosts returns how many entry hosts share the work.
-	Hosts() int
-	// Borrow asks the leader for permits, one for each of the endpoints or one for any
+	// PeerLoad returns what the other entry hosts have under way.
+	PeerLoad(id string) Load
+	// ShutdownIn returns how long this host still works, once it was told to stop.
+	ShutdownIn() (left time.Duration, stops bool)
+	// HostCount returns how many entry hosts share the work.
+	HostCount() int
+	// RequestPermits asks the leader for permits, one for each of the endpoints or one for any
 	// of them, and waits so long for it.
-	Borrow(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) Loan
-	// TellLimits has the leader told at once of what this host heard of limits.
-	TellLimits()
+	RequestPermits(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) PermitReply
+	// ReportLimits has the leader told at once of what this host heard of limits.
+	ReportLimits()
 }
 
-// Loan is the leader's answer to a host that borrows.
-type Loan struct {
-	// Due is 0 once the permits are in the host's book, and else when there is one.
-	Due time.Duration
-	// Gap is the time between two permits for this host; 0 if that isn't known.
-	Gap time.Duration
+// PermitReply is the leader's answer to a host that borrows.
+type PermitReply struct {
+	// AvailableIn is 0 once the permits are in the host's book, and else when there is one.
+	AvailableIn time.Duration
+	// Interval is the time between two permits for this host; 0 if that isn't known.
+	Interval time.Duration
 }
 
 // Load is work under way at an endpoint.
@@ -194,8 +194,8 @@
 	Tokens   int
 }
 
-// Budget bounds repeats over all hosts.
-type Budget struct {
+// RetryBudget bounds repeats over all hosts.
+type RetryBudget struct {
 	// Ratio is repeats for each request, Extra those beyond it in a Window.
 	Ratio  float64
 	Extra  float64
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -52,7 +52,7 @@
 		tried:   map[string]bool{},
 		results: make(chan *verdict, maxSends),
 	}
-	g.repeats.earn(g.source.Hosts())
+	g.repeats.earn(g.source.HostCount())
 	grp := group.New(ctx)
 	defer grp.Stop()
 	w.group = grp
@@ -126,7 +126,7 @@
 		return true
 	}
 	if v.err != nil || v.notRun {
-		w.g.tracker.Avoid(v.endpoint.ID, w.why(v))
+		w.g.tracker.RecordFailure(v.endpoint.ID, w.why(v))
 		w.g.attemptFailed(w.j, v.endpoint.ID, w.why(v))
 	}
 	if cut(v.err) {
@@ -207,18 +207,18 @@
 
 // pick chooses the endpoint of the next send, and takes what the send needs.
 func (w *wholeRun) pick(why occasion) (fleet.Endpoint, bool) {
-	fits := func(id string) bool { return !w.tried[id] && (why != besideOther || !w.g.permits.Limited(id)) }
+	fits := func(id string) bool { return !w.tried[id] && (why != besideOther || !w.g.permits.HasLimit(id)) }
 	paid := why == firstSend || why == afterUnsent
 	for {
 		e, ok := w.g.pick(w.j.service.Name, fits)
 		if !ok && w.sends == 0 {
 			e, ok = w.g.lastChoice(w.j.service.Name, w.tried)
 		}
-		paid = paid || ok && w.g.repeats.spend(w.g.source.Hosts())
+		paid = paid || ok && w.g.repeats.spend(w.g.source.HostCount())
 		if !ok || !paid {
 			return e, false
 		}
-		if w.g.permits.Take(e.ID) {
+		if w.g.permits.TryAcquire(e.ID) {
 			return e, true
 		}
 	}
@@ -239,7 +239,7 @@
 func (w *wholeRun) answer(v *verdict) {
 	w.g.stood(w.j)
 	w.g.served(w.j, v.status, v.endpoint.ID, w.sends)
-	w.j.out.Whole(v.status, v.header, v.body)
+	w.j.out.WriteAnswer(v.status, v.header, v.body)
 }
 
 // finish answers when no attempt is left.
@@ -293,12 +293,12 @@
 
 // pick chooses the endpoint that should answer first, of those that may be called now.
 func (g *Gateway) pick(service string, fits func(id string) bool) (fleet.Endpoint, bool) {
-	return g.best(service, func(id string) bool { return fits(id) && g.rests.Left(id) == 0 && g.permits.May(id) })
+	return g.best(service, func(id string) bool { return fits(id) && g.rests.Remaining(id) == 0 && g.permits.MayCall(id) })
 }
 
 // lastChoice chooses one that rests, and counts that it is called in its rest.
 func (g *Gateway) lastChoice(service string, tried map[string]bool) (fleet.Endpoint, bool) {
-	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.rests.May(id) && g.permits.May(id) })
+	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.rests.MayCall(id) && g.permits.MayCall(id) })
 	return e, ok && g.takeLast(e.ID)
 }
 
@@ -330,13 +330,13 @@
 )
 
 func (g *Gateway) score(e *fleet.Endpoint) float64 {
-	load := float64(g.tracker.Load(e.ID).Requests+g.source.OthersLoad(e.ID).Requests) + 1
+	load := float64(g.tracker.Load(e.ID).Requests+g.source.PeerLoad(e.ID).Requests) + 1
 	latency := g.tracker.Latency(e.ID)
 	if latency == 0 {
 		latency = unknownLatency
 	}
 	score := load / float64(max(1, e.Slots)) * latency * (0.9 + 0.2*rand.Float64())
-	if g.permits.Limited(e.ID) {
+	if g.permits.HasLimit(e.ID) {
 		score *= permitScore
 	}
 	if g.tracker.Avoided(e.ID) {
@@ -376,7 +376,7 @@
 		ID:       e.ID,
 		Address:  e.Address,
 		Account:  j.account,
-		Wait:     j.end.Sub(began),
+		Timeout:  j.end.Sub(began),
 		Priority: j.priority,
 	})
 	if err != nil {
@@ -395,13 +395,13 @@
 			Sent:  true,
 			Cause: err,
 		}
-	case !a.Sealed:
+	case !a.Verified:
 		v.err = &SendError{
 			Sent:  true,
 			Cause: errors.New("the answer is damaged"),
 		}
 	default:
-		g.tracker.Good(e.ID, g.svc.Now().Sub(began))
+		g.tracker.RecordSuccess(e.ID, g.svc.Now().Sub(began))
 	}
 	return v
 }
--- a/pkg/gateway/whole_test.go
+++ b/pkg/gateway/whole_test.go
@@ -41,7 +41,7 @@
 	It("isn't repeated after a damaged or torn answer either", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return &Answer{Status: 200, Sealed: true, Body: brokenBody{Reader: strings.NewReader("half")}}, nil
+				return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader("half")}}, nil
 			}
 			out := b.serve("unsafe")
 			Expect(b.backend.sent()).To(HaveLen(1))
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -29,8 +29,8 @@
 	case err == nil:
 		g.hearAnswer(j, c, a, sent)
 	case errors.As(err, &lost):
-		g.hear(c.ID, lost.Says)
-		g.hearLimit(j.service.Name, c.ID, lost.Says.Limit, sent)
+		g.hear(c.ID, lost.Notice)
+		g.hearLimit(j.service.Name, c.ID, lost.Notice.Limit, sent)
 	}
 	return a, err
 }
@@ -41,13 +41,13 @@
 // by the leader: each of them tells of itself then.
 func (g *Gateway) hearAnswer(j *job, c *Call, a *Answer, sent time.Time) {
 	who := g.speaker(j, c, a)
-	w := a.Says
+	w := a.Notice
 	g.hearLimits(j, c, who, w.Limit, sent)
 	if w.Leaving && who != c.ID {
 		w.Leaving = false
-		g.tracker.Avoid(c.ID, oneLeaves)
+		g.tracker.RecordFailure(c.ID, oneLeaves)
 		if who != "" {
-			g.tracker.Avoid(who, oneLeaves)
+			g.tracker.RecordFailure(who, oneLeaves)
 		}
 	}
 	g.hear(who, w)
@@ -60,18 +60,18 @@
 // at fault, or else who gave it. Empty: that can't be told.
 func (g *Gateway) speaker(j *job, c *Call, a *Answer) string {
 	switch {
-	case a.Fault == "" && a.Misdirected:
+	case a.FaultAddress == "" && a.Misdirected:
 		return "" // another endpoint is at the address
-	case a.Fault == "" || a.Fault == c.Address:
+	case a.FaultAddress == "" || a.FaultAddress == c.Address:
 		return c.ID
 	}
 	for _, p := range c.Path {
-		if p.Address == a.Fault {
+		if p.Address == a.FaultAddress {
 			return p.ID
 		}
 	}
 	for _, e := range g.source.Endpoints(j.service.Name) {
-		if e.Address == a.Fault {
+		if e.Address == a.FaultAddress {
 			return e.ID
 		}
 	}
@@ -80,26 +80,26 @@
 
 // hear takes what an endpoint says of itself: a rest is for this host alone, a leave is
 // for all of them.
-func (g *Gateway) hear(id string, w fleet.Word) {
+func (g *Gateway) hear(id string, w fleet.Notice) {
 	if id == "" {
 		return
 	}
 	if w.Leaving {
-		g.source.Leaves(id)
+		g.source.MarkLeaving(id)
 	}
-	if w.Rest <= 0 {
+	if w.Backoff <= 0 {
 		return
 	}
-	g.rests.Ask(id, w.Rest)
+	g.rests.Record(id, w.Backoff)
 	g.metrics.Counter("rests_asked").Inc(1)
-	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Rest))
+	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Backoff))
 }
 
 // takeLast reports whether an endpoint may be called as the last choice now, and counts
 // and logs it if that is in its rest.
 func (g *Gateway) takeLast(id string) bool {
-	left := g.rests.Left(id)
-	if !g.rests.Take(id) {
+	left := g.rests.Remaining(id)
+	if !g.rests.TryAcquire(id) {
 		return false
 	}
 	if left > 0 {
@@ -129,7 +129,7 @@
 func (g *Gateway) restLeft(service string) time.Duration {
 	least := time.Duration(0)
 	for _, e := range g.source.Endpoints(service) {
-		left := g.rests.Left(e.ID)
+		left := g.rests.Remaining(e.ID)
 		if left == 0 {
 			return 0
 		}
@@ -148,13 +148,13 @@
 	}
 	var lefts []time.Duration
 	for _, e := range s.g.source.Endpoints(s.j.service.Name) {
-		if left := s.g.rests.Left(e.ID); left > 0 && !s.avoid[e.ID] {
+		if left := s.g.rests.Remaining(e.ID); left > 0 && !s.avoid[e.ID] {
 			lefts = append(lefts, left)
 		}
 	}
 	slices.Sort(lefts)
 	n := sort.Search(len(lefts), func(i int) bool {
-		return s.pathOver(func(id string) bool { return s.g.rests.Left(id) <= lefts[i] }) != nil
+		return s.pathOver(func(id string) bool { return s.g.rests.Remaining(id) <= lefts[i] }) != nil
 	})
 	if n == len(lefts) {
 		return 0
@@ -164,11 +164,11 @@
 
 // pathOver returns a whole path over endpoints that fit, whether they rest or not; those
 // that had no room for this request just now may have it later.
-func (s *streamRun) pathOver(fits func(id string) bool) []fleet.Part {
+func (s *streamRun) pathOver(fits func(id string) bool) []fleet.Stage {
 	e := s.j.service.Engine
 	list := s.holders(func(p *fleet.Endpoint) bool { return s.avoid[p.ID] || !fits(p.ID) })
 	path := pathing.Choose(e, list, s.demand(), s.jitter)
-	if path == nil || !pathing.Whole(e, path) {
+	if path == nil || !pathing.CoversAllLayers(e, path) {
 		return nil
 	}
 	return path
@@ -176,11 +176,11 @@
 
 // lastPath returns a path over endpoints that rest, where there is no other for a stream
 // that wasn't sent yet, and counts that they are called in their rests.
-func (s *streamRun) lastPath() []fleet.Part {
-	if s.sends > 0 || !s.g.rests.Any() {
+func (s *streamRun) lastPath() []fleet.Stage {
+	if s.sends > 0 || !s.g.rests.HasAny() {
 		return nil
 	}
-	path := s.pathOver(func(id string) bool { return s.g.rests.May(id) && s.g.permits.May(id) })
+	path := s.pathOver(func(id string) bool { return s.g.rests.MayCall(id) && s.g.permits.MayCall(id) })
 	for _, p := range path {
 		if !s.g.takeLast(p.ID) {
 			return nil // another stream was before this one
--- a/pkg/gateway/words_test.go
+++ b/pkg/gateway/words_test.go
@@ -21,7 +21,7 @@
 // of the endpoint that it names.
 func wantsRest(fault string, d time.Duration) *Answer {
 	a := refusedBy(fault)
-	a.Says = fleet.Word{Rest: d}
+	a.Notice = fleet.Notice{Backoff: d}
 	return a
 }
 
@@ -36,7 +36,7 @@
 // leaving is a good answer of an endpoint that leaves.
 func leaving(c *Call) *Answer {
 	a := good(c)
-	a.Says = fleet.Word{Leaving: true}
+	a.Notice = fleet.Notice{Leaving: true}
 	return a
 }
 
@@ -171,9 +171,9 @@
 			withGateway(func(b *bench) {
 				b.source.only("app", appEndpoint("p"))
 				for _, d := range c.rests {
-					b.gateway.hear("p", fleet.Word{Rest: d})
+					b.gateway.hear("p", fleet.Notice{Backoff: d})
 				}
-				Expect(b.gateway.rests.Left("p")).To(Equal(c.stand), c.name)
+				Expect(b.gateway.rests.Remaining("p")).To(Equal(c.stand), c.name)
 				b.backend.answer = func(_ int, c *Call) (*Answer, error) { return good(c), nil }
 				b.serve("safe")
 				Expect(b.backend.sentTo("p") > 0).To(Equal(c.stand == 0), c.name)
@@ -187,8 +187,8 @@
 	It("isn't reached by repeats nor beside a first send", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(_ int, c *Call) (*Answer, error) { return whole(500, "no"), nil }
-			b.gateway.hear("p", fleet.Word{Rest: rested})
-			b.gateway.hear("q", fleet.Word{Rest: rested})
+			b.gateway.hear("p", fleet.Notice{Backoff: rested})
+			b.gateway.hear("q", fleet.Notice{Backoff: rested})
 			b.clock.Advance(tryAfter)
 			b.serve("safe")
 			Expect(b.backend.sentTo("s")).To(Equal(1))
@@ -209,7 +209,7 @@
 			b.serve("stream")
 			first := b.backend.sent()[0].ID
 			for _, id := range []string{named, first} {
-				Expect(b.gateway.rests.Left(id) > 0).To(Equal(id == named))
+				Expect(b.gateway.rests.Remaining(id) > 0).To(Equal(id == named))
 			}
 			b.serveDuring("stream", 2*time.Second)
 			Expect(b.backend.sentTo(named)).To(Equal(1))
@@ -230,18 +230,18 @@
 				return wantsRest(other, rested), nil
 			}
 			b.serve("stream")
-			Expect(max(b.gateway.rests.Left("y"), b.gateway.rests.Left("z"))).To(Equal(rested))
-			Expect(max(b.gateway.rests.Left("x"), b.gateway.rests.Left("w"))).To(BeZero())
+			Expect(max(b.gateway.rests.Remaining("y"), b.gateway.rests.Remaining("z"))).To(Equal(rested))
+			Expect(max(b.gateway.rests.Remaining("x"), b.gateway.rests.Remaining("w"))).To(BeZero())
 		})
 		withGateway(func(b *bench) {
 			b.backend.answer = func(n int, c *Call) (*Answer, error) {
 				a := wantsRest("nobody:1", rested)
-				a.Says.Leaving = true
+				a.Notice.Leaving = true
 				return a, nil
 			}
 			b.serve("stream")
 			for _, id := range []string{"x", "y", "z", "w"} {
-				Expect(b.gateway.rests.Left(id)).To(BeZero())
+				Expect(b.gateway.rests.Remaining(id)).To(BeZero())
 				Expect(b.source.EndpointLeaving(id)).To(BeFalse())
 			}
 		})
@@ -251,7 +251,7 @@
 		withGateway(func(b *bench) {
 			b.backend.answer = func(n int, c *Call) (*Answer, error) {
 				a := refusedBy(c.Path[1].Address)
-				a.Says.Leaving = true
+				a.Notice.Leaving = true
 				if n > 1 {
 					return good(c), nil
 				}
@@ -276,18 +276,18 @@
 				other := map[string]string{"y": "z", "z": "y"}[path[1].ID]
 				b.backend.repathErr(func() error {
 					if named {
-						return &RepathError{At: other + ":1", Says: fleet.Word{Rest: rested}}
+						return &RepathError{Address: other + ":1", Notice: fleet.Notice{Backoff: rested}}
 					}
-					return &fleet.TurnedAway{Status: 503, Says: fleet.Word{Rest: rested}}
+					return &fleet.RejectedError{Status: 503, Notice: fleet.Notice{Backoff: rested}}
 				})
 				b.backend.stall("r1", path[1].Address)
 				who := map[bool]string{true: other, false: path[0].ID}[named]
 				Eventually(func() time.Duration {
 					b.clock.Advance(100 * time.Millisecond)
-					return b.gateway.rests.Left(who)
+					return b.gateway.rests.Remaining(who)
 				}, "5s", "5ms").Should(BeNumerically(">", 0))
 				for _, id := range []string{"x", "y", "z"} {
-					Expect(b.gateway.rests.Left(id) > 0).To(Equal(id == who), id)
+					Expect(b.gateway.rests.Remaining(id) > 0).To(Equal(id == who), id)
 				}
 			})
 		}
@@ -296,11 +296,11 @@
 	It("isn't the one that was meant, if another incarnation answers at its address", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(_ int, c *Call) (*Answer, error) {
-				return &Answer{Status: 421, Misdirected: true, Says: fleet.Word{Leaving: true, Rest: rested}, Body: http.NoBody}, nil
+				return &Answer{Status: 421, Misdirected: true, Notice: fleet.Notice{Leaving: true, Backoff: rested}, Body: http.NoBody}, nil
 			}
 			b.serve("safe")
 			for _, id := range []string{"p", "q", "s"} {
-				Expect(b.gateway.rests.Left(id)).To(BeZero())
+				Expect(b.gateway.rests.Remaining(id)).To(BeZero())
 				Expect(b.source.EndpointLeaving(id)).To(BeFalse())
 			}
 		})
@@ -309,10 +309,10 @@
 	It("is heard in an answer that belongs to another request, and in one that comes after its caller has left", func() {
 		withGateway(func(b *bench) {
 			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return nil, &SendError{Sent: true, Cause: errReset, Says: fleet.Word{Rest: rested}}
+				return nil, &SendError{Sent: true, Cause: errReset, Notice: fleet.Notice{Backoff: rested}}
 			}
 			b.serve("unsafe")
-			Expect(b.gateway.rests.Left(b.backend.sent()[0].ID)).To(Equal(rested))
+			Expect(b.gateway.rests.Remaining(b.backend.sent()[0].ID)).To(Equal(rested))
 		})
 		for _, route := range []string{"safe", "stream"} {
 			withGateway(func(b *bench) {
@@ -323,7 +323,7 @@
 					return wantsRest("", rested), nil
 				}
 				b.gateway.Serve(ctx, b.request(route), &fakeOutput{})
-				Eventually(func() time.Duration { return b.gateway.rests.Left(b.backend.sent()[0].ID) }, "5s").Should(Equal(rested), route)
+				Eventually(func() time.Duration { return b.gateway.rests.Remaining(b.backend.sent()[0].ID) }, "5s").Should(Equal(rested), route)
 			})
 		}
 	})
@@ -332,10 +332,10 @@
 		for _, c := range routesAndEndpoints {
 			withGateway(func(b *bench) {
 				for _, id := range []string{"p", "q", "x", "y", "z"} {
-					b.gateway.hear(id, fleet.Word{Rest: rested + time.Second})
+					b.gateway.hear(id, fleet.Notice{Backoff: rested + time.Second})
 				}
 				for _, id := range []string{"s", "w"} {
-					b.gateway.hear(id, fleet.Word{Rest: 2 * rested})
+					b.gateway.hear(id, fleet.Notice{Backoff: 2 * rested})
 				}
 				told := map[time.Duration]bool{}
 				for range 20 {
@@ -355,10 +355,10 @@
 
 	It("is told of until a path is whole again, not until its first part is", func() {
 		withGateway(func(b *bench) {
-			b.gateway.hear("x", fleet.Word{Rest: time.Second})
-			b.gateway.hear("w", fleet.Word{Rest: 4 * time.Second})
-			b.gateway.hear("y", fleet.Word{Rest: 3 * time.Second})
-			b.gateway.hear("z", fleet.Word{Rest: 5 * time.Second})
+			b.gateway.hear("x", fleet.Notice{Backoff: time.Second})
+			b.gateway.hear("w", fleet.Notice{Backoff: 4 * time.Second})
+			b.gateway.hear("y", fleet.Notice{Backoff: 3 * time.Second})
+			b.gateway.hear("z", fleet.Notice{Backoff: 5 * time.Second})
 			out := b.serve("stream")
 			Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", 3*time.Second))
 			Expect(out.refusal.RetryAfter()).To(BeNumerically("<", 4*time.Second))
@@ -371,7 +371,7 @@
 			end := b.underWay()
 			defer end()
 			path := b.backend.sent()[0].Path
-			b.gateway.hear(path[0].ID, fleet.Word{Rest: rested})
+			b.gateway.hear(path[0].ID, fleet.Notice{Backoff: rested})
 			b.backend.stall("r1", path[1].Address)
 			asked := b.backend.questions()
 			for range 10 {
--- a/pkg/limits/account.go
+++ b/pkg/limits/account.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// Enter lets a request of the account that may generate up to tokens begin,
+// Acquire lets a request of the account that may generate up to tokens begin,
 // or refuses it at once. The caller must call Leave with the tokens that were
 // not used.
-func (a *Accounts) Enter(account bundle.Account, tokens int) error {
+func (a *Accounts) Acquire(account bundle.Account, tokens int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.svc.Now()
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Leave ends what Enter let begin.
-func (a *Accounts) Leave(account bundle.Account, unused int) {
+// Release ends what Enter let begin.
+func (a *Accounts) Release(account bundle.Account, unused int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r, ok := a.rows[account.Name]
--- a/pkg/limits/gate.go
+++ b/pkg/limits/gate.go
@@ -10,7 +10,7 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Gate is the queue in front of the engines. It lets as many requests in as
+// AdmissionQueue is the queue in front of the engines. It lets as many requests in as
 // the engines have room for. Of those that wait, the highest priority goes
 // first; within one, client accounts share by their weights. Waiting raises a
 // request's priority, so that nothing starves. A request that would wait for
@@ -22,7 +22,7 @@
 //
 // Invariants: running <= capacity at the moment of each entry; a queued
 // request is either let in, or leaves by its own context, never both.
-type Gate struct {
+type AdmissionQueue struct {
 	svc      timer.Service
 	capacity func() int
 	budget   time.Duration
@@ -52,9 +52,9 @@
 	maxFlows = 10_000
 )
 
-// NewGate returns a gate that lets capacity() requests in.
-func NewGate(svc timer.Service, budget time.Duration, capacity func() int) *Gate {
-	return &Gate{
+// NewAdmissionQueue returns a gate that lets capacity() requests in.
+func NewAdmissionQueue(svc timer.Service, budget time.Duration, capacity func() int) *AdmissionQueue {
+	return &AdmissionQueue{
 		svc:      svc,
 		capacity: capacity,
 		budget:   budget,
@@ -63,9 +63,9 @@
 	}
 }
 
-// Enter waits until the request may go to the engines. Each Enter that
+// Acquire waits until the request may go to the engines. Each Enter that
 // returns nil must be followed by one Leave.
-func (g *Gate) Enter(ctx context.Context, account bundle.Account, priority int) error {
+func (g *AdmissionQueue) Acquire(ctx context.Context, account bundle.Account, priority int) error {
 	t, err := g.join(account, priority)
 	if t == nil || err != nil {
 		return err
@@ -83,7 +83,7 @@
 
 // join lets the request in, queues it, or refuses it. The ticket is nil if
 // there is nothing to wait for.
-func (g *Gate) join(account bundle.Account, priority int) (*ticket, error) {
+func (g *AdmissionQueue) join(account bundle.Account, priority int) (*ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	room := g.capacity()
@@ -108,7 +108,7 @@
 }
 
 // expectedWait is how long those ahead of a new request take to be let in.
-func (g *Gate) expectedWait(room, priority int) time.Duration {
+func (g *AdmissionQueue) expectedWait(room, priority int) time.Duration {
 	now := g.svc.Now()
 	ahead := 1
 	for _, t := range g.queue {
@@ -119,8 +119,8 @@
 	return time.Duration(ahead) * g.hold / time.Duration(max(1, room))
 }
 
-// Leave ends a request that was let in; held is how long it was in the engines.
-func (g *Gate) Leave(held time.Duration) {
+// Release ends a request that was let in; held is how long it was in the engines.
+func (g *AdmissionQueue) Release(held time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
@@ -128,21 +128,21 @@
 	g.admit()
 }
 
-// Wake lets in whom a risen capacity has room for.
-func (g *Gate) Wake() {
+// CapacityChanged lets in whom a risen capacity has room for.
+func (g *AdmissionQueue) CapacityChanged() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.admit()
 }
 
-// Waiting returns how many requests wait, and how many are let in.
-func (g *Gate) Waiting() (waiting, running int) {
+// Counts returns how many requests wait, and how many are let in.
+func (g *AdmissionQueue) Counts() (waiting, running int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.queue), g.running
 }
 
-func (g *Gate) admit() {
+func (g *AdmissionQueue) admit() {
 	room := g.capacity()
 	for len(g.queue) > 0 && g.running < room {
 		i := g.first()
@@ -155,7 +155,7 @@
 }
 
 // first returns the place in the queue of who goes next.
-func (g *Gate) first() int {
+func (g *AdmissionQueue) first() int {
 	now := g.svc.Now()
 	best := 0
 	for i := 1; i < len(g.queue); i++ {
@@ -166,7 +166,7 @@
 	return best
 }
 
-func (g *Gate) before(a, b *ticket, now time.Time) bool {
+func (g *AdmissionQueue) before(a, b *ticket, now time.Time) bool {
 	if ra, rb := a.rank(now), b.rank(now); ra != rb {
 		return ra > rb
 	}
@@ -181,12 +181,12 @@
 }
 
 // flow returns an account's virtual time; one that was away begins at now.
-func (g *Gate) flow(account string) float64 {
+func (g *AdmissionQueue) flow(account string) float64 {
 	return max(g.flows[account], g.virtual)
 }
 
 // charge moves the account's virtual time on by what one request costs it.
-func (g *Gate) charge(account string, weight int) {
+func (g *AdmissionQueue) charge(account string, weight int) {
 	start := g.flow(account)
 	g.virtual = start
 	if len(g.flows) >= maxFlows {
@@ -196,7 +196,7 @@
 }
 
 // withdraw takes a ticket out of the queue, and reports whether it was there.
-func (g *Gate) withdraw(gone *ticket) bool {
+func (g *AdmissionQueue) withdraw(gone *ticket) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i, t := range g.queue {
--- a/pkg/limits/limits_test.go
+++ b/pkg/limits/limits_test.go
@@ -42,9 +42,9 @@
 func letIn(a *limits.Accounts, acc bundle.Account, n, tokens int) int {
 	in := 0
 	for range n {
-		if a.Enter(acc, tokens) == nil {
+		if a.Acquire(acc, tokens) == nil {
 			in++
-			a.Leave(acc, 0)
+			a.Release(acc, 0)
 		}
 	}
 	return in
@@ -75,32 +75,32 @@
 		a := limits.NewAccounts(svc, hosts(1))
 		acc := account("a", 1)
 		Expect(letIn(a, acc, 80, 0)).To(Equal(80))
-		f := failure.From(a.Enter(acc, 0))
+		f := failure.From(a.Acquire(acc, 0))
 		Expect(f.Kind()).To(Equal(failure.RateLimited))
 		Expect(f.Ran()).To(Equal(failure.RanNo))
 		svc.Advance(f.RetryAfter())
-		Expect(a.Enter(acc, 0)).To(Succeed())
+		Expect(a.Acquire(acc, 0)).To(Succeed())
 	})
 
 	It("counts tokens, and gives back those that were not used", func() {
 		svc := timer.NewManual(start)
 		a := limits.NewAccounts(svc, hosts(1))
 		acc := account("a", 1)
-		Expect(a.Enter(acc, 800)).To(Succeed())
-		Expect(failure.Is(a.Enter(acc, 100), failure.TokensLimited)).To(BeTrue())
-		a.Leave(acc, 500)
-		Expect(a.Enter(acc, 400)).To(Succeed())
+		Expect(a.Acquire(acc, 800)).To(Succeed())
+		Expect(failure.Is(a.Acquire(acc, 100), failure.TokensLimited)).To(BeTrue())
+		a.Release(acc, 500)
+		Expect(a.Acquire(acc, 400)).To(Succeed())
 	})
 
 	It("bounds requests in flight, and lets one in when another ends", func() {
 		a := limits.NewAccounts(timer.NewManual(start), hosts(2))
 		acc := account("a", 1)
 		for range 4 {
-			Expect(a.Enter(acc, 0)).To(Succeed())
+			Expect(a.Acquire(acc, 0)).To(Succeed())
 		}
-		Expect(failure.Is(a.Enter(acc, 0), failure.ConcurrencyLimited)).To(BeTrue())
-		a.Leave(acc, 0)
-		Expect(a.Enter(acc, 0)).To(Succeed())
+		Expect(failure.Is(a.Acquire(acc, 0), failure.ConcurrencyLimited)).To(BeTrue())
+		a.Release(acc, 0)
+		Expect(a.Acquire(acc, 0)).To(Succeed())
 	})
 
 	It("forgets an account that is never seen again", func() {
@@ -117,7 +117,7 @@
 // returns the names in the order in which they were let in.
 type gateRun struct {
 	svc  *timer.Manual
-	gate *limits.Gate
+	gate *limits.AdmissionQueue
 	room int
 	mu   sync.Mutex
 	came []string
@@ -129,15 +129,15 @@
 		svc: timer.NewManual(start),
 		g:   group.New(context.Background()),
 	}
-	r.gate = limits.NewGate(r.svc, budget, func() int { return r.room })
+	r.gate = limits.NewAdmissionQueue(r.svc, budget, func() int { return r.room })
 	return r
 }
 
 // queue adds a waiting request and returns once it waits.
 func (r *gateRun) queue(name string, acc bundle.Account, priority int) {
-	before, _ := r.gate.Waiting()
+	before, _ := r.gate.Counts()
 	r.g.Go(func(ctx context.Context) {
-		if r.gate.Enter(ctx, acc, priority) != nil {
+		if r.gate.Acquire(ctx, acc, priority) != nil {
 			return
 		}
 		r.mu.Lock()
@@ -145,7 +145,7 @@
 		r.came = append(r.came, name)
 	})
 	Eventually(func() int {
-		n, _ := r.gate.Waiting()
+		n, _ := r.gate.Counts()
 		return n
 	}, 10*time.Second, time.Millisecond).Should(Equal(before + 1))
 }
@@ -157,7 +157,7 @@
 		want := len(r.came) + 1
 		r.mu.Unlock()
 		r.room++
-		r.gate.Wake()
+		r.gate.CapacityChanged()
 		Eventually(func() int {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -209,13 +209,13 @@
 		r := newGateRun(time.Second)
 		defer r.g.Stop()
 		r.room = 1
-		Expect(r.gate.Enter(context.Background(), account("a", 1), 5)).To(Succeed())
+		Expect(r.gate.Acquire(context.Background(), account("a", 1), 5)).To(Succeed())
 		r.queue("one", account("a", 1), 5)
 		r.queue("two", account("a", 1), 5)
-		f := failure.From(r.gate.Enter(context.Background(), account("a", 1), 5))
+		f := failure.From(r.gate.Acquire(context.Background(), account("a", 1), 5))
 		Expect(f.Kind()).To(Equal(failure.Overloaded))
 		Expect(f.RetryAfter()).To(BeNumerically(">=", time.Second))
-		Expect(r.gate.Enter(context.Background(), account("a", 1), 5)).NotTo(Succeed())
+		Expect(r.gate.Acquire(context.Background(), account("a", 1), 5)).NotTo(Succeed())
 	})
 
 	It("lets a request that gives up leave the queue", func() {
@@ -223,9 +223,9 @@
 		defer r.g.Stop()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		f := failure.From(r.gate.Enter(ctx, account("a", 1), 5))
+		f := failure.From(r.gate.Acquire(ctx, account("a", 1), 5))
 		Expect(f.Ran()).To(Equal(failure.RanNo))
-		waiting, running := r.gate.Waiting()
+		waiting, running := r.gate.Counts()
 		Expect(waiting + running).To(BeZero())
 	})
 })
--- a/pkg/pathing/bench_test.go
+++ b/pkg/pathing/bench_test.go
@@ -12,7 +12,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e := engine()
 			e.Layers = 80
-			var stages []Stage
+			var stages []Candidate
 			for i := range n {
 				kind, held := "slow", 8
 				switch {
--- a/pkg/pathing/pathing.go
+++ b/pkg/pathing/pathing.go
@@ -36,20 +36,20 @@
 	maxParts = 32
 )
 
-// Stage is an endpoint that holds layers, with its load.
-type Stage struct {
+// Candidate is an endpoint that holds layers, with its load.
+type Candidate struct {
 	ID      string
 	Address string
 	Domain  string
 	Kind    string
 	// Layers are those that a path may use. Held is how many the endpoint holds,
 	// if more: its memory is shared by all of them.
-	Layers   fleet.Range
-	Held     int
-	Requests float64 // under way
-	Tokens   float64 // in KV memory in the mean, of requests under way
-	// Slow multiplies its times; 1 is as expected.
-	Slow float64
+	Layers     fleet.Range
+	LayersHeld int
+	Requests   float64 // under way
+	Tokens     float64 // in KV memory in the mean, of requests under way
+	// Slowdown multiplies its times; 1 is as expected.
+	Slowdown float64
 	// Wait is how long a request that begins there waits for its first event, by
 	// what was seen.
 	Wait time.Duration
@@ -60,23 +60,23 @@
 	Prompt float64 // tokens to read
 	Answer float64 // tokens to write
 	// First, if set, fixes the first part: endpoint and layers.
-	First *fleet.Part
-	// Stay keeps the path in one failure domain.
-	Stay bool
-	// Home is the failure domain of the host that asks; empty if any will do.
-	Home string
+	First *fleet.Stage
+	// SingleDomain keeps the path in one failure domain.
+	SingleDomain bool
+	// HomeDomain is the failure domain of the host that asks; empty if any will do.
+	HomeDomain string
 }
 
-// Memory returns how many tokens' KV cache the request holds in the mean while it
+// MeanKVTokens returns how many tokens' KV cache the request holds in the mean while it
 // runs: the answer's comes with its tokens.
-func (d *Demand) Memory() float64 {
+func (d *Demand) MeanKVTokens() float64 {
 	return d.Prompt + d.Answer/2
 }
 
 // Choose returns the cheapest path, or nil if the stages don't cover every
 // layer. jitter returns a factor near 1 for each stage, so that hosts which
 // know the same don't all choose the same.
-func Choose(e *fleet.Engine, stages []Stage, d Demand, jitter func() float64) []fleet.Part {
+func Choose(e *fleet.Engine, stages []Candidate, d Demand, jitter func() float64) []fleet.Stage {
 	if len(stages) == 0 || e.Layers <= 0 {
 		return nil
 	}
@@ -103,7 +103,7 @@
 
 type search struct {
 	engine  *fleet.Engine
-	stages  []Stage
+	stages  []Candidate
 	demand  Demand
 	unit    []float64 // expected ms for one layer, by stage
 	turn    []float64 // expected ms that its tokens wait for passes, by stage
@@ -117,10 +117,10 @@
 	states  []state
 	at      [][]int // states by boundary
 	best    [][]int // state by boundary and domain+1; -1 if none
-	first   *fleet.Part
+	first   *fleet.Stage
 }
 
-func newSearch(e *fleet.Engine, stages []Stage, d Demand, jitter func() float64) *search {
+func newSearch(e *fleet.Engine, stages []Candidate, d Demand, jitter func() float64) *search {
 	s := &search{
 		engine:  e,
 		stages:  stages,
@@ -223,7 +223,7 @@
 	s.home = -1
 	s.hop = make([][]float64, len(s.names))
 	for a := range s.names {
-		if s.names[a] == s.demand.Home {
+		if s.names[a] == s.demand.HomeDomain {
 			s.home = a
 		}
 		s.hop[a] = make([]float64, len(s.names))
@@ -235,19 +235,19 @@
 
 // layerCost is the expected time in ms that one layer of a stage adds to the
 // whole request, and to those under way there.
-func (s *search) layerCost(st *Stage) float64 {
+func (s *search) layerCost(st *Candidate) float64 {
 	e := s.engine
 	k := e.Kinds[st.Kind]
-	held := float64(max(st.Held, st.Layers.Len()))
+	held := float64(max(st.LayersHeld, st.Layers.Len()))
 	share := 1 / float64(e.Layers)
 	write := s.demand.Answer * k.Pace * share * (ms(e.StepTime) + crowding*s.sharedStep(st))
 	read := 0.0
 	if e.ReadPerSecond > 0 {
 		read = s.demand.Prompt / e.ReadPerSecond * 1000 * k.ReadFactor * share * crowding
 	}
-	cost := (write + read) * math.Max(1, st.Slow)
+	cost := (write + read) * math.Max(1, st.Slowdown)
 	room := e.CacheTokens(st.Kind, int(held)) / math.Max(1, held)
-	need := st.Tokens + s.demand.Memory()
+	need := st.Tokens + s.demand.MeanKVTokens()
 	if room <= 0 || need > room {
 		return cost * fullPenalty
 	}
@@ -255,18 +255,18 @@
 }
 
 // sharedStep is what the requests at a stage add to a step through all layers, in ms.
-func (s *search) sharedStep(st *Stage) float64 {
+func (s *search) sharedStep(st *Candidate) float64 {
 	return st.Requests*ms(s.engine.PerSequence) + st.Tokens/1000*ms(s.engine.PerContext)
 }
 
 // turnCost is the expected time in ms for which a request's tokens wait at a stage
 // for passes under way: these run the layers that the endpoint holds, however few of
 // them the path uses.
-func (s *search) turnCost(st *Stage) float64 {
+func (s *search) turnCost(st *Candidate) float64 {
 	e := s.engine
-	share := float64(max(st.Held, st.Layers.Len())) / float64(e.Layers)
+	share := float64(max(st.LayersHeld, st.Layers.Len())) / float64(e.Layers)
 	pass := share * e.Kinds[st.Kind].Pace * (ms(e.StepTime) + s.sharedStep(st))
-	return turnShare * s.demand.Answer * pass * math.Max(1, st.Slow)
+	return turnShare * s.demand.Answer * pass * math.Max(1, st.Slowdown)
 }
 
 func (s *search) start() {
@@ -281,7 +281,7 @@
 }
 
 // startAfter begins behind a part that is fixed.
-func (s *search) startAfter(first *fleet.Part) {
+func (s *search) startAfter(first *fleet.Stage) {
 	i := sort.SearchInts(s.bounds, first.Layers.To)
 	if i == len(s.bounds) {
 		return // it ends behind the last layer
@@ -333,7 +333,7 @@
 		if st.Layers.From > layer || st.Layers.To <= layer || s.uses(i, k) {
 			continue
 		}
-		if s.demand.Stay && from.domain >= 0 && from.domain != s.domain[k] {
+		if s.demand.SingleDomain && from.domain >= 0 && from.domain != s.domain[k] {
 			continue
 		}
 		base := from.cost + s.enter(from.domain, s.domain[k]) + s.turn[k]
@@ -372,7 +372,7 @@
 	if a >= 0 {
 		return s.hop[a][b]
 	}
-	if s.demand.Home != "" && b != s.home {
+	if s.demand.HomeDomain != "" && b != s.home {
 		return awayMs
 	}
 	return 0
@@ -386,7 +386,7 @@
 	return crossingMs + (delay+hopMs)*s.demand.Answer
 }
 
-func (s *search) path() []fleet.Part {
+func (s *search) path() []fleet.Stage {
 	end := -1
 	last := len(s.bounds) - 1
 	if s.bounds[last] != s.engine.Layers {
@@ -400,7 +400,7 @@
 	if end < 0 {
 		return nil
 	}
-	var parts []fleet.Part
+	var parts []fleet.Stage
 	for i := end; s.states[i].prev >= 0; i = s.states[i].prev {
 		parts = append(parts, s.part(i))
 	}
@@ -413,10 +413,10 @@
 	return parts
 }
 
-func (s *search) part(i int) fleet.Part {
+func (s *search) part(i int) fleet.Stage {
 	n := s.states[i]
 	st := &s.stages[n.stage]
-	return fleet.Part{
+	return fleet.Stage{
 		ID:      st.ID,
 		Address: st.Address,
 		Domain:  st.Domain,
@@ -427,8 +427,8 @@
 	}
 }
 
-// Whole reports whether parts run every layer once, in order.
-func Whole(e *fleet.Engine, parts []fleet.Part) bool {
+// CoversAllLayers reports whether parts run every layer once, in order.
+func CoversAllLayers(e *fleet.Engine, parts []fleet.Stage) bool {
 	at := 0
 	for _, p := range parts {
 		if p.Layers.From != at || p.Layers.To <= at {
@@ -439,8 +439,8 @@
 	return at == e.Layers
 }
 
-// Crossings returns how often a path changes the failure domain.
-func Crossings(parts []fleet.Part) int {
+// DomainCrossings returns how often a path changes the failure domain.
+func DomainCrossings(parts []fleet.Stage) int {
 	n := 0
 	for i := 1; i < len(parts); i++ {
 		if parts[i].Domain != parts[i-1].Domain {
--- a/pkg/pathing/pathing_test.go
+++ b/pkg/pathing/pathing_test.go
@@ -40,8 +40,8 @@
 	return 1
 }
 
-func stage(id, domain, kind string, from, to int) Stage {
-	return Stage{
+func stage(id, domain, kind string, from, to int) Candidate {
+	return Candidate{
 		ID:      id,
 		Address: id,
 		Domain:  domain,
@@ -52,7 +52,7 @@
 
 var demand = Demand{Prompt: 100, Answer: 50}
 
-func ids(path []fleet.Part) []string {
+func ids(path []fleet.Stage) []string {
 	var list []string
 	for _, p := range path {
 		list = append(list, fmt.Sprintf("%s=%d-%d", p.ID, p.Layers.From, p.Layers.To))
@@ -62,65 +62,65 @@
 
 var _ = Describe("a path", func() {
 	It("takes the faster of two that hold the same layers", func() {
-		path := Choose(engine(), []Stage{stage("s", "a", "slow", 0, 10), stage("f", "a", "fast", 0, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{stage("s", "a", "slow", 0, 10), stage("f", "a", "fast", 0, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
 	})
 
 	It("begins in the host's own domain, unless another one's is much faster", func() {
 		home := demand
-		home.Home = "a"
+		home.HomeDomain = "a"
 		near, far := stage("near", "a", "slow", 0, 10), stage("far", "b", "fast", 0, 10)
-		Expect(ids(Choose(engine(), []Stage{near, far}, home, even))).To(Equal([]string{"near=0-10"}))
-		Expect(ids(Choose(engine(), []Stage{near, far}, demand, even))).To(Equal([]string{"far=0-10"}))
-		near.Slow = 10
-		Expect(ids(Choose(engine(), []Stage{near, far}, home, even))).To(Equal([]string{"far=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{near, far}, home, even))).To(Equal([]string{"near=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{near, far}, demand, even))).To(Equal([]string{"far=0-10"}))
+		near.Slowdown = 10
+		Expect(ids(Choose(engine(), []Candidate{near, far}, home, even))).To(Equal([]string{"far=0-10"}))
 	})
 
 	It("cuts where ranges overlap so that the faster does more", func() {
-		path := Choose(engine(), []Stage{stage("s", "a", "slow", 0, 10), stage("f", "a", "fast", 4, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{stage("s", "a", "slow", 0, 10), stage("f", "a", "fast", 4, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"s=0-4", "f=4-10"}))
 	})
 
 	It("stays in a domain though a faster endpoint is in another", func() {
-		path := Choose(engine(), []Stage{
+		path := Choose(engine(), []Candidate{
 			stage("x", "a", "slow", 0, 5), stage("y", "a", "slow", 5, 10), stage("z", "b", "fast", 5, 10),
 		}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"x=0-5", "y=5-10"}))
-		Expect(Crossings(path)).To(Equal(0))
+		Expect(DomainCrossings(path)).To(Equal(0))
 	})
 
 	It("crosses rather than fail", func() {
-		path := Choose(engine(), []Stage{stage("x", "a", "slow", 0, 5), stage("z", "b", "fast", 5, 10)}, demand, even)
-		Expect(Crossings(path)).To(Equal(1))
+		path := Choose(engine(), []Candidate{stage("x", "a", "slow", 0, 5), stage("z", "b", "fast", 5, 10)}, demand, even)
+		Expect(DomainCrossings(path)).To(Equal(1))
 	})
 
 	It("is none if a layer isn't held", func() {
-		Expect(Choose(engine(), []Stage{stage("x", "a", "fast", 0, 5), stage("y", "a", "fast", 6, 10)}, demand, even)).To(BeNil())
+		Expect(Choose(engine(), []Candidate{stage("x", "a", "fast", 0, 5), stage("y", "a", "fast", 6, 10)}, demand, even)).To(BeNil())
 	})
 
 	It("keeps a first part that stands", func() {
-		first := fleet.Part{ID: "x", Address: "x", Domain: "a", Layers: fleet.Range{From: 0, To: 3}}
+		first := fleet.Stage{ID: "x", Address: "x", Domain: "a", Layers: fleet.Range{From: 0, To: 3}}
 		d := demand
 		d.First = &first
-		path := Choose(engine(), []Stage{stage("x", "a", "fast", 0, 10), stage("y", "a", "slow", 2, 10)}, d, even)
+		path := Choose(engine(), []Candidate{stage("x", "a", "fast", 0, 10), stage("y", "a", "slow", 2, 10)}, d, even)
 		Expect(ids(path)).To(Equal([]string{"x=0-3", "y=3-10"}))
 	})
 
 	It("begins where less waits, and doesn't mind what waits at later parts", func() {
 		x, y, z := stage("x", "a", "fast", 0, 5), stage("y", "a", "slow", 0, 5), stage("z", "a", "fast", 5, 10)
 		z.Wait = time.Minute
-		Expect(ids(Choose(engine(), []Stage{x, y, z}, demand, even))).To(Equal([]string{"x=0-5", "z=5-10"}))
+		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"x=0-5", "z=5-10"}))
 		x.Wait = time.Second
-		Expect(ids(Choose(engine(), []Stage{x, y, z}, demand, even))).To(Equal([]string{"y=0-5", "z=5-10"}))
+		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"y=0-5", "z=5-10"}))
 	})
 
 	It("counts on the memory that a request holds in the mean", func() {
 		nearly := stage("f", "a", "fast", 0, 10)
 		nearly.Tokens = 98_500 // of 100,000
 		d := Demand{Prompt: 100, Answer: 2000}
-		Expect(ids(Choose(engine(), []Stage{nearly, stage("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearly, stage("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
 		nearly.Tokens = 99_500
-		Expect(ids(Choose(engine(), []Stage{nearly, stage("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearly, stage("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
 	})
 
 	It("goes by what a crowd costs it and it costs the crowd", func() {
@@ -128,29 +128,29 @@
 		crowded.Requests = 450
 		crowded.Tokens = 80e3
 		idle := stage("m", "a", "mid", 0, 10)
-		Expect(ids(Choose(engine(), []Stage{crowded, idle}, demand, even))).To(Equal([]string{"m=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{crowded, idle}, demand, even))).To(Equal([]string{"m=0-10"}))
 		crowded.Requests = 40
 		crowded.Tokens = 8e3
-		Expect(ids(Choose(engine(), []Stage{crowded, idle}, demand, even))).To(Equal([]string{"f=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{crowded, idle}, demand, even))).To(Equal([]string{"f=0-10"}))
 	})
 
 	It("counts whole passes where it would use few of an endpoint's layers", func() {
 		whole := stage("a", "d", "mid", 0, 10)
 		whole.Requests = 30 // 24 in 100 more for a layer, by what a crowd costs
 		head, tail := stage("b", "d", "mid", 0, 5), stage("c", "d", "mid", 5, 10)
-		Expect(ids(Choose(engine(), []Stage{whole, head, tail}, demand, even))).To(Equal([]string{"b=0-5", "c=5-10"}))
-		head.Held, tail.Held = 10, 10
-		Expect(ids(Choose(engine(), []Stage{whole, head, tail}, demand, even))).To(Equal([]string{"a=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{whole, head, tail}, demand, even))).To(Equal([]string{"b=0-5", "c=5-10"}))
+		head.LayersHeld, tail.LayersHeld = 10, 10
+		Expect(ids(Choose(engine(), []Candidate{whole, head, tail}, demand, even))).To(Equal([]string{"a=0-10"}))
 	})
 
 	It("goes around a slow endpoint and one whose memory is full", func() {
 		slow := stage("s", "a", "fast", 0, 10)
-		slow.Slow = 5
-		path := Choose(engine(), []Stage{slow, stage("f", "a", "fast", 0, 10)}, demand, even)
+		slow.Slowdown = 5
+		path := Choose(engine(), []Candidate{slow, stage("f", "a", "fast", 0, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
 		full := stage("f", "a", "fast", 0, 10)
 		full.Tokens = 1e9
-		path = Choose(engine(), []Stage{stage("s", "a", "fast", 0, 10), full}, demand, even)
+		path = Choose(engine(), []Candidate{stage("s", "a", "fast", 0, 10), full}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"s=0-10"}))
 	})
 })
@@ -161,7 +161,7 @@
 func TestEveryLayerOnce(t *testing.T) {
 	e := engine()
 	rapid.Check(t, func(rt *rapid.T) {
-		var stages []Stage
+		var stages []Candidate
 		held := make([]bool, e.Layers)
 		for i := range rapid.IntRange(1, 12).Draw(rt, "stages") {
 			from := rapid.IntRange(0, 9).Draw(rt, "from")
@@ -186,7 +186,7 @@
 			}
 			return
 		}
-		if !Whole(e, path) {
+		if !CoversAllLayers(e, path) {
 			rt.Fatalf("not every layer once: %v", ids(path))
 		}
 		seen := map[string]bool{}
--- a/pkg/pattern/endpoint.go
+++ b/pkg/pattern/endpoint.go
@@ -14,7 +14,7 @@
 type endpoint struct {
 	clock  *clock
 	engine *fleet.Engine
-	shape  *Shape
+	shape  *Scenario
 
 	id     string
 	domain string
@@ -84,7 +84,7 @@
 // and what is done at its end.
 func (e *endpoint) take() (time.Duration, []*visit) {
 	kind := e.engine.Kinds[e.kind]
-	left := float64(e.shape.Chunk * e.shape.Stride)
+	left := float64(e.shape.Chunk * e.shape.TokensPerEvent)
 	steps := 1
 	widest := 0
 	writing := 0.0 // ms of one step, beyond the step itself
@@ -94,7 +94,7 @@
 		share := float64(v.layers) / float64(e.engine.Layers)
 		switch {
 		case v.read == 0:
-			steps = e.shape.Stride
+			steps = e.shape.TokensPerEvent
 			writing += share * (millis(e.engine.PerSequence) + v.s.context()/1000*millis(e.engine.PerContext))
 		case left > 0:
 			n := min(left, v.read)
--- a/pkg/pattern/host.go
+++ b/pkg/pattern/host.go
@@ -31,7 +31,7 @@
 	own    map[string]load
 	others map[string]load
 	then   map[string]load // own, when it was told of the others
-	crowd  *crowd.Crowd
+	crowd  *crowd.Spreader
 }
 
 func newHost(m *Model, domain string) *host {
@@ -75,15 +75,15 @@
 
 // stages returns the endpoints as this host sees them. What it has begun since it
 // was told of the others, they are taken to have begun too.
-func (h *host) stages(avoid map[string]bool) []pathing.Stage {
-	var list []pathing.Stage
+func (h *host) stages(avoid map[string]bool) []pathing.Candidate {
+	var list []pathing.Candidate
 	for _, e := range h.m.endpoints {
 		if avoid[e.id] || e.layers.Len() == 0 {
 			continue
 		}
 		own, others, then := h.own[e.id], h.others[e.id], h.then[e.id]
 		more := float64(len(h.m.hosts) - 1)
-		list = append(list, pathing.Stage{
+		list = append(list, pathing.Candidate{
 			ID:       e.id,
 			Address:  e.id,
 			Domain:   e.domain,
@@ -91,17 +91,17 @@
 			Layers:   e.layers,
 			Requests: float64(own.requests+others.requests) + more*float64(max(0, own.requests-then.requests)),
 			Tokens:   own.tokens + others.tokens + more*max(0, own.tokens-then.tokens),
-			Slow:     1,
+			Slowdown: 1,
 		})
 	}
 	return list
 }
 
 // choose returns a path all of whose endpoints have room, or nil.
-func (h *host) choose(s *stream) []fleet.Part {
+func (h *host) choose(s *stream) []fleet.Stage {
 	avoid := map[string]bool{}
 	d := s.demand
-	d.Home = h.domain
+	d.HomeDomain = h.domain
 	for range sends {
 		path := pathing.Choose(h.m.shape.Engine, h.stages(avoid), d, h.jitter)
 		if path == nil {
