--- a/pkg/pattern/limits.go
+++ b/pkg/pattern/limits.go
@@ -11,21 +11,21 @@
 	"github.com/larchwinch/larchwinch/pkg/permit"
 )
 
-// Way is how hosts keep the sum of what they send to an endpoint that has a limit.
-type Way int
+// LimitStrategy is how hosts keep the sum of what they send to an endpoint that has a limit.
+type LimitStrategy int
 
 // The ways.
 const (
-	// Lent: the leader lends permits, each for one call.
-	Lent Way = iota
-	// EqualParts: each host sends the limit's part for the number of hosts.
-	EqualParts
-	// FewHosts: some hosts, by hash, share the limit, and the others send nothing.
-	FewHosts
+	// GrantedPermits: the leader lends permits, each for one call.
+	GrantedPermits LimitStrategy = iota
+	// EqualShares: each host sends the limit's part for the number of hosts.
+	EqualShares
+	// HostSubset: some hosts, by hash, share the limit, and the others send nothing.
+	HostSubset
 )
 
 // String returns the way's name.
-func (w Way) String() string {
+func (w LimitStrategy) String() string {
 	return [...]string{"lent", "equal parts", "few hosts"}[w]
 }
 
@@ -45,9 +45,9 @@
 	limitService = "s"
 )
 
-// LimitShape is a play of endpoints that name limits.
-type LimitShape struct {
-	Way       Way
+// LimitScenario is a play of endpoints that name limits.
+type LimitScenario struct {
+	Strategy  LimitStrategy
 	Hosts     int
 	Endpoints int
 	// PerSecond is the requests of all hosts together.
@@ -56,15 +56,15 @@
 	Limit func(endpoint int, now time.Duration) float64
 }
 
-// Limits is one play of endpoints that name limits: the permits are the product's own code,
+// LimitModel is one play of endpoints that name limits: the permits are the product's own code,
 // the hosts, the leader's calls and the endpoints are a model.
-type Limits struct {
-	shape     LimitShape
+type LimitModel struct {
+	shape     LimitScenario
 	clock     *clock
 	rand      *rand.Rand
 	hosts     []*limitHost
 	endpoints []*limitEndpoint
-	lender    *permit.Lender
+	lender    *permit.Granter
 	term      uint64
 	leads     bool // a leader is there
 	// Refused is when requests were refused, and Calls counts what the leader was called.
@@ -81,9 +81,9 @@
 
 // limitHost is an entry host.
 type limitHost struct {
-	m     *Limits
+	m     *LimitModel
 	n     int
-	book  *permit.Book
+	book  *permit.Holder
 	cut   bool // it hears nothing of the leader, nor the leader of it
 	epoch int  // counts starts: what belongs to an older one is void
 	held  *limitHeld
@@ -92,7 +92,7 @@
 
 // limitHeld is a call to the leader that wasn't answered yet.
 type limitHeld struct {
-	report permit.News
+	report permit.HostReport
 	sent   time.Duration
 	term   uint64 // of the leader that heard it; 0: none did
 }
@@ -103,17 +103,17 @@
 	at     time.Duration
 }
 
-// NewLimits returns a play whose hosts know nothing yet.
-func NewLimits(shape LimitShape, seed uint64) *Limits {
-	m := &Limits{
+// NewLimitModel returns a play whose hosts know nothing yet.
+func NewLimitModel(shape LimitScenario, seed uint64) *LimitModel {
+	m := &LimitModel{
 		shape: shape,
 		clock: &clock{},
 		rand:  rand.New(rand.NewPCG(seed, seed)),
 		term:  1,
 		leads: true,
 	}
-	m.lender = permit.NewLender(m)
-	m.lender.Enter(m.term)
+	m.lender = permit.NewGranter(m)
+	m.lender.BeginTerm(m.term)
 	for n := range shape.Endpoints {
 		m.endpoints = append(m.endpoints, &limitEndpoint{
 			id: fmt.Sprintf("e%d", n),
@@ -124,7 +124,7 @@
 		h := &limitHost{
 			m:     m,
 			n:     n,
-			book:  permit.NewBook(m, uint64(n)),
+			book:  permit.NewHolder(m, uint64(n)),
 			parts: map[string]*limitPart{},
 		}
 		m.hosts = append(m.hosts, h)
@@ -136,58 +136,58 @@
 }
 
 // Now implements permit.Clock.
-func (m *Limits) Now() time.Time {
+func (m *LimitModel) Now() time.Time {
 	return time.Unix(1000, int64(m.clock.now))
 }
 
 // Run plays on until a time.
-func (m *Limits) Run(until time.Duration) {
+func (m *LimitModel) Run(until time.Duration) {
 	m.clock.runUntil(until)
 }
 
-// LoseLeader takes the leader away; another leads after a while, and knows nothing.
-func (m *Limits) LoseLeader(d time.Duration) {
+// StopLeader takes the leader away; another leads after a while, and knows nothing.
+func (m *LimitModel) StopLeader(d time.Duration) {
 	m.leads = false
 	m.clock.after(d, func() {
 		m.leads = true
 		m.term++
-		m.lender.Enter(m.term)
+		m.lender.BeginTerm(m.term)
 	})
 }
 
-// Cut cuts a host off from the leader, or takes that back.
-func (m *Limits) Cut(host int, cut bool) {
+// SetPartitioned cuts a host off from the leader, or takes that back.
+func (m *LimitModel) SetPartitioned(host int, cut bool) {
 	m.hosts[host].cut = cut
 }
 
 // Restart starts a host anew: it knows nothing.
-func (m *Limits) Restart(host int) {
+func (m *LimitModel) Restart(host int) {
 	m.hosts[host].start()
 }
 
-func (m *Limits) sweep() {
-	if m.leads && len(m.lender.Sweep()) > 0 {
+func (m *LimitModel) sweep() {
+	if m.leads && len(m.lender.Expire()) > 0 {
 		m.news()
 	}
 	m.clock.after(limitSweep, m.sweep)
 }
 
-func (m *Limits) gap() time.Duration {
+func (m *LimitModel) gap() time.Duration {
 	return time.Duration(m.rand.ExpFloat64() / m.shape.PerSecond * float64(time.Second))
 }
 
 // ask is one caller's request, at any host.
-func (m *Limits) ask() {
+func (m *LimitModel) ask() {
 	m.clock.after(m.gap(), m.ask)
 	h := m.hosts[m.rand.IntN(len(m.hosts))]
-	h.book.Ask(limitService)
+	h.book.CountRequest(limitService)
 	h.serve(m.clock.now + limitBorrow)
 }
 
 // start begins a host anew.
 func (h *limitHost) start() {
 	h.epoch++
-	h.book = permit.NewBook(h.m, uint64(h.n))
+	h.book = permit.NewHolder(h.m, uint64(h.n))
 	h.parts = map[string]*limitPart{}
 	h.held = nil
 	h.call()
@@ -197,7 +197,7 @@
 func (h *limitHost) call() {
 	epoch := h.epoch
 	held := &limitHeld{
-		report: h.book.News(),
+		report: h.book.TakeReport(),
 		sent:   h.m.clock.now,
 	}
 	h.held = held
@@ -211,21 +211,21 @@
 }
 
 // hear takes what a host reports.
-func (m *Limits) hear(h *limitHost, held *limitHeld) {
+func (m *LimitModel) hear(h *limitHost, held *limitHeld) {
 	if !m.leads || h.cut {
 		return
 	}
 	held.term = m.term
 	rep := held.report
-	news := m.lender.Hear(rep.Words)
-	m.lender.Unused(rep.Term, rep.Unused)
+	news := m.lender.Observe(rep.LimitReports)
+	m.lender.ReturnUnused(rep.Term, rep.Unused)
 	if len(news) > 0 {
 		m.news()
 	}
 }
 
 // news answers all calls that were held for long enough.
-func (m *Limits) news() {
+func (m *LimitModel) news() {
 	gather := limitGather * time.Duration(len(m.hosts))
 	for _, h := range m.hosts {
 		held, epoch := h.held, h.epoch
@@ -249,21 +249,21 @@
 		m.clock.after(limitCall, func() { h.again(epoch) })
 		return
 	}
-	list, version, whole := m.lender.Since(rep.Term, rep.Version, rep.Digest)
-	lent := permit.Table{}
+	list, version, whole := m.lender.ChangesSince(rep.Term, rep.Version, rep.Digest)
+	lent := permit.Counts{}
 	for _, d := range rep.Demands {
-		lent = m.lender.Lend(d)
+		lent = m.lender.Grant(d)
 	}
-	end := m.Now().Add(permit.Valid)
+	end := m.Now().Add(permit.Lifetime)
 	term := m.term
 	m.clock.after(limitHop, func() {
 		if h.epoch != epoch || h.cut { // the answer is lost
 			h.again(epoch)
 			return
 		}
-		h.book.Told(term, rep.Words)
-		h.book.Install(term, version, whole, list)
-		h.book.Grant(term, lent, end)
+		h.book.Acknowledge(term, rep.LimitReports)
+		h.book.ApplyChanges(term, version, whole, list)
+		h.book.AddPermits(term, lent, end)
 		h.again(epoch)
 	})
 }
@@ -284,7 +284,7 @@
 		switch {
 		case !h.may(e):
 			scarce = append(scarce, e)
-		case best == nil || h.book.Limited(e.id):
+		case best == nil || h.book.HasLimit(e.id):
 			best = e
 		}
 	}
@@ -302,11 +302,11 @@
 
 // may reports whether an endpoint may be called.
 func (h *limitHost) may(e *limitEndpoint) bool {
-	if !h.book.Limited(e.id) {
+	if !h.book.HasLimit(e.id) {
 		return true
 	}
-	if h.m.shape.Way == Lent {
-		return h.book.May(e.id)
+	if h.m.shape.Strategy == GrantedPermits {
+		return h.book.MayCall(e.id)
 	}
 	return h.part(e).tokens >= 1
 }
@@ -330,7 +330,7 @@
 // shareOf returns a host's share of an endpoint's limit.
 func (h *limitHost) shareOf(e *limitEndpoint) float64 {
 	hosts := float64(len(h.m.hosts))
-	if h.m.shape.Way == EqualParts {
+	if h.m.shape.Strategy == EqualShares {
 		return 1 / hosts
 	}
 	few := math.Min(hosts, math.Max(1, math.Floor(h.m.shape.Limit(e.n, h.m.clock.now))))
@@ -342,11 +342,11 @@
 
 // send sends a request, and hears the answer.
 func (h *limitHost) send(e *limitEndpoint) {
-	if h.book.Limited(e.id) {
-		if h.m.shape.Way == Lent && !h.book.Take(e.id) {
+	if h.book.HasLimit(e.id) {
+		if h.m.shape.Strategy == GrantedPermits && !h.book.TryAcquire(e.id) {
 			return
 		}
-		if h.m.shape.Way != Lent {
+		if h.m.shape.Strategy != GrantedPermits {
 			h.part(e).tokens--
 		}
 	}
@@ -357,77 +357,77 @@
 			return
 		}
 		l := fleet.Limit{
-			Says: fleet.LimitNone,
+			Status: fleet.LimitNone,
 		}
 		if n := m.shape.Limit(e.n, m.clock.now); n >= 0 {
 			l = fleet.Limit{
-				Says:      fleet.LimitNamed,
+				Status:    fleet.LimitSet,
 				PerSecond: n,
 			}
 		}
-		if h.book.Hear(e.id, limitService, l, sent) {
-			words := h.book.Words()
+		if h.book.Observe(e.id, limitService, l, sent) {
+			words := h.book.PendingReports()
 			m.clock.after(limitHop, func() { m.tell(h, words) })
 		}
 	})
 }
 
 // tell tells the leader at once of limits that a host heard.
-func (m *Limits) tell(h *limitHost, words []permit.Word) {
+func (m *LimitModel) tell(h *limitHost, words []permit.LimitReport) {
 	m.Calls++
 	if !m.leads || h.cut {
 		return
 	}
-	if len(m.lender.Hear(words)) > 0 {
+	if len(m.lender.Observe(words)) > 0 {
 		m.news()
 	}
-	h.book.Told(m.term, words)
+	h.book.Acknowledge(m.term, words)
 }
 
 // borrow asks the leader for a permit for any of the endpoints.
 func (h *limitHost) borrow(list []*limitEndpoint, end time.Duration) {
 	m := h.m
-	if m.shape.Way != Lent || !m.leads || h.cut {
+	if m.shape.Strategy != GrantedPermits || !m.leads || h.cut {
 		m.Refused = append(m.Refused, m.clock.now)
 		return
 	}
 	keys := make([]uint32, 0, len(list))
 	for _, e := range list {
-		keys = append(keys, permit.Key(e.id))
+		keys = append(keys, permit.EndpointKey(e.id))
 	}
 	m.Calls++
-	loan := m.lender.Queue(keys, false, 0)
+	loan := m.lender.Enqueue(keys, false, 0)
 	m.clock.after(limitHop, func() { h.try(loan, end) })
 }
 
 // try tries to lend what is asked for, until end.
-func (h *limitHost) try(loan *permit.Loan, end time.Duration) {
+func (h *limitHost) try(loan *permit.Waiter, end time.Duration) {
 	m, epoch := h.m, h.epoch
-	lent, due := m.lender.Try(loan)
+	lent, due := m.lender.TryGrant(loan)
 	switch {
 	case due == 0:
-		m.lender.Leave(loan)
-		term, until := m.term, m.Now().Add(permit.Valid)
+		m.lender.Dequeue(loan)
+		term, until := m.term, m.Now().Add(permit.Lifetime)
 		m.clock.after(limitHop, func() {
 			if h.epoch != epoch || h.cut {
 				return
 			}
-			h.book.Grant(term, lent, until)
+			h.book.AddPermits(term, lent, until)
 			h.serve(end)
 		})
 	case m.clock.now+due > end && h.anyFree():
-		m.lender.Leave(loan)
+		m.lender.Dequeue(loan)
 		h.serve(end)
 	case m.clock.now+due > end:
-		m.lender.Leave(loan)
+		m.lender.Dequeue(loan)
 		m.Refused = append(m.Refused, m.clock.now)
 	default:
 		m.clock.after(due, func() { h.try(loan, end) })
 	}
 }
 
-// Reached returns how many requests reached an endpoint in [from, to).
-func (m *Limits) Reached(endpoint int, from, to time.Duration) int {
+// ReachedIn returns how many requests reached an endpoint in [from, to).
+func (m *LimitModel) ReachedIn(endpoint int, from, to time.Duration) int {
 	n := 0
 	for _, at := range m.endpoints[endpoint].reached {
 		if at >= from && at < to {
@@ -437,8 +437,8 @@
 	return n
 }
 
-// Most returns the most requests that reached an endpoint in d within [from, to).
-func (m *Limits) Most(endpoint int, d, from, to time.Duration) int {
+// MaxInWindow returns the most requests that reached an endpoint in d within [from, to).
+func (m *LimitModel) MaxInWindow(endpoint int, d, from, to time.Duration) int {
 	most, first := 0, 0
 	list := m.endpoints[endpoint].reached
 	for last, at := range list {
@@ -452,11 +452,11 @@
 	return most
 }
 
-// Knowing returns how many hosts know that an endpoint has a limit.
-func (m *Limits) Knowing(endpoint int) int {
+// HostsAware returns how many hosts know that an endpoint has a limit.
+func (m *LimitModel) HostsAware(endpoint int) int {
 	n := 0
 	for _, h := range m.hosts {
-		if h.book.Limited(m.endpoints[endpoint].id) {
+		if h.book.HasLimit(m.endpoints[endpoint].id) {
 			n++
 		}
 	}
@@ -464,7 +464,7 @@
 }
 
 // RefusedIn returns how many requests were refused in [from, to).
-func (m *Limits) RefusedIn(from, to time.Duration) int {
+func (m *LimitModel) RefusedIn(from, to time.Duration) int {
 	n := 0
 	for _, at := range m.Refused {
 		if at >= from && at < to {
--- a/pkg/pattern/pattern.go
+++ b/pkg/pattern/pattern.go
@@ -24,14 +24,14 @@
 	Count  int
 }
 
-// Shape is a deployment and its work.
-type Shape struct {
+// Scenario is a deployment and its work.
+type Scenario struct {
 	Engine *fleet.Engine
 	Groups []Group
 	// Hosts is how many entry hosts each failure domain has.
 	Hosts int
-	// Stride is how many tokens an event holds and a pass writes.
-	Stride int
+	// TokensPerEvent is how many tokens an event holds and a pass writes.
+	TokensPerEvent int
 	// Chunk is how many prompt tokens a step reads at most.
 	Chunk int
 	// Hop is the time between two endpoints of a failure domain.
@@ -40,17 +40,17 @@
 	PerSecond float64
 	// Prompt, in tokens, and Events are means; Spread is the standard deviation of
 	// their logarithms.
-	Prompt float64
-	Events float64
-	Spread float64
-	// Goal is for the first event, GapGoal for the longest pause.
-	Goal    time.Duration
-	GapGoal time.Duration
+	Prompt    float64
+	Events    float64
+	SizeSigma float64
+	// FirstEventGoal is for the first event, GapGoal for the longest pause.
+	FirstEventGoal time.Duration
+	PauseGoal      time.Duration
 }
 
 // Model is one play.
 type Model struct {
-	shape     *Shape
+	shape     *Scenario
 	clock     *clock
 	rand      *rand.Rand
 	endpoints []*endpoint
@@ -64,7 +64,7 @@
 }
 
 // New returns a model whose layers are placed.
-func New(shape *Shape, seed uint64) *Model {
+func New(shape *Scenario, seed uint64) *Model {
 	m := &Model{
 		shape: shape,
 		clock: &clock{},
@@ -109,14 +109,14 @@
 // place carries out plans until nothing is due.
 func (m *Model) place() {
 	for range placements {
-		var servers []placement.Server
+		var servers []placement.EndpointState
 		for _, e := range m.endpoints {
-			servers = append(servers, placement.Server{
-				ID:     e.id,
-				Domain: e.domain,
-				Kind:   e.kind,
-				Layers: e.layers,
-				Slow:   1,
+			servers = append(servers, placement.EndpointState{
+				ID:       e.id,
+				Domain:   e.domain,
+				Kind:     e.kind,
+				Layers:   e.layers,
+				Slowdown: 1,
 			})
 		}
 		orders := placement.Plan(m.shape.Engine, servers)
@@ -171,7 +171,7 @@
 		host: m.hosts[m.rand.IntN(len(m.hosts))],
 		demand: pathing.Demand{
 			Prompt: math.Ceil(m.draw(m.shape.Prompt)),
-			Answer: float64(events * m.shape.Stride),
+			Answer: float64(events * m.shape.TokensPerEvent),
 		},
 		events: events,
 		asked:  m.clock.now,
@@ -184,7 +184,7 @@
 
 // draw draws a size by its mean.
 func (m *Model) draw(mean float64) float64 {
-	spread := m.shape.Spread
+	spread := m.shape.SizeSigma
 	return mean * math.Exp(spread*m.rand.NormFloat64()-spread*spread/2)
 }
 
@@ -193,10 +193,10 @@
 	m.clock.runUntil(until)
 }
 
-// StopAll stops every host: all streams are cut. Their callers come back once they
+// StopAllHosts stops every host: all streams are cut. Their callers come back once they
 // have waited patience for an event. The hosts are back after down, and know what they
 // must only settle later; who comes before waits there.
-func (m *Model) StopAll(down, settle, patience time.Duration) {
+func (m *Model) StopAllHosts(down, settle, patience time.Duration) {
 	stop := m.clock.now
 	m.down = true
 	for _, h := range m.hosts {
@@ -229,14 +229,14 @@
 
 // Result is what callers got that first asked in some span of time.
 type Result struct {
-	Asked   int
-	InTime  int
-	Refused int
-	// Whole is how many got all of their answer, in time or late.
-	Whole int
-	// Took is the mean time of whole answers, and Parts the mean length of paths.
-	Took  time.Duration
-	Parts float64
+	Requested int
+	InTime    int
+	Refused   int
+	// Completed is how many got all of their answer, in time or late.
+	Completed int
+	// MeanDuration is the mean time of whole answers, and Parts the mean length of paths.
+	MeanDuration   time.Duration
+	MeanPathLength float64
 }
 
 // Between returns what became of requests that were first asked for in [from, to).
@@ -248,10 +248,10 @@
 		if s.asked < from || s.asked >= to {
 			continue
 		}
-		r.Asked++
+		r.Requested++
 		switch {
 		case s.ended && s.given >= s.events:
-			r.Whole++
+			r.Completed++
 			sum += s.took()
 			parts += len(s.parts)
 		case s.ended:
@@ -261,9 +261,9 @@
 			r.InTime++
 		}
 	}
-	if r.Whole > 0 {
-		r.Took = sum / time.Duration(r.Whole)
-		r.Parts = float64(parts) / float64(r.Whole)
+	if r.Completed > 0 {
+		r.MeanDuration = sum / time.Duration(r.Completed)
+		r.MeanPathLength = float64(parts) / float64(r.Completed)
 	}
 	return r
 }
--- a/pkg/pattern/pattern_test.go
+++ b/pkg/pattern/pattern_test.go
@@ -17,8 +17,8 @@
 // mixed is a deployment of three kinds of accelerators in three failure domains, with
 // figures of the users' pages: 8 of the fastest, 30, and 48 of the slowest, before
 // 255 streams a second of 800 tokens in and 47 events of 5 tokens out.
-func mixed() *Shape {
-	return &Shape{
+func mixed() *Scenario {
+	return &Scenario{
 		Engine: &fleet.Engine{
 			Layers:        80,
 			LayerMB:       1750,
@@ -46,16 +46,16 @@
 			{Kind: "mid", Domain: "a", Count: 15}, {Kind: "mid", Domain: "b", Count: 6}, {Kind: "mid", Domain: "c", Count: 9},
 			{Kind: "slow", Domain: "a", Count: 12}, {Kind: "slow", Domain: "b", Count: 14}, {Kind: "slow", Domain: "c", Count: 22},
 		},
-		Hosts:     26,
-		Stride:    5,
-		Chunk:     512,
-		Hop:       100 * time.Microsecond,
-		PerSecond: 255,
-		Prompt:    770,
-		Events:    47,
-		Spread:    0.8,
-		Goal:      500 * time.Millisecond,
-		GapGoal:   250 * time.Millisecond,
+		Hosts:          26,
+		TokensPerEvent: 5,
+		Chunk:          512,
+		Hop:            100 * time.Microsecond,
+		PerSecond:      255,
+		Prompt:         770,
+		Events:         47,
+		SizeSigma:      0.8,
+		FirstEventGoal: 500 * time.Millisecond,
+		PauseGoal:      250 * time.Millisecond,
 	}
 }
 
@@ -72,9 +72,9 @@
 			m.Run(14 * time.Second)
 			r := m.Between(5*time.Second, 7*time.Second)
 			Expect(r.Refused).To(BeZero())
-			Expect(r.Whole).To(BeNumerically(">", 0.98*float64(r.Asked)), "the longest still run")
-			parts += r.Parts / float64(len(seeds))
-			took += r.Took / time.Duration(len(seeds))
+			Expect(r.Completed).To(BeNumerically(">", 0.98*float64(r.Requested)), "the longest still run")
+			parts += r.MeanPathLength / float64(len(seeds))
+			took += r.MeanDuration / time.Duration(len(seeds))
 		}
 		Expect(parts).To(BeNumerically("<", 4.75))
 		Expect(took).To(BeNumerically("<", 2050*time.Millisecond))
@@ -89,10 +89,10 @@
 		for _, seed := range seeds {
 			m := New(mixed(), seed)
 			m.Run(7 * time.Second)
-			m.StopAll(500*time.Millisecond, time.Second, 100*time.Millisecond)
+			m.StopAllHosts(500*time.Millisecond, time.Second, 100*time.Millisecond)
 			m.Run(12 * time.Second)
 			r := m.Between(7700*time.Millisecond, 9*time.Second)
-			asked += r.Asked
+			asked += r.Requested
 			inTime += r.InTime
 		}
 		Expect(float64(inTime)).To(BeNumerically(">", 0.51*float64(asked)), "0.46 if none is held back, 0.54 with it")
--- a/pkg/pattern/stream.go
+++ b/pkg/pattern/stream.go
@@ -28,7 +28,7 @@
 
 // context returns the tokens that the stream holds at each endpoint.
 func (s *stream) context() float64 {
-	return s.demand.Prompt + float64(s.given*s.m.shape.Stride)
+	return s.demand.Prompt + float64(s.given*s.m.shape.TokensPerEvent)
 }
 
 // come has the host take the stream from a time on: one that is resumed may have to
@@ -36,11 +36,11 @@
 func (s *stream) come(ready time.Duration) {
 	s.m.clock.after(ready-s.m.clock.now, func() {
 		if !s.cut {
-			s.host.crowd.Begin()
+			s.host.crowd.NoteNew()
 			s.start()
 			return
 		}
-		s.m.clock.after(s.host.crowd.Resume(s.m.Now()), s.start)
+		s.m.clock.after(s.host.crowd.ResumeDelay(s.m.Now()), s.start)
 	})
 }
 
@@ -62,7 +62,7 @@
 		s.layers = append(s.layers, p.Layers.Len())
 		e.requests++
 		e.tokens += s.context()
-		s.host.begin(e.id, s.demand.Memory())
+		s.host.begin(e.id, s.demand.MeanKVTokens())
 	}
 	s.visit(0, s.context())
 }
@@ -107,7 +107,7 @@
 	s.lastT = now
 	s.given++
 	for _, e := range s.parts {
-		e.tokens += float64(s.m.shape.Stride)
+		e.tokens += float64(s.m.shape.TokensPerEvent)
 	}
 	if s.given >= s.events {
 		s.leave()
@@ -125,7 +125,7 @@
 	for _, e := range s.parts {
 		e.requests--
 		e.tokens -= s.context()
-		s.host.end(e.id, s.demand.Memory())
+		s.host.end(e.id, s.demand.MeanKVTokens())
 	}
 	s.sent = false
 	s.epoch++
@@ -133,7 +133,7 @@
 
 // inTime reports whether the caller got all it asked for as it should.
 func (s *stream) inTime() bool {
-	return s.ended && s.firstT > 0 && s.firstT-s.asked <= s.m.shape.Goal && s.pause <= s.m.shape.GapGoal
+	return s.ended && s.firstT > 0 && s.firstT-s.asked <= s.m.shape.FirstEventGoal && s.pause <= s.m.shape.PauseGoal
 }
 
 // took returns how long the answer took.
--- a/pkg/permit/account.go
+++ b/pkg/permit/account.go
@@ -30,7 +30,7 @@
 	// slotTime parts the time in which permits were lent. lentSlots cover the time for
 	// which they are valid, and the slot that has begun.
 	slotTime  = 100 * time.Millisecond
-	lentSlots = int64(Valid/slotTime) + 1
+	lentSlots = int64(Lifetime/slotTime) + 1
 )
 
 // account is what the leader knows of one endpoint that has a limit.
@@ -54,25 +54,25 @@
 	// zero: there is none.
 	unnamed time.Time
 	ended   bool
-	queue   []*Loan
+	queue   []*Waiter
 }
 
-func newAccount(w Word, now time.Time) *account {
+func newAccount(w LimitReport, now time.Time) *account {
 	return &account{
 		key:     w.Key,
 		service: w.Service,
 		limit:   w.PerSecond,
 		credit:  -w.PerSecond * pauseTime.Seconds(),
 		at:      now,
-		setSent: w.Sent,
-		setAt:   w.Heard,
+		setSent: w.SentAt,
+		setAt:   w.ReceivedAt,
 		toldAt:  now,
 	}
 }
 
 // change tells that the endpoint has a limit.
-func (a *account) change() Change {
-	return Change{
+func (a *account) change() LimitChange {
+	return LimitChange{
 		Key:       a.key,
 		Service:   a.service,
 		PerSecond: a.limit,
@@ -151,39 +151,39 @@
 
 // hear takes a word. Of two whose times overlap the lower limit stands: a word that is
 // late may neither raise a limit nor end one.
-func (a *account) hear(w Word, now time.Time) {
+func (a *account) hear(w LimitReport, now time.Time) {
 	a.toldAt = now
-	later := !w.Sent.Before(a.setAt.Add(wordSlack))
+	later := !w.SentAt.Before(a.setAt.Add(wordSlack))
 	if !w.names() {
 		switch {
 		case !later:
 		case a.unnamed.IsZero():
-			a.unnamed = w.Sent
-		case w.Sent.Sub(a.unnamed) >= overTime:
+			a.unnamed = w.SentAt
+		case w.SentAt.Sub(a.unnamed) >= overTime:
 			a.ended = true
 		}
 		return
 	}
-	if !w.Heard.Before(a.unnamed) {
+	if !w.ReceivedAt.Before(a.unnamed) {
 		a.unnamed = time.Time{}
 	}
-	earlier := w.Heard.Before(a.setSent)
-	if earlier || w.PerSecond > a.limit && !later || w.PerSecond == a.limit && !w.Heard.After(a.setAt) {
+	earlier := w.ReceivedAt.Before(a.setSent)
+	if earlier || w.PerSecond > a.limit && !later || w.PerSecond == a.limit && !w.ReceivedAt.After(a.setAt) {
 		return
 	}
 	a.set(w, now)
 }
 
 // set takes the limit of a word.
-func (a *account) set(w Word, now time.Time) {
+func (a *account) set(w LimitReport, now time.Time) {
 	a.refill(now)
 	if w.PerSecond < a.limit { // until now it got what it can't bear any more
 		a.credit = math.Min(a.credit, pauseTime.Seconds()*math.Max(w.PerSecond-a.limit, -w.PerSecond))
 	}
 	a.limit = w.PerSecond
-	a.setSent = w.Sent
-	if w.Heard.After(a.setAt) {
-		a.setAt = w.Heard
+	a.setSent = w.SentAt
+	if w.ReceivedAt.After(a.setAt) {
+		a.setAt = w.ReceivedAt
 	}
 }
 
--- a/pkg/permit/book.go
+++ b/pkg/permit/book.go
@@ -27,13 +27,13 @@
 	mostWanted = 32
 )
 
-// Book is what a host knows of endpoints that have limits, and the permits that it holds.
+// Holder is what a host knows of endpoints that have limits, and the permits that it holds.
 // It is safe for use by several goroutines.
 //
 // Invariant: an endpoint that has a limit is called by a permit that wasn't used, and
 // isn't over. A host alone never ends a limit: it tells what it heard, and the leader
 // weighs that with what others heard.
-type Book struct {
+type Holder struct {
 	clock Clock
 
 	// seed is this host's own, so that not all hosts tell the same at the same time.
@@ -44,17 +44,17 @@
 	digest  uint64 // of their keys
 	term    uint64 // of the leader whose limits are held, up to version
 	version uint64
-	words   map[uint32]Word   // to be told, the newest of each endpoint
-	asked   map[string]*asked // by service
-	next    uint32            // key from which on endpoints are asked for
-	unused  Table             // permits of term that were over, to be told
+	words   map[uint32]LimitReport // to be told, the newest of each endpoint
+	asked   map[string]*asked      // by service
+	next    uint32                 // key from which on endpoints are asked for
+	unused  Counts                 // permits of term that were over, to be told
 }
 
 // row is one endpoint that has a limit.
 type row struct {
-	word Word   // the last that named it
-	told uint64 // term of the leader that knows; 0: none does
-	held []held // permits, the oldest first
+	word LimitReport // the last that named it
+	told uint64      // term of the leader that knows; 0: none does
+	held []held      // permits, the oldest first
 	// noneAt is when it was last told that an answer names none.
 	noneAt time.Time
 	// retellAt is when the leader of the term retell is told, which doesn't know of it.
@@ -83,35 +83,35 @@
 	term uint64 // of the leader that lent it
 }
 
-// NewBook returns a book without limits; seed should differ from host to host.
-func NewBook(clock Clock, seed uint64) *Book {
-	return &Book{
+// NewHolder returns a book without limits; seed should differ from host to host.
+func NewHolder(clock Clock, seed uint64) *Holder {
+	return &Holder{
 		clock:  clock,
 		seed:   seed,
 		rows:   map[uint32]*row{},
-		words:  map[uint32]Word{},
+		words:  map[uint32]LimitReport{},
 		asked:  map[string]*asked{},
-		unused: Table{},
+		unused: Counts{},
 	}
 }
 
-// Hear takes what an answer to a call sent at a time says of an endpoint's limit. It
+// Observe takes what an answer to a call sent at a time says of an endpoint's limit. It
 // reports whether that is news, which the leader must learn at once.
-func (b *Book) Hear(id, service string, l fleet.Limit, sent time.Time) bool {
+func (b *Holder) Observe(id, service string, l fleet.Limit, sent time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.Says == fleet.LimitUnsaid || l.Says == fleet.LimitNone && len(b.rows) == 0 {
+	if l.Status == fleet.LimitUnknown || l.Status == fleet.LimitNone && len(b.rows) == 0 {
 		return false
 	}
-	w := Word{
-		Key:       Key(id),
-		Service:   service,
-		PerSecond: -1,
-		Sent:      sent,
-		Heard:     b.clock.Now(),
+	w := LimitReport{
+		Key:        EndpointKey(id),
+		Service:    service,
+		PerSecond:  -1,
+		SentAt:     sent,
+		ReceivedAt: b.clock.Now(),
 	}
 	r := b.rows[w.Key]
-	if l.Says == fleet.LimitNone {
+	if l.Status == fleet.LimitNone {
 		return r != nil && b.hearNone(r, w)
 	}
 	w.PerSecond = l.PerSecond
@@ -129,8 +129,8 @@
 
 // hearNone takes an answer that names no limit, from an endpoint that has one. It may have
 // begun before the limit was named.
-func (b *Book) hearNone(r *row, w Word) bool {
-	if w.Sent.Before(r.word.Heard) {
+func (b *Holder) hearNone(r *row, w LimitReport) bool {
+	if w.SentAt.Before(r.word.ReceivedAt) {
 		return false
 	}
 	old, waits := b.words[w.Key]
@@ -142,19 +142,19 @@
 		return false
 	}
 	b.words[w.Key] = w
-	news := w.Heard.Sub(r.noneAt) > overTime
+	news := w.ReceivedAt.Sub(r.noneAt) > overTime
 	if news {
-		r.noneAt = w.Heard
+		r.noneAt = w.ReceivedAt
 	}
 	return news
 }
 
-func (b *Book) add(r *row) {
+func (b *Holder) add(r *row) {
 	b.rows[r.word.Key] = r
 	b.digest += digestOf(r.word.Key)
 }
 
-func (b *Book) remove(key uint32) {
+func (b *Holder) remove(key uint32) {
 	if b.rows[key] != nil {
 		b.digest -= digestOf(key)
 	}
@@ -163,48 +163,48 @@
 	delete(b.unused, key)
 }
 
-// Limited reports whether an endpoint has a limit.
-func (b *Book) Limited(id string) bool {
+// HasLimit reports whether an endpoint has a limit.
+func (b *Holder) HasLimit(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.rows) > 0 && b.rows[Key(id)] != nil
+	return len(b.rows) > 0 && b.rows[EndpointKey(id)] != nil
 }
 
-// Any reports whether any endpoint has a limit.
-func (b *Book) Any() bool {
+// HasLimits reports whether any endpoint has a limit.
+func (b *Holder) HasLimits() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.rows) > 0
 }
 
-// May reports whether an endpoint may be called now.
-func (b *Book) May(id string) bool {
+// MayCall reports whether an endpoint may be called now.
+func (b *Holder) MayCall(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.may(id)
 }
 
-func (b *Book) may(id string) bool {
+func (b *Holder) may(id string) bool {
 	if len(b.rows) == 0 {
 		return true
 	}
-	key := Key(id)
+	key := EndpointKey(id)
 	r := b.rows[key]
 	return r == nil || b.drop(key, r, b.clock.Now()) > 0
 }
 
-// Take takes what calls to endpoints need, all or nothing, and reports whether it was
+// TryAcquire takes what calls to endpoints need, all or nothing, and reports whether it was
 // there: the calls may be made then, and must follow at once.
-func (b *Book) Take(ids ...string) bool {
+func (b *Holder) TryAcquire(ids ...string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.rows) == 0 {
 		return true
 	}
 	now := b.clock.Now()
-	needed := Table{}
+	needed := Counts{}
 	for _, id := range ids {
-		key := Key(id)
+		key := EndpointKey(id)
 		r := b.rows[key]
 		if r == nil {
 			continue
@@ -223,7 +223,7 @@
 }
 
 // drop takes the permits of an endpoint out that are over, and returns how many are left.
-func (b *Book) drop(key uint32, r *row, now time.Time) int {
+func (b *Holder) drop(key uint32, r *row, now time.Time) int {
 	for len(r.held) > 0 && !now.Before(r.held[0].end) {
 		if r.held[0].term == b.term {
 			b.unused[key]++
@@ -235,8 +235,8 @@
 	return len(r.held)
 }
 
-// Ask counts a request for a service, whose endpoints may have limits.
-func (b *Book) Ask(service string) {
+// CountRequest counts a request for a service, whose endpoints may have limits.
+func (b *Holder) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.rows) == 0 {
@@ -255,37 +255,37 @@
 	a.untold++
 }
 
-// News is what a host tells the leader.
-type News struct {
-	Term    uint64
-	Version uint64
-	Digest  uint64
-	Words   []Word
-	Demands []Demand
-	Unused  Table
+// HostReport is what a host tells the leader.
+type HostReport struct {
+	Term         uint64
+	Version      uint64
+	Digest       uint64
+	LimitReports []LimitReport
+	Demands      []Demand
+	Unused       Counts
 }
 
-// News returns what the leader must be told. What is unused is told once: were it told
+// TakeReport returns what the leader must be told. What is unused is told once: were it told
 // again, since an answer was lost, it would be lent twice.
-func (b *Book) News() News {
+func (b *Holder) TakeReport() HostReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rep := News{
-		Term:    b.term,
-		Version: b.version,
-		Digest:  b.digest,
-		Words:   b.pending(),
+	rep := HostReport{
+		Term:         b.term,
+		Version:      b.version,
+		Digest:       b.digest,
+		LimitReports: b.pending(),
 	}
 	if len(b.rows) > 0 {
 		rep.Demands = b.demands(b.clock.Now())
 	}
 	rep.Unused = b.unused
-	b.unused = Table{}
+	b.unused = Counts{}
 	return rep
 }
 
 // demands returns the requests that weren't told, and forgets services without any.
-func (b *Book) demands(now time.Time) []Demand {
+func (b *Holder) demands(now time.Time) []Demand {
 	wanted := b.wanted(now)
 	var list []Demand
 	for service, a := range b.asked {
@@ -298,7 +298,7 @@
 			Service:  service,
 			Requests: a.untold,
 		}
-		if a.rate*float64(Valid)/float64(rateTime) >= leastUse {
+		if a.rate*float64(Lifetime)/float64(rateTime) >= leastUse {
 			d.Wanted = wanted[service]
 		}
 		a.untold = 0
@@ -309,7 +309,7 @@
 
 // wanted returns the endpoints for which this host holds no permit, in turn, but those
 // whose permits it had no use for.
-func (b *Book) wanted(now time.Time) map[string][]uint32 {
+func (b *Holder) wanted(now time.Time) map[string][]uint32 {
 	keys := make([]uint32, 0, len(b.rows))
 	for key := range b.rows {
 		keys = append(keys, key)
@@ -329,29 +329,29 @@
 	return list
 }
 
-// Words returns what was heard and not told yet.
-func (b *Book) Words() []Word {
+// PendingReports returns what was heard and not told yet.
+func (b *Holder) PendingReports() []LimitReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.pending()
 }
 
-func (b *Book) pending() []Word {
+func (b *Holder) pending() []LimitReport {
 	now := b.clock.Now()
 	for key, r := range b.rows {
 		if _, waits := b.words[key]; !waits && r.told < b.term && !now.Before(r.retellAt) {
 			b.words[key] = r.word
 		}
 	}
-	list := make([]Word, 0, len(b.words))
+	list := make([]LimitReport, 0, len(b.words))
 	for _, w := range b.words {
 		list = append(list, w)
 	}
 	return list
 }
 
-// Told notes that the leader of a term took words.
-func (b *Book) Told(term uint64, words []Word) {
+// Acknowledge notes that the leader of a term took words.
+func (b *Holder) Acknowledge(term uint64, words []LimitReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, w := range words {
@@ -368,21 +368,21 @@
 // is first spares the others.
 const retellTime = time.Second
 
-// Install takes the limits that changed since what was reported, or all of them, or
+// ApplyChanges takes the limits that changed since what was reported, or all of them, or
 // nothing where the host holds the same ones. A limit that the leader doesn't know of
 // stays, and it is told.
-func (b *Book) Install(term, version uint64, whole bool, list []Change) {
+func (b *Holder) ApplyChanges(term, version uint64, whole bool, list []LimitChange) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	same := term != b.term && !whole && len(list) == 0
 	if term != b.term {
-		b.unused = Table{} // lent by another, who doesn't lend any more
+		b.unused = Counts{} // lent by another, who doesn't lend any more
 	}
 	b.term = term
 	b.version = version
 	listed := map[uint32]bool{}
 	for _, c := range list {
-		if c.Over {
+		if c.Removed {
 			b.end(c.Key)
 			continue
 		}
@@ -405,23 +405,23 @@
 }
 
 // part returns a part of d that differs from host to host.
-func (b *Book) part(key uint32, d time.Duration) time.Duration {
+func (b *Holder) part(key uint32, d time.Duration) time.Duration {
 	mixed := digestOf(key ^ uint32(b.seed))
 	return time.Duration(float64(d) * float64(mixed>>32) / (1 << 32))
 }
 
 // learn returns the row of an endpoint of which the leader tells that it has a limit.
-func (b *Book) learn(c Change) *row {
+func (b *Holder) learn(c LimitChange) *row {
 	r := b.rows[c.Key]
 	if r == nil {
 		now := b.clock.Now()
 		r = &row{
-			word: Word{
-				Key:       c.Key,
-				Service:   c.Service,
-				PerSecond: c.PerSecond,
-				Sent:      now,
-				Heard:     now,
+			word: LimitReport{
+				Key:        c.Key,
+				Service:    c.Service,
+				PerSecond:  c.PerSecond,
+				SentAt:     now,
+				ReceivedAt: now,
 			},
 		}
 		b.add(r)
@@ -430,15 +430,15 @@
 }
 
 // end ends a limit, unless it was named anew meanwhile.
-func (b *Book) end(key uint32) {
+func (b *Holder) end(key uint32) {
 	if w, waits := b.words[key]; waits && w.names() {
 		return
 	}
 	b.remove(key)
 }
 
-// Grant notes permits that the leader of a term lent, which may be used until an end.
-func (b *Book) Grant(term uint64, list Table, end time.Time) {
+// AddPermits notes permits that the leader of a term lent, which may be used until an end.
+func (b *Holder) AddPermits(term uint64, list Counts, end time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, n := range list {
@@ -456,7 +456,7 @@
 }
 
 // Size returns how many limits and permits are held.
-func (b *Book) Size() (limits, permits int) {
+func (b *Holder) Size() (limits, permits int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range b.rows {
--- a/pkg/permit/lender.go
+++ b/pkg/permit/lender.go
@@ -19,12 +19,12 @@
 	askedShare = 0.25
 )
 
-// Lender is the leader's side: the endpoints that have limits, and what was lent. It is
+// Granter is the leader's side: the endpoints that have limits, and what was lent. It is
 // safe for use by several goroutines.
 //
 // Invariant: what is known is of one term. Who leads next begins with nothing, and what
 // the one before lent is over soon.
-type Lender struct {
+type Granter struct {
 	clock Clock
 
 	mu       sync.Mutex
@@ -40,7 +40,7 @@
 
 // numbered is a change and the version that it made.
 type numbered struct {
-	Change
+	LimitChange
 	version uint64
 }
 
@@ -51,9 +51,9 @@
 	at     time.Time
 }
 
-// NewLender returns a lender of no term.
-func NewLender(clock Clock) *Lender {
-	return &Lender{
+// NewGranter returns a lender of no term.
+func NewGranter(clock Clock) *Granter {
+	return &Granter{
 		clock:    clock,
 		accounts: map[uint32]*account{},
 		pools:    map[string]*pool{},
@@ -61,8 +61,8 @@
 	}
 }
 
-// Enter begins a term, unless it has begun.
-func (l *Lender) Enter(term uint64) {
+// BeginTerm begins a term, unless it has begun.
+func (l *Granter) BeginTerm(term uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if term <= l.term {
@@ -77,12 +77,12 @@
 	l.wake()
 }
 
-// Hear takes words, and returns which endpoints have a limit since, or none any more.
-func (l *Lender) Hear(words []Word) []Change {
+// Observe takes words, and returns which endpoints have a limit since, or none any more.
+func (l *Granter) Observe(words []LimitReport) []LimitChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	var news []Change
+	var news []LimitChange
 	for _, w := range words {
 		if w.names() {
 			w.PerSecond = math.Max(leastLimit, w.PerSecond)
@@ -101,7 +101,7 @@
 	return news
 }
 
-func (l *Lender) open(w Word, now time.Time) Change {
+func (l *Granter) open(w LimitReport, now time.Time) LimitChange {
 	a := newAccount(w, now)
 	l.accounts[w.Key] = a
 	l.digest += digestOf(w.Key)
@@ -118,7 +118,7 @@
 }
 
 // close ends a limit.
-func (l *Lender) close(a *account) Change {
+func (l *Granter) close(a *account) LimitChange {
 	delete(l.accounts, a.key)
 	l.digest -= digestOf(a.key)
 	p := l.pools[a.service]
@@ -126,17 +126,17 @@
 		delete(l.pools, a.service)
 	}
 	c := a.change()
-	c.Over = true
+	c.Removed = true
 	l.note(c)
 	return c
 }
 
-// Sweep ends the limits of which nothing is heard any more, and returns them.
-func (l *Lender) Sweep() []Change {
+// Expire ends the limits of which nothing is heard any more, and returns them.
+func (l *Granter) Expire() []LimitChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	var news []Change
+	var news []LimitChange
 	for _, a := range l.accounts {
 		if a.over(now) {
 			news = append(news, l.close(a))
@@ -146,11 +146,11 @@
 }
 
 // note numbers a change, and wakes who waits for one.
-func (l *Lender) note(c Change) {
+func (l *Granter) note(c LimitChange) {
 	l.version++
 	l.changes = append(l.changes, numbered{
-		Change:  c,
-		version: l.version,
+		LimitChange: c,
+		version:     l.version,
 	})
 	if len(l.changes) > changesKept {
 		l.changes = append([]numbered(nil), l.changes[changesKept/2:]...)
@@ -158,29 +158,29 @@
 	l.wake()
 }
 
-func (l *Lender) wake() {
+func (l *Granter) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // Changed returns a channel that is closed with the next change.
-func (l *Lender) Changed() <-chan struct{} {
+func (l *Granter) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// Holds reports whether who holds the limits of a term up to a version has all.
-func (l *Lender) Holds(term, version uint64) bool {
+// UpToDate reports whether who holds the limits of a term up to a version has all.
+func (l *Granter) UpToDate(term, version uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return term == l.term && version == l.version
 }
 
-// Since returns what changed since a version of a term, and the newest version; whole
+// ChangesSince returns what changed since a version of a term, and the newest version; whole
 // says that these are all limits that there are. Who holds the same ones, by their digest,
 // needs none, whichever term they are of.
-func (l *Lender) Since(term, known, digest uint64) (list []Change, version uint64, whole bool) {
+func (l *Granter) ChangesSince(term, known, digest uint64) (list []LimitChange, version uint64, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if digest == l.digest {
@@ -188,7 +188,7 @@
 	}
 	if term == l.term && known <= l.version && (known == l.version || len(l.changes) > 0 && l.changes[0].version <= known+1) {
 		for i := len(l.changes) - 1; i >= 0 && l.changes[i].version > known; i-- {
-			list = append(list, l.changes[i].Change)
+			list = append(list, l.changes[i].LimitChange)
 		}
 		slices.Reverse(list)
 		return list, l.version, false
@@ -199,8 +199,8 @@
 	return list, l.version, true
 }
 
-// Unused takes back permits of a term that were over before they were used.
-func (l *Lender) Unused(term uint64, list Table) {
+// ReturnUnused takes back permits of a term that were over before they were used.
+func (l *Granter) ReturnUnused(term uint64, list Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if term != l.term {
@@ -223,8 +223,8 @@
 	Wanted   []uint32
 }
 
-// Lend lends permits to a host by what it is asked for. Those who wait for one come first.
-func (l *Lender) Lend(d Demand) Table {
+// Grant lends permits to a host by what it is asked for. Those who wait for one come first.
+func (l *Granter) Grant(d Demand) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.pools[d.Service]
@@ -233,7 +233,7 @@
 	}
 	now := l.clock.Now()
 	p.ask(d.Requests, now)
-	lent := Table{}
+	lent := Counts{}
 	part := float64(d.Requests) / math.Max(1, p.demand)
 	for _, key := range d.Wanted {
 		a := l.accounts[key]
@@ -241,7 +241,7 @@
 			continue
 		}
 		a.refill(now)
-		share := int(math.Ceil(a.limit * Valid.Seconds() * part))
+		share := int(math.Ceil(a.limit * Lifetime.Seconds() * part))
 		if n := min(d.Requests, share, a.free(len(a.queue))); n > 0 {
 			a.lend(n)
 			lent[key] = n
@@ -261,8 +261,8 @@
 	p.at = now
 }
 
-// Spend counts a call of the leader itself, which takes what the others then lack.
-func (l *Lender) Spend(key uint32) {
+// ChargeProbe counts a call of the leader itself, which takes what the others then lack.
+func (l *Granter) ChargeProbe(key uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[key]; a != nil {
@@ -271,9 +271,9 @@
 	}
 }
 
-// AskPause returns how long an endpoint must be left alone between two questions; 0 if it
+// ProbeInterval returns how long an endpoint must be left alone between two questions; 0 if it
 // has no limit.
-func (l *Lender) AskPause(key uint32) time.Duration {
+func (l *Granter) ProbeInterval(key uint32) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[key]
@@ -283,9 +283,9 @@
 	return time.Duration(float64(time.Second) / (askedShare * a.limit))
 }
 
-// Short reports whether an endpoint takes less than its service is asked for: it can't
+// BelowDemand reports whether an endpoint takes less than its service is asked for: it can't
 // carry that alone.
-func (l *Lender) Short(key uint32) bool {
+func (l *Granter) BelowDemand(key uint32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[key]
@@ -298,7 +298,7 @@
 }
 
 // Size returns how many endpoints have a limit.
-func (l *Lender) Size() int {
+func (l *Granter) Size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.accounts)
--- a/pkg/permit/loan.go
+++ b/pkg/permit/loan.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Loan is a request that waits at the leader for permits: one for each of its endpoints,
+// Waiter is a request that waits at the leader for permits: one for each of its endpoints,
 // or one for any of them.
-type Loan struct {
+type Waiter struct {
 	keys     []uint32
 	each     bool
 	priority int // 0 is the most urgent
@@ -15,19 +15,19 @@
 }
 
 // before reports whether a loan is served before another.
-func (n *Loan) before(other *Loan) bool {
+func (n *Waiter) before(other *Waiter) bool {
 	if n.priority != other.priority {
 		return n.priority < other.priority
 	}
 	return n.order < other.order
 }
 
-// Queue puts a loan in the queue of its endpoints, until Leave.
-func (l *Lender) Queue(keys []uint32, each bool, priority int) *Loan {
+// Enqueue puts a loan in the queue of its endpoints, until Leave.
+func (l *Granter) Enqueue(keys []uint32, each bool, priority int) *Waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.orders++
-	n := &Loan{
+	n := &Waiter{
 		keys:     keys,
 		each:     each,
 		priority: priority,
@@ -41,8 +41,8 @@
 	return n
 }
 
-// Leave takes a loan out of all queues.
-func (l *Lender) Leave(n *Loan) {
+// Dequeue takes a loan out of all queues.
+func (l *Granter) Dequeue(n *Waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, key := range n.keys {
@@ -60,7 +60,7 @@
 }
 
 // ahead returns how many loans are served before one.
-func (a *account) ahead(n *Loan) int {
+func (a *account) ahead(n *Waiter) int {
 	count := 0
 	for _, one := range a.queue {
 		if one != n && one.before(n) {
@@ -70,10 +70,10 @@
 	return count
 }
 
-// Try lends what a loan asks for, or returns when to try again. Nothing is lent for an
+// TryGrant lends what a loan asks for, or returns when to try again. Nothing is lent for an
 // endpoint that this leader doesn't know: it may not have been told yet that there is a
 // limit, and who is told that there is none any more needs no permit.
-func (l *Lender) Try(n *Loan) (lent Table, due time.Duration) {
+func (l *Granter) TryGrant(n *Waiter) (lent Counts, due time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -100,14 +100,14 @@
 		return nil, least
 	}
 	best.lend(1)
-	return Table{
+	return Counts{
 		best.key: 1,
 	}, 0
 }
 
 // lendEach lends one permit for each of the endpoints, all of which have one.
-func (l *Lender) lendEach(keys []uint32) Table {
-	lent := Table{}
+func (l *Granter) lendEach(keys []uint32) Counts {
+	lent := Counts{}
 	for _, key := range keys {
 		l.accounts[key].lend(1)
 		lent[key]++
@@ -115,8 +115,8 @@
 	return lent
 }
 
-// Gap returns the time between two permits for what a loan asks for, of all hosts.
-func (l *Lender) Gap(n *Loan) time.Duration {
+// GrantInterval returns the time between two permits for what a loan asks for, of all hosts.
+func (l *Granter) GrantInterval(n *Waiter) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum, least := 0.0, math.Inf(1)
--- a/pkg/permit/permit.go
+++ b/pkg/permit/permit.go
@@ -13,19 +13,19 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// Valid is how long a permit may be used after it was lent. Shorter than the time between
+// Lifetime is how long a permit may be used after it was lent. Shorter than the time between
 // two calls of a host, most would be over unused; longer, more are out at once that may
 // all be used in one moment.
-const Valid = time.Second
+const Lifetime = time.Second
 
 // Clock tells the time.
 type Clock interface {
 	Now() time.Time
 }
 
-// Key names an endpoint, whichever start of it is there: one that is in need may still be
+// EndpointKey names an endpoint, whichever start of it is there: one that is in need may still be
 // after a start, and names no limit then if it isn't.
-func Key(id string) uint32 {
+func EndpointKey(id string) uint32 {
 	own, _ := fleet.SplitIncarnation(id)
 	return fleet.LoadKey(own)
 }
@@ -35,36 +35,36 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint32(nil, key))
 }
 
-// Word is what an answer told of an endpoint's limit.
-type Word struct {
+// LimitReport is what an answer told of an endpoint's limit.
+type LimitReport struct {
 	Key     uint32
 	Service string
 	// PerSecond is the limit; below 0: the answer named none.
 	PerSecond float64
-	// Sent is when the call was sent that was answered, and Heard when the answer came:
+	// SentAt is when the call was sent that was answered, and Heard when the answer came:
 	// the endpoint said it at some time between.
-	Sent  time.Time
-	Heard time.Time
+	SentAt     time.Time
+	ReceivedAt time.Time
 }
 
 // names reports whether the answer named a limit.
-func (w *Word) names() bool {
+func (w *LimitReport) names() bool {
 	return w.PerSecond >= 0
 }
 
-// Change is an endpoint that has a limit now, or has none any more.
-type Change struct {
+// LimitChange is an endpoint that has a limit now, or has none any more.
+type LimitChange struct {
 	Key       uint32
 	Service   string
 	PerSecond float64 // as it was when it was named
-	Over      bool
+	Removed   bool
 }
 
-// Table counts permits, or calls, by endpoint.
-type Table map[uint32]int
+// Counts counts permits, or calls, by endpoint.
+type Counts map[uint32]int
 
-// Sum returns how many permits there are.
-func (t Table) Sum() int {
+// Total returns how many permits there are.
+func (t Counts) Total() int {
 	sum := 0
 	for _, n := range t {
 		sum += n
--- a/pkg/permit/wire.go
+++ b/pkg/permit/wire.go
@@ -6,43 +6,43 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// WordsToWire returns words as they are sent at now.
-func WordsToWire(words []Word, now time.Time) []*rpc.LimitWord {
+// LimitReportsToWire returns words as they are sent at now.
+func LimitReportsToWire(words []LimitReport, now time.Time) []*rpc.LimitWord {
 	list := make([]*rpc.LimitWord, 0, len(words))
 	for _, w := range words {
 		list = append(list, &rpc.LimitWord{
 			Endpoint:   w.Key,
 			Service:    w.Service,
 			PerSecond:  w.PerSecond,
-			SentMsAgo:  uint32(max(0, now.Sub(w.Sent).Milliseconds())),
-			HeardMsAgo: uint32(max(0, now.Sub(w.Heard).Milliseconds())),
+			SentMsAgo:  uint32(max(0, now.Sub(w.SentAt).Milliseconds())),
+			HeardMsAgo: uint32(max(0, now.Sub(w.ReceivedAt).Milliseconds())),
 		})
 	}
 	return list
 }
 
-// WordsFromWire returns words as they were received at now.
-func WordsFromWire(list []*rpc.LimitWord, now time.Time) []Word {
-	words := make([]Word, 0, len(list))
+// LimitReportsFromWire returns words as they were received at now.
+func LimitReportsFromWire(list []*rpc.LimitWord, now time.Time) []LimitReport {
+	words := make([]LimitReport, 0, len(list))
 	for _, w := range list {
-		words = append(words, Word{
-			Key:       w.GetEndpoint(),
-			Service:   w.GetService(),
-			PerSecond: w.GetPerSecond(),
-			Sent:      now.Add(-time.Duration(w.GetSentMsAgo()) * time.Millisecond),
-			Heard:     now.Add(-time.Duration(w.GetHeardMsAgo()) * time.Millisecond),
+		words = append(words, LimitReport{
+			Key:        w.GetEndpoint(),
+			Service:    w.GetService(),
+			PerSecond:  w.GetPerSecond(),
+			SentAt:     now.Add(-time.Duration(w.GetSentMsAgo()) * time.Millisecond),
+			ReceivedAt: now.Add(-time.Duration(w.GetHeardMsAgo()) * time.Millisecond),
 		})
 	}
 	return words
 }
 
-// ChangesToWire returns changes as they are sent.
-func ChangesToWire(changes []Change) []*rpc.Limit {
+// LimitChangesToWire returns changes as they are sent.
+func LimitChangesToWire(changes []LimitChange) []*rpc.Limit {
 	list := make([]*rpc.Limit, 0, len(changes))
 	for _, c := range changes {
 		list = append(list, &rpc.Limit{
 			Endpoint:  c.Key,
-			Over:      c.Over,
+			Over:      c.Removed,
 			Service:   c.Service,
 			PerSecond: c.PerSecond,
 		})
@@ -50,15 +50,15 @@
 	return list
 }
 
-// ChangesFromWire returns changes as they were received.
-func ChangesFromWire(list []*rpc.Limit) []Change {
-	changes := make([]Change, 0, len(list))
+// LimitChangesFromWire returns changes as they were received.
+func LimitChangesFromWire(list []*rpc.Limit) []LimitChange {
+	changes := make([]LimitChange, 0, len(list))
 	for _, c := range list {
-		changes = append(changes, Change{
+		changes = append(changes, LimitChange{
 			Key:       c.GetEndpoint(),
 			Service:   c.GetService(),
 			PerSecond: c.GetPerSecond(),
-			Over:      c.GetOver(),
+			Removed:   c.GetOver(),
 		})
 	}
 	return changes
@@ -91,7 +91,7 @@
 }
 
 // ToWire returns a table as it is sent; nil if it is empty.
-func (t Table) ToWire() *rpc.PermitTable {
+func (t Counts) ToWire() *rpc.PermitTable {
 	if len(t) == 0 {
 		return nil
 	}
@@ -106,12 +106,12 @@
 // mostCount bounds what is read of one endpoint.
 const mostCount = 1 << 16
 
-// TableFromWire returns a table as it was received.
-func TableFromWire(list *rpc.PermitTable) Table {
+// CountsFromWire returns a table as it was received.
+func CountsFromWire(list *rpc.PermitTable) Counts {
 	if len(list.GetEndpoints()) != len(list.GetCounts()) {
 		return nil // no process of ours sends that
 	}
-	t := Table{}
+	t := Counts{}
 	for i, key := range list.GetEndpoints() {
 		t[key] = int(min(list.GetCounts()[i], mostCount))
 	}
--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkPlan(b *testing.B) {
 	e := engine()
 	for _, domains := range []int{1, 7, 28, 82} {
-		var list []placement.Server
+		var list []placement.EndpointState
 		for d := range domains {
 			list = append(list, servers(fmt.Sprint("d", d), "small", 20)...)
 			list = append(list, servers(fmt.Sprint("d", d), "tiny", 19)...)
--- a/pkg/placement/bridge.go
+++ b/pkg/placement/bridge.go
@@ -83,7 +83,7 @@
 func (p *planner) bridgeServer(hole fleet.Range) int {
 	best := -1
 	for i, s := range p.servers {
-		if s.Moving || s.Short || s.Slow >= slowLimit || p.room(s) == 0 || !p.servedWithout(s) {
+		if s.OrderPending || s.BelowDemand || s.Slowdown >= slowLimit || p.room(s) == 0 || !p.servedWithout(s) {
 			continue
 		}
 		if best < 0 || p.betterBridge(s, p.servers[best], hole) {
@@ -93,7 +93,7 @@
 	return best
 }
 
-func (p *planner) betterBridge(a, b Server, hole fleet.Range) bool {
+func (p *planner) betterBridge(a, b EndpointState, hole fleet.Range) bool {
 	fillA := min(hole.Len(), p.room(a))
 	fillB := min(hole.Len(), p.room(b))
 	if fillA != fillB {
@@ -110,7 +110,7 @@
 
 // servedWithout reports whether every layer of a server is served by another one
 // now, in whatever group.
-func (p *planner) servedWithout(s Server) bool {
+func (p *planner) servedWithout(s EndpointState) bool {
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		if p.serving[l] < 2 {
 			return false
@@ -156,7 +156,7 @@
 	}
 	moving := 0
 	for _, s := range p.servers {
-		if s.Moving {
+		if s.OrderPending {
 			moving++
 		}
 	}
--- a/pkg/placement/bridge_test.go
+++ b/pkg/placement/bridge_test.go
@@ -11,8 +11,8 @@
 )
 
 // placed returns three domains of 13 servers each, with all layers loaded.
-func placed(e *fleet.Engine) []placement.Server {
-	var list []placement.Server
+func placed(e *fleet.Engine) []placement.EndpointState {
+	var list []placement.EndpointState
 	for d := range 3 {
 		list = append(list, servers(fmt.Sprint("d", d), "mid", 2)...)
 		list = append(list, servers(fmt.Sprint("d", d), "small", 6)...)
@@ -22,8 +22,8 @@
 }
 
 // without returns the servers that a function doesn't take away.
-func without(list []placement.Server, gone func(s placement.Server) bool) []placement.Server {
-	var out []placement.Server
+func without(list []placement.EndpointState, gone func(s placement.EndpointState) bool) []placement.EndpointState {
+	var out []placement.EndpointState
 	for _, s := range list {
 		if !gone(s) {
 			out = append(out, s)
@@ -33,14 +33,14 @@
 }
 
 // serving counts by layer the servers that hold it and stand still.
-func serving(list []placement.Server, orders []placement.Order, layers int) []int {
+func serving(list []placement.EndpointState, orders []placement.Order, layers int) []int {
 	moved := map[string]bool{}
 	for _, o := range orders {
 		moved[o.ID] = true
 	}
 	n := make([]int, layers)
 	for _, s := range list {
-		if s.Moving || moved[s.ID] {
+		if s.OrderPending || moved[s.ID] {
 			continue
 		}
 		for l := s.Layers.From; l < s.Layers.To; l++ {
@@ -62,12 +62,12 @@
 }
 
 // begin returns the servers with orders under way.
-func begin(list []placement.Server, orders []placement.Order) []placement.Server {
+func begin(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
 	out := apply(list, orders)
 	for _, o := range orders {
 		for i := range out {
 			if out[i].ID == o.ID {
-				out[i].Moving = true
+				out[i].OrderPending = true
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 var _ = Describe("a layer that nothing serves any more", func() {
 	const lost = 30
 
-	holdsLost := func(s placement.Server) bool { return s.Layers.From <= lost && s.Layers.To > lost }
+	holdsLost := func(s placement.EndpointState) bool { return s.Layers.From <= lost && s.Layers.To > lost }
 
 	It("is loaded first, from whatever domain, and nothing else is ordered until it is served", func() {
 		e := engine()
@@ -106,15 +106,15 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			gone := rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 0, 20, rapid.ID[int]).Draw(t, "lost")
 			moving := rapid.SliceOfN(rapid.IntRange(0, len(all)-1), 0, 4).Draw(t, "moving")
-			list := append([]placement.Server(nil), all...)
+			list := append([]placement.EndpointState(nil), all...)
 			for _, i := range moving {
-				list[i].Moving = true
+				list[i].OrderPending = true
 			}
 			taken := map[string]bool{}
 			for _, i := range gone {
 				taken[all[i].ID] = true
 			}
-			list = without(list, func(s placement.Server) bool { return taken[s.ID] })
+			list = without(list, func(s placement.EndpointState) bool { return taken[s.ID] })
 			before := serving(list, nil, e.Layers)
 			if unserved(before) > 0 {
 				return // what is shifted then serves nobody anyway
@@ -126,8 +126,8 @@
 	})
 
 	// holder returns a server of a domain that holds layers.
-	holder := func(domain, kind string, from, to int) placement.Server {
-		return placement.Server{
+	holder := func(domain, kind string, from, to int) placement.EndpointState {
+		return placement.EndpointState{
 			ID:     fmt.Sprintf("%s-%d-%d-%s", domain, from, to, kind),
 			Domain: domain,
 			Kind:   kind,
@@ -137,7 +137,7 @@
 
 	It("isn't made by moving the only server that serves it, though another loads it", func() {
 		loading := holder("a", "small", 0, 8)
-		loading.Moving = true
+		loading.OrderPending = true
 		cases := []struct {
 			name  string
 			other bool // whether domain b serves the layers too
@@ -147,7 +147,7 @@
 			{name: "served nowhere else", other: false, moved: false},
 		}
 		for _, c := range cases {
-			list := []placement.Server{holder("a", "small", 0, 8), loading, holder("a", "big", 8, 35), holder("a", "big", 35, 62), holder("a", "small", 62, 70)}
+			list := []placement.EndpointState{holder("a", "small", 0, 8), loading, holder("a", "big", 8, 35), holder("a", "big", 35, 62), holder("a", "small", 62, 70)}
 			list = append(list, holder("b", "big", 8, 35), holder("b", "big", 35, 62), holder("b", "big", 53, 80))
 			if c.other {
 				list = append(list, holder("b", "small", 0, 8))
@@ -172,7 +172,7 @@
 		for _, c := range cases {
 			// In a, layers 27 to 30 are missing, and none of its servers is spare;
 			// shifted along, they cover all.
-			list := []placement.Server{holder("a", "big", 0, 27), holder("a", "big", 30, 57), holder("a", "big", 53, 80)}
+			list := []placement.EndpointState{holder("a", "big", 0, 27), holder("a", "big", 30, 57), holder("a", "big", 53, 80)}
 			list = append(list, holder("b", "small", 24, 32))
 			if c.other {
 				list = append(list, holder("b", "big", 0, 27), holder("b", "big", 30, 57), holder("b", "big", 53, 80))
@@ -191,7 +191,7 @@
 			for _, i := range gone {
 				taken[all[i].ID] = true
 			}
-			list := without(all, func(s placement.Server) bool { return taken[s.ID] })
+			list := without(all, func(s placement.EndpointState) bool { return taken[s.ID] })
 			for range 4 {
 				list = apply(list, placement.Plan(e, list))
 			}
@@ -226,11 +226,11 @@
 var _ = Describe("a server that takes less than is asked for", func() {
 	It("isn't moved into a hole, though it would fill that best", func() {
 		e := engine()
-		list := without(placed(e), func(s placement.Server) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
+		list := without(placed(e), func(s placement.EndpointState) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
 		orders := placement.Plan(e, list)
 		Expect(orders).NotTo(BeEmpty())
 		for i := range list {
-			list[i].Short = list[i].ID == orders[0].ID
+			list[i].BelowDemand = list[i].ID == orders[0].ID
 		}
 		for _, o := range placement.Plan(e, list) {
 			Expect(o.ID).NotTo(Equal(orders[0].ID))
--- a/pkg/placement/falls.go
+++ b/pkg/placement/falls.go
@@ -70,14 +70,14 @@
 }
 
 // loads reports whether an incarnation was ordered to hold what it didn't show yet.
-func (k *Keeper) loads(id string) bool {
+func (k *Controller) loads(id string) bool {
 	s := k.known[id]
 	return s != nil && !s.shown
 }
 
 // rests reports whether an endpoint gets no orders for now, since those before it at
 // its address ended under theirs.
-func (k *Keeper) rests(e *fleet.Endpoint, now time.Time) bool {
+func (k *Controller) rests(e *fleet.Endpoint, now time.Time) bool {
 	if s := k.known[e.ID]; s != nil && s.layers == e.Layers && !e.Loading {
 		s.shown = true
 	}
--- a/pkg/placement/keeper.go
+++ b/pkg/placement/keeper.go
@@ -20,12 +20,12 @@
 const (
 	// Unknown: no answer came; the order may be carried out, even later.
 	Unknown Outcome = iota
-	// Taken: it has begun or is done.
-	Taken
+	// Accepted: it has begun or is done.
+	Accepted
 	// Conflict: the endpoint has taken other orders than the caller believed.
 	Conflict
-	// Refused: the endpoint can't carry it out.
-	Refused
+	// Rejected: the endpoint can't carry it out.
+	Rejected
 )
 
 var outcomeNames = [...]string{"unknown", "taken", "conflict", "refused"}
@@ -42,8 +42,8 @@
 // nothing of itself: it is there.
 var ErrNoReport = errors.New("the endpoint gives no report")
 
-// Orderer reaches endpoints.
-type Orderer interface {
+// EndpointClient reaches endpoints.
+type EndpointClient interface {
 	// Place carries out an order, if the incarnation has taken as many orders
 	// as given. The error of one that was turned away is a *fleet.TurnedAway.
 	Place(ctx context.Context, o Order, address string, orders uint64) (Outcome, error)
@@ -67,10 +67,10 @@
 	ordersAtOnce = 64
 )
 
-// Keeper carries out plans. Only the leader's works; the number of orders an
+// Controller carries out plans. Only the leader's works; the number of orders an
 // endpoint has taken keeps late ones of an earlier leader out.
-type Keeper struct {
-	orders Orderer
+type Controller struct {
+	orders EndpointClient
 	table  *registry.Table
 	short  func(id string) bool // of what the endpoint's service is asked for
 	svc    timer.Service
@@ -97,10 +97,10 @@
 	shown  bool // the endpoint holds the layers, or took no order yet
 }
 
-// NewKeeper returns a keeper whose calls run in g. Endpoints announce themselves
+// NewController returns a keeper whose calls run in g. Endpoints announce themselves
 // once in a beat; short tells which of them take less than their service is asked for.
-func NewKeeper(orders Orderer, table *registry.Table, short func(id string) bool, beat time.Duration, svc timer.Service, log *eventlog.Log, g *group.Group) *Keeper {
-	return &Keeper{
+func NewController(orders EndpointClient, table *registry.Table, short func(id string) bool, beat time.Duration, svc timer.Service, log *eventlog.Log, g *group.Group) *Controller {
+	return &Controller{
 		beat:   beat,
 		orders: orders,
 		table:  table,
@@ -116,8 +116,8 @@
 	}
 }
 
-// Forget drops what was ordered, when another replica leads.
-func (k *Keeper) Forget() {
+// Reset drops what was ordered, when another replica leads.
+func (k *Controller) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.known = map[string]*standing{}
@@ -130,7 +130,7 @@
 // fresh reports whether an endpoint has only just come. Those that were there
 // when this keeper began are not, nor is one that came back to its address: it
 // replaces nothing that still runs.
-func (k *Keeper) fresh(e *fleet.Endpoint, now time.Time) bool {
+func (k *Controller) fresh(e *fleet.Endpoint, now time.Time) bool {
 	at, known := k.seen[e.ID]
 	if !known {
 		at = now
@@ -146,10 +146,10 @@
 // gathering reports whether a service that holds nothing yet still grows: an
 // endpoint came within the last beat. Orders that were given to the first that
 // come would put slow accelerators where fast ones are due.
-func (k *Keeper) gathering(servers []Server, now time.Time) bool {
+func (k *Controller) gathering(servers []EndpointState, now time.Time) bool {
 	newest := time.Time{}
 	for _, s := range servers {
-		if s.Layers.Len() > 0 || s.Moving {
+		if s.Layers.Len() > 0 || s.OrderPending {
 			return false
 		}
 		if at := k.seen[s.ID]; at.After(newest) {
@@ -163,8 +163,8 @@
 	return false
 }
 
-// Tend gives the orders that are due. leads is asked right before each.
-func (k *Keeper) Tend(ctx context.Context, cfg *fleet.Configuration, leads func() bool) {
+// Reconcile gives the orders that are due. leads is asked right before each.
+func (k *Controller) Reconcile(ctx context.Context, cfg *fleet.Configuration, leads func() bool) {
 	endpoints := k.table.All()
 	for i := range cfg.Services {
 		if e := cfg.Services[i].Engine; e != nil && e.Layers > 0 {
@@ -173,8 +173,8 @@
 	}
 }
 
-func (k *Keeper) tendService(ctx context.Context, svc *fleet.Service, endpoints []fleet.Endpoint, leads func() bool) {
-	var servers []Server
+func (k *Controller) tendService(ctx context.Context, svc *fleet.Service, endpoints []fleet.Endpoint, leads func() bool) {
+	var servers []EndpointState
 	byID := map[string]*fleet.Endpoint{}
 	k.mu.Lock()
 	now := k.svc.Now()
@@ -187,15 +187,15 @@
 			continue
 		}
 		byID[e.ID] = e
-		servers = append(servers, Server{
-			ID:     e.ID,
-			Domain: e.Domain,
-			Kind:   e.Kind,
-			Layers: k.holds(e, now),
-			Slow:   e.Slow,
-			Short:  k.short(e.ID),
-			Fresh:  k.fresh(e, now),
-			Moving: k.moving(e, now),
+		servers = append(servers, EndpointState{
+			ID:           e.ID,
+			Domain:       e.Domain,
+			Kind:         e.Kind,
+			Layers:       k.holds(e, now),
+			Slowdown:     e.Slowdown,
+			BelowDemand:  k.short(e.ID),
+			JustJoined:   k.fresh(e, now),
+			OrderPending: k.moving(e, now),
 		})
 	}
 	gathering := k.gathering(servers, now)
@@ -212,7 +212,7 @@
 }
 
 // holds returns what an endpoint was ordered to hold lately, or else holds.
-func (k *Keeper) holds(e *fleet.Endpoint, now time.Time) fleet.Range {
+func (k *Controller) holds(e *fleet.Endpoint, now time.Time) fleet.Range {
 	if k.moving(e, now) {
 		return k.known[e.ID].layers
 	}
@@ -220,7 +220,7 @@
 }
 
 // moving reports whether an order to an endpoint may still be under way.
-func (k *Keeper) moving(e *fleet.Endpoint, now time.Time) bool {
+func (k *Controller) moving(e *fleet.Endpoint, now time.Time) bool {
 	s := k.known[e.ID]
 	return s != nil && s.layers != e.Layers && (s.asking || e.Loading || now.Before(s.until))
 }
@@ -228,7 +228,7 @@
 // strange reports whether an endpoint carries out an order that this keeper
 // didn't give: which layers it will hold isn't known, and it takes no other
 // order before.
-func (k *Keeper) strange(e *fleet.Endpoint) bool {
+func (k *Controller) strange(e *fleet.Endpoint) bool {
 	return e.Loading && e.Layers.Len() == 0 && k.known[e.ID] == nil
 }
 
--- a/pkg/placement/keeper_test.go
+++ b/pkg/placement/keeper_test.go
@@ -32,7 +32,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.orders = append(o.orders, order)
-	return placement.Taken, nil
+	return placement.Accepted, nil
 }
 
 func (o *fakeOrderer) hold() {
@@ -58,8 +58,8 @@
 
 func (o *fakeOrderer) Report(context.Context, string, string) (placement.Report, error) {
 	return placement.Report{
-		Busy: true,
-		Slow: 1,
+		Busy:     true,
+		Slowdown: 1,
 	}, nil
 }
 
@@ -74,7 +74,7 @@
 
 // keeping is a keeper over a table and an orderer that takes everything.
 type keeping struct {
-	keeper  *placement.Keeper
+	keeper  *placement.Controller
 	orderer *fakeOrderer
 	table   *registry.Table
 	clock   *timer.Manual
@@ -92,7 +92,7 @@
 		clock:   clock,
 		group:   g,
 	}
-	k.keeper = placement.NewKeeper(k.orderer, k.table, func(string) bool { return false }, beat, clock, nil, g)
+	k.keeper = placement.NewController(k.orderer, k.table, func(string) bool { return false }, beat, clock, nil, g)
 	f(k)
 }
 
@@ -123,7 +123,7 @@
 			},
 		},
 	}
-	k.keeper.Tend(context.Background(), cfg, func() bool { return true })
+	k.keeper.Reconcile(context.Background(), cfg, func() bool { return true })
 	k.group.Wait()
 }
 
@@ -179,7 +179,7 @@
 			k.tend()
 			Expect(k.orderer.given()).To(HaveLen(1))
 			Expect(k.orderer.given()[0].ID).To(Equal("extra-again"))
-			Expect(k.orderer.given()[0].Cut).To(BeFalse())
+			Expect(k.orderer.given()[0].InterruptStreams).To(BeFalse())
 		})
 	})
 
@@ -209,12 +209,12 @@
 			k.cover()
 			k.announce("spare", "10.0.0.60:80", fleet.Range{From: 40, To: 48})
 			k.tend()
-			k.table.Gone("e0")
+			k.table.MarkGone("e0")
 			k.tend()
 			Expect(k.orderer.given()).To(HaveLen(1))
 			moved := k.orderer.given()[0]
 			Expect(moved.Layers).To(Equal(fleet.Range{From: 0, To: 8}))
-			Expect(moved.Cut).To(BeTrue(), "a hole can't wait for streams that stand still")
+			Expect(moved.InterruptStreams).To(BeTrue(), "a hole can't wait for streams that stand still")
 			e, _ := k.table.Get(moved.ID)
 			Expect(e.Loading).To(BeTrue())
 			Expect(e.Layers.Len()).To(Equal(0))
@@ -228,11 +228,11 @@
 	It("leaves an endpoint alone that carries out an order it doesn't know, and fills the hole by another", func() {
 		withKeeper(func(k *keeping) {
 			k.cover()
-			k.table.Gone("e0")
+			k.table.MarkGone("e0")
 			k.announce("busy", "10.0.0.60:80", fleet.Range{})
-			k.table.Reported("busy", registry.Status{
-				Busy: true,
-				Slow: 1,
+			k.table.UpdateStatus("busy", registry.Status{
+				Busy:     true,
+				Slowdown: 1,
 			})
 			k.announce("spare", "10.0.0.61:80", fleet.Range{From: 40, To: 48})
 			k.tend()
--- a/pkg/placement/mend.go
+++ b/pkg/placement/mend.go
@@ -74,7 +74,7 @@
 func (p *planner) donor(g int, hole fleet.Range) int {
 	best := -1
 	for i, s := range p.servers {
-		if p.group[s.Domain] != g || s.Moving || s.Short || s.Slow >= slowLimit || s.Layers.Len() == 0 || !p.spare(g, s) {
+		if p.group[s.Domain] != g || s.OrderPending || s.BelowDemand || s.Slowdown >= slowLimit || s.Layers.Len() == 0 || !p.spare(g, s) {
 			continue
 		}
 		if p.room(s) == 0 || s.Layers.From <= hole.From && s.Layers.To > hole.From {
@@ -88,7 +88,7 @@
 }
 
 // betterDonor reports whether a is better moved into a hole than b.
-func (p *planner) betterDonor(a, b Server, hole fleet.Range) bool {
+func (p *planner) betterDonor(a, b EndpointState, hole fleet.Range) bool {
 	if firstA, firstB := a.Layers.From == 0, b.Layers.From == 0; firstA != firstB {
 		return firstB
 	}
@@ -102,7 +102,7 @@
 
 // spare reports whether every layer of a server is held by another in its group,
 // and served by another one now.
-func (p *planner) spare(g int, s Server) bool {
+func (p *planner) spare(g int, s EndpointState) bool {
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		if p.cover[g][l] < 2 {
 			return false
@@ -129,11 +129,11 @@
 	s := &p.servers[i]
 	p.add(*s, -1)
 	s.Layers = layers
-	s.Moving = true
+	s.OrderPending = true
 	p.count(*s)
 	return Order{
-		ID:     s.ID,
-		Layers: layers,
-		Cut:    true,
+		ID:               s.ID,
+		Layers:           layers,
+		InterruptStreams: true,
 	}
 }
--- a/pkg/placement/orders.go
+++ b/pkg/placement/orders.go
@@ -9,7 +9,7 @@
 )
 
 // order sends one order without waiting for its answer.
-func (k *Keeper) order(o Order, e *fleet.Endpoint, load time.Duration) {
+func (k *Controller) order(o Order, e *fleet.Endpoint, load time.Duration) {
 	k.mu.Lock()
 	s := k.known[o.ID]
 	if s == nil {
@@ -40,7 +40,7 @@
 
 // resolve asks an endpoint what it holds. It reports whether nothing need be
 // ordered now.
-func (k *Keeper) resolve(ctx context.Context, s *standing, wanted fleet.Range, e *fleet.Endpoint) bool {
+func (k *Controller) resolve(ctx context.Context, s *standing, wanted fleet.Range, e *fleet.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	report, err := k.orders.Report(ctx, e.ID, e.Address)
@@ -53,7 +53,7 @@
 		return true
 	}
 	s.taken = report.Orders
-	k.table.Reported(e.ID, report)
+	k.table.UpdateStatus(e.ID, report)
 	if report.Busy || report.Layers == wanted {
 		s.asking = false
 		s.until = k.svc.Now().Add(askAgain)
@@ -65,14 +65,14 @@
 
 // streamsOf says for the log what an order does with streams.
 func streamsOf(o Order) string {
-	if o.Cut {
+	if o.InterruptStreams {
 		return "cut"
 	}
 	return "waited for"
 }
 
 // send gives an order, and notes what is known of it then.
-func (k *Keeper) send(ctx context.Context, s *standing, o Order, e *fleet.Endpoint, load time.Duration) {
+func (k *Controller) send(ctx context.Context, s *standing, o Order, e *fleet.Endpoint, load time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	k.mu.Lock()
@@ -89,12 +89,12 @@
 	defer k.mu.Unlock()
 	s.asking = false
 	switch outcome {
-	case Taken:
+	case Accepted:
 		s.taken = taken + 1
 		s.shown = false
 		s.doubt = true // asked for if no heartbeat has told of it by then
 		s.until = k.svc.Now().Add(load + askAgain)
-		k.table.Ordered(o.ID, s.taken)
+		k.table.MarkReassigned(o.ID, s.taken)
 	case Conflict:
 		s.doubt = true
 		s.until = k.svc.Now()
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -26,28 +26,28 @@
 type Order struct {
 	ID     string
 	Layers fleet.Range
-	// Cut says that streams which still pass the endpoint are broken off, and
+	// InterruptStreams says that streams which still pass the endpoint are broken off, and
 	// continue elsewhere.
-	Cut bool
+	InterruptStreams bool
 }
 
-// Server is an endpoint as the plan sees it.
-type Server struct {
+// EndpointState is an endpoint as the plan sees it.
+type EndpointState struct {
 	ID     string
 	Domain string
 	Kind   string
 	// Layers is what it holds or was ordered to hold; empty if nothing.
 	Layers fleet.Range
-	// Moving servers carry out an order, and are left alone.
-	Moving bool
-	// Slow is how many times as slow as its kind it is.
-	Slow float64
-	// Short servers take less than is asked for: layers that only such ones hold are
+	// OrderPending servers carry out an order, and are left alone.
+	OrderPending bool
+	// Slowdown is how many times as slow as its kind it is.
+	Slowdown float64
+	// BelowDemand servers take less than is asked for: layers that only such ones hold are
 	// copied. Their streams stay, so they are left where they are.
-	Short bool
-	// Fresh servers have only just come: they are kept for a hole, since the
+	BelowDemand bool
+	// JustJoined servers have only just come: they are kept for a hole, since the
 	// one that they replace may be about to leave.
-	Fresh bool
+	JustJoined bool
 }
 
 // Plan returns the orders that are due. Layers that nothing serves come before
@@ -57,7 +57,7 @@
 // of whose layers others hold too, or else servers shift until their overlaps fill
 // it, if others serve their layers meanwhile; nothing else is moved. No more is
 // loaded at once than the store serves.
-func Plan(e *fleet.Engine, servers []Server) []Order {
+func Plan(e *fleet.Engine, servers []EndpointState) []Order {
 	if e.Layers <= 0 || e.LayerMB <= 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 type planner struct {
 	engine  *fleet.Engine
-	servers []Server
+	servers []EndpointState
 	group   map[string]int // by domain
 	cover   [][]int        // by group, then layer
 	held    [][]int        // the same, with servers that are slow
@@ -95,10 +95,10 @@
 	chance  [][]float64 // by group, then layer: sum of 1/layers of its holders
 }
 
-func newPlanner(e *fleet.Engine, servers []Server) *planner {
+func newPlanner(e *fleet.Engine, servers []EndpointState) *planner {
 	p := &planner{
 		engine:  e,
-		servers: append([]Server(nil), servers...),
+		servers: append([]EndpointState(nil), servers...),
 		total:   make([]int, e.Layers),
 		serving: make([]int, e.Layers),
 		limping: make([]int, e.Layers),
@@ -116,17 +116,17 @@
 const slowLimit = 4
 
 // count adds what a server holds to the covers.
-func (p *planner) count(s Server) {
+func (p *planner) count(s EndpointState) {
 	p.add(s, 1)
 }
 
 // add adds a server's layers n times.
-func (p *planner) add(s Server, n int) {
+func (p *planner) add(s EndpointState, n int) {
 	g := p.group[s.Domain]
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		p.held[g][l] += n
 		p.standing(s)[l] += n
-		if s.Slow >= slowLimit {
+		if s.Slowdown >= slowLimit {
 			continue
 		}
 		p.cover[g][l] += n
@@ -136,11 +136,11 @@
 }
 
 // standing returns the counts that a server's layers belong to.
-func (p *planner) standing(s Server) []int {
+func (p *planner) standing(s EndpointState) []int {
 	switch {
-	case s.Moving:
+	case s.OrderPending:
 		return p.coming
-	case s.Slow >= slowLimit || s.Short:
+	case s.Slowdown >= slowLimit || s.BelowDemand:
 		return p.limping
 	default:
 		return p.serving
@@ -148,13 +148,13 @@
 }
 
 // room is how many layers a server should hold.
-func (p *planner) room(s Server) int {
+func (p *planner) room(s EndpointState) int {
 	return p.roomAt(s, weightShare)
 }
 
 // roomAt is how many layers a server holds if weights may take a share of its
 // memory.
-func (p *planner) roomAt(s Server, share float64) int {
+func (p *planner) roomAt(s EndpointState, share float64) int {
 	n := int(p.engine.Kinds[s.Kind].MB * share / p.engine.LayerMB)
 	if n == 0 && p.engine.MaxLayers(s.Kind) > 1 {
 		n = 1
@@ -204,8 +204,8 @@
 }
 
 // empty returns the servers that hold nothing: group by group, fastest first.
-func (p *planner) empty() []Server {
-	var list []Server
+func (p *planner) empty() []EndpointState {
+	var list []EndpointState
 	for _, s := range p.servers {
 		if s.Layers.Len() == 0 && p.room(s) > 0 {
 			list = append(list, s)
@@ -227,13 +227,13 @@
 
 // place gives a server the group's first hole, and where there is none the
 // window of layers that is covered least.
-func (p *planner) place(s Server) (Order, bool) {
+func (p *planner) place(s EndpointState) (Order, bool) {
 	n := p.room(s)
 	from, ok := p.hole(s)
 	switch {
 	case ok:
 		from = min(from, p.engine.Layers-n)
-	case s.Fresh:
+	case s.JustJoined:
 		return Order{}, false
 	default:
 		from = p.leastCovered(s, n)
@@ -245,7 +245,7 @@
 		From: from,
 		To:   from + n,
 	}
-	s.Moving = true
+	s.OrderPending = true
 	p.count(s)
 	return Order{
 		ID:     s.ID,
@@ -254,7 +254,7 @@
 }
 
 // hole returns the first layer that nothing in the group holds.
-func (p *planner) hole(s Server) (int, bool) {
+func (p *planner) hole(s EndpointState) (int, bool) {
 	for l, n := range p.cover[p.group[s.Domain]] {
 		if n == 0 {
 			return l, true
@@ -263,7 +263,7 @@
 	return 0, false
 }
 
-func (p *planner) leastCovered(s Server, n int) int {
+func (p *planner) leastCovered(s EndpointState, n int) int {
 	best := -1
 	bestCost := 0.0
 	for from := 0; from+n <= p.engine.Layers; from++ {
@@ -279,7 +279,7 @@
 // windowCost grows faster than the cover, so that an uneven cover costs more.
 // The chance of a loss counts only where one holder stands between it and a
 // hole.
-func (p *planner) windowCost(s Server, from, n int) float64 {
+func (p *planner) windowCost(s EndpointState, from, n int) float64 {
 	g := p.group[s.Domain]
 	sum := 0.0
 	for l := from; l < from+n; l++ {
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -31,10 +31,10 @@
 }
 
 // servers returns n empty servers of a kind in a domain.
-func servers(domain, kind string, n int) []placement.Server {
-	var list []placement.Server
+func servers(domain, kind string, n int) []placement.EndpointState {
+	var list []placement.EndpointState
 	for i := range n {
-		list = append(list, placement.Server{
+		list = append(list, placement.EndpointState{
 			ID:     fmt.Sprintf("%s-%s-%d", domain, kind, i),
 			Domain: domain,
 			Kind:   kind,
@@ -44,8 +44,8 @@
 }
 
 // apply returns the servers after orders.
-func apply(list []placement.Server, orders []placement.Order) []placement.Server {
-	out := append([]placement.Server(nil), list...)
+func apply(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
+	out := append([]placement.EndpointState(nil), list...)
 	for _, o := range orders {
 		for i := range out {
 			if out[i].ID == o.ID {
@@ -57,7 +57,7 @@
 }
 
 // covered reports whether the servers of a domain hold every layer.
-func covered(list []placement.Server, domain string, layers int) bool {
+func covered(list []placement.EndpointState, domain string, layers int) bool {
 	held := make([]bool, layers)
 	for _, s := range list {
 		for l := s.Layers.From; s.Domain == domain && l < s.Layers.To; l++ {
@@ -72,7 +72,7 @@
 	return true
 }
 
-func users() []placement.Server {
+func users() []placement.EndpointState {
 	list := servers("a", "mid", 2)
 	list = append(list, servers("a", "small", 4)...)
 	list = append(list, servers("a", "tiny", 7)...)
@@ -110,10 +110,10 @@
 	It("keeps a server that has just come for the hole that the old one leaves", func() {
 		e := engine()
 		list := apply(users(), placement.Plan(e, users()))
-		fresh := placement.Server{ID: "new", Domain: "c", Kind: "small", Fresh: true}
+		fresh := placement.EndpointState{ID: "new", Domain: "c", Kind: "small", JustJoined: true}
 		Expect(placement.Plan(e, append(list, fresh))).To(BeEmpty())
-		var old placement.Server
-		var rest []placement.Server
+		var old placement.EndpointState
+		var rest []placement.EndpointState
 		for _, s := range list {
 			if s.ID == "c-small-3" {
 				old = s
@@ -136,7 +136,7 @@
 			if list[i].Layers.From == 0 {
 				last = list[i].ID
 				short[last] = true
-				list[i].Short = true
+				list[i].BelowDemand = true
 			}
 		}
 		orders := placement.Plan(e, list)
@@ -148,7 +148,7 @@
 		}
 		Expect(copied).To(BeTrue())
 		for i := range list {
-			list[i].Short = list[i].ID == last
+			list[i].BelowDemand = list[i].ID == last
 		}
 		Expect(len(short)).To(BeNumerically(">", 1))
 		Expect(placement.Plan(e, list)).To(BeEmpty(), "others hold its layers as well")
@@ -159,7 +159,7 @@
 		list := apply(users(), placement.Plan(e, users()))
 		for i := range list {
 			if list[i].ID == "b-mid-0" {
-				list[i].Slow = 12
+				list[i].Slowdown = 12
 			}
 		}
 		orders := placement.Plan(e, list)
@@ -169,15 +169,15 @@
 			Expect(o.ID).NotTo(Equal("b-mid-0"))
 		}
 		after := apply(list, orders)
-		var fast []placement.Server
+		var fast []placement.EndpointState
 		for _, s := range after {
-			if s.Slow == 0 {
+			if s.Slowdown == 0 {
 				fast = append(fast, s)
 			}
 		}
 		Expect(covered(fast, "b", 80)).To(BeTrue())
 		none := apply(servers("a", "small", 10), placement.Plan(e, servers("a", "small", 10)))
-		none[3].Slow = 12
+		none[3].Slowdown = 12
 		Expect(placement.Plan(e, none)).To(BeEmpty())
 	})
 
@@ -201,7 +201,7 @@
 			Expect(o.ID).NotTo(Equal("a-mid-0"), "the first endpoint of every path")
 		}
 		Expect(placement.Plan(e, after)).To(BeEmpty())
-		list[7].Moving = true
+		list[7].OrderPending = true
 		Expect(placement.Plan(e, list)).To(BeEmpty(), "what moves may change the picture")
 	})
 
@@ -220,7 +220,7 @@
 	It("moves a server that isn't needed into a hole that no empty one fills", func() {
 		e := engine()
 		list := apply(users(), placement.Plan(e, users()))
-		var rest []placement.Server
+		var rest []placement.EndpointState
 		for _, s := range list {
 			if s.ID != "b-small-2" {
 				rest = append(rest, s)
@@ -241,9 +241,9 @@
 	It("leaves alone what an order is under way for", func() {
 		e := engine()
 		list := apply(users(), placement.Plan(e, users()))
-		var rest []placement.Server
+		var rest []placement.EndpointState
 		for _, s := range list {
-			s.Moving = true
+			s.OrderPending = true
 			if s.ID != "b-mid-0" {
 				rest = append(rest, s)
 			}
@@ -258,13 +258,13 @@
 	e := engine()
 	kinds := []string{"big", "mid", "small", "tiny"}
 	rapid.Check(t, func(rt *rapid.T) {
-		var list []placement.Server
+		var list []placement.EndpointState
 		for i := range rapid.IntRange(1, 30).Draw(rt, "servers") {
-			s := placement.Server{
-				ID:     fmt.Sprint(i),
-				Domain: fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "domain")),
-				Kind:   rapid.SampledFrom(kinds).Draw(rt, "kind"),
-				Fresh:  rapid.Bool().Draw(rt, "fresh"),
+			s := placement.EndpointState{
+				ID:         fmt.Sprint(i),
+				Domain:     fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "domain")),
+				Kind:       rapid.SampledFrom(kinds).Draw(rt, "kind"),
+				JustJoined: rapid.Bool().Draw(rt, "fresh"),
 			}
 			if rapid.Bool().Draw(rt, "holds") {
 				from := rapid.IntRange(0, 79).Draw(rt, "from")
@@ -297,7 +297,7 @@
 	})
 }
 
-func total(list []placement.Server) []int {
+func total(list []placement.EndpointState) []int {
 	n := make([]int, 80)
 	for _, s := range list {
 		for l := s.Layers.From; l < s.Layers.To; l++ {
--- a/pkg/placement/repack.go
+++ b/pkg/placement/repack.go
@@ -27,7 +27,7 @@
 // server of the group still carries out an order, or if some layer would be served
 // nowhere meanwhile.
 func (p *planner) repack(g int) []Order {
-	list, still := p.holders(func(s Server) bool { return p.group[s.Domain] == g })
+	list, still := p.holders(func(s EndpointState) bool { return p.group[s.Domain] == g })
 	if !still {
 		return nil
 	}
@@ -37,7 +37,7 @@
 // repackAll does the same over all groups, for layers that nothing serves: what
 // is shifted serves no request meanwhile, but no request could be served anyway.
 func (p *planner) repackAll() []Order {
-	list, still := p.holders(func(Server) bool { return true })
+	list, still := p.holders(func(EndpointState) bool { return true })
 	if !still {
 		return nil
 	}
@@ -46,12 +46,12 @@
 
 // holders returns the servers of a kind that hold layers, and whether all of them
 // stand still: one that carries out an order may change the picture.
-func (p *planner) holders(of func(s Server) bool) (list []int, still bool) {
+func (p *planner) holders(of func(s EndpointState) bool) (list []int, still bool) {
 	for i, s := range p.servers {
 		if !of(s) || s.Layers.Len() == 0 {
 			continue
 		}
-		if s.Moving {
+		if s.OrderPending {
 			return nil, false
 		}
 		list = append(list, i)
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -8,8 +8,8 @@
 )
 
 // crowded returns a full set of requests with one end each.
-func crowded() *Suspects {
-	s := NewSuspects(timer.NewManual(time.Unix(1000, 0)))
+func crowded() *Detector {
+	s := NewDetector(timer.NewManual(time.Unix(1000, 0)))
 	for f := range Fingerprint(maxSuspects) {
 		s.Add(early(f, uint32(f%300), time.Second), false)
 	}
@@ -30,7 +30,7 @@
 func BenchmarkJudgeFull(b *testing.B) {
 	s := crowded()
 	for b.Loop() {
-		s.Judge(never)
+		s.Detect(never)
 	}
 }
 
--- a/pkg/quarantine/host.go
+++ b/pkg/quarantine/host.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// OwnHold is how long a host keeps a request from endpoints by what it saw alone,
+	// LocalHold is how long a host keeps a request from endpoints by what it saw alone,
 	// without a word of the control hosts: these decide within a second while there is
 	// a leader, and a deployment without one for longer than this takes no requests
 	// with keys anyway.
-	OwnHold = 30 * time.Second
+	LocalHold = 30 * time.Second
 	// reportKept is how long a host can tell a new leader of an end.
 	reportKept = 2 * time.Minute
 	// maxReports bounds what a host remembers to tell, and maxTold what one call
@@ -21,18 +21,18 @@
 	maxTold    = 128
 )
 
-// Verdict is what the control hosts say of a request: kept from endpoints for a time,
+// Decision is what the control hosts say of a request: kept from endpoints for a time,
 // or watched if that is 0.
-type Verdict struct {
+type Decision struct {
 	Fingerprint Fingerprint
-	Held        time.Duration
+	HoldTime    time.Duration
 }
 
-// Host is an entry host's part: what it saw itself and has to tell, and what it was
+// Enforcer is an entry host's part: what it saw itself and has to tell, and what it was
 // told. It is safe for use by several goroutines.
-type Host struct {
+type Enforcer struct {
 	svc timer.Service
-	own *Suspects
+	own *Detector
 
 	mu      sync.Mutex
 	reports []report
@@ -44,36 +44,36 @@
 
 // report is an end that the leader must know of.
 type report struct {
-	end  End
+	end  Crash
 	at   time.Time
 	term uint64 // of the leader that was told; 0: none
 }
 
-// NewHost returns a host that has seen nothing.
-func NewHost(svc timer.Service) *Host {
-	return &Host{
+// NewEnforcer returns a host that has seen nothing.
+func NewEnforcer(svc timer.Service) *Enforcer {
+	return &Enforcer{
 		svc:  svc,
-		own:  NewSuspects(svc),
+		own:  NewDetector(svc),
 		told: map[Fingerprint]time.Time{},
 		mine: map[Fingerprint]time.Time{},
 	}
 }
 
 // Idle reports whether no request is watched or held, so that none need be told apart.
-func (h *Host) Idle() bool {
+func (h *Enforcer) Idle() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.told) == 0 && len(h.mine) == 0
 }
 
-// Held returns how much longer a request is kept from endpoints; 0 if it isn't.
-func (h *Host) Held(f Fingerprint) time.Duration {
+// HoldRemaining returns how much longer a request is kept from endpoints; 0 if it isn't.
+func (h *Enforcer) HoldRemaining(f Fingerprint) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.held(f)
 }
 
-func (h *Host) held(f Fingerprint) time.Duration {
+func (h *Enforcer) held(f Fingerprint) time.Duration {
 	until := h.told[f]
 	if own := h.mine[f]; own.After(until) {
 		until = own
@@ -81,9 +81,9 @@
 	return max(0, until.Sub(h.svc.Now()))
 }
 
-// Ended takes an end that this host saw, and reports whether the request is held by
+// RecordCrash takes an end that this host saw, and reports whether the request is held by
 // it from now on.
-func (h *Host) Ended(e End) bool {
+func (h *Enforcer) RecordCrash(e Crash) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.svc.Now()
@@ -96,15 +96,15 @@
 	if !h.own.enough(e.Fingerprint) {
 		return false // to judge all costs 0.6 ms where 4,000 are remembered
 	}
-	found := h.own.Judge(func(Fingerprint) bool { return false })
+	found := h.own.Detect(func(Fingerprint) bool { return false })
 	for _, one := range found {
-		h.mine[one.Fingerprint] = now.Add(OwnHold)
+		h.mine[one.Fingerprint] = now.Add(LocalHold)
 	}
 	return len(found) > 0
 }
 
 // dropReports makes room for one more.
-func (h *Host) dropReports(now time.Time) {
+func (h *Enforcer) dropReports(now time.Time) {
 	first := max(0, len(h.reports)-maxReports+1)
 	for first < len(h.reports) && now.Sub(h.reports[first].at) > reportKept {
 		first++
@@ -117,8 +117,8 @@
 	}
 }
 
-// Served takes a request that an endpoint answered.
-func (h *Host) Served(f Fingerprint) {
+// RecordServed takes a request that an endpoint answered.
+func (h *Enforcer) RecordServed(f Fingerprint) {
 	h.own.Clear(f)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,15 +128,15 @@
 }
 
 // Digest returns the digest that came with what this host was told.
-func (h *Host) Digest() uint64 {
+func (h *Enforcer) Digest() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.digest
 }
 
-// Untold returns the ends that the leader of a term wasn't told of, and the watched
+// Unreported returns the ends that the leader of a term wasn't told of, and the watched
 // requests that were served since.
-func (h *Host) Untold(term uint64) (ends []End, served []Fingerprint) {
+func (h *Enforcer) Unreported(term uint64) (ends []Crash, served []Fingerprint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range h.reports {
@@ -147,11 +147,11 @@
 	return ends, append([]Fingerprint(nil), h.served...)
 }
 
-// Told notes that the leader of a term took these ends and served requests.
-func (h *Host) Told(term uint64, ends []End, served int) {
+// Acknowledge notes that the leader of a term took these ends and served requests.
+func (h *Enforcer) Acknowledge(term uint64, ends []Crash, served int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	taken := map[End]bool{}
+	taken := map[Crash]bool{}
 	for _, e := range ends {
 		taken[e] = true
 	}
@@ -163,16 +163,16 @@
 	h.served = h.served[served:]
 }
 
-// Take installs what the control hosts say, in place of what they said before.
-func (h *Host) Take(list []Verdict, digest uint64) {
+// SetDecisions installs what the control hosts say, in place of what they said before.
+func (h *Enforcer) SetDecisions(list []Decision, digest uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.svc.Now()
 	h.told = make(map[Fingerprint]time.Time, len(list))
 	for _, v := range list {
 		until := time.Time{}
-		if v.Held > 0 {
-			until = now.Add(v.Held)
+		if v.HoldTime > 0 {
+			until = now.Add(v.HoldTime)
 		}
 		h.told[v.Fingerprint] = until
 	}
--- a/pkg/quarantine/suspects.go
+++ b/pkg/quarantine/suspects.go
@@ -30,30 +30,30 @@
 	maxSuspects = 4096
 )
 
-// End is the end of one endpoint under one request: the connection broke, or the
+// Crash is the end of one endpoint under one request: the connection broke, or the
 // endpoint fell silent, while it had the request.
-type End struct {
+type Crash struct {
 	Fingerprint Fingerprint
 	// Endpoint names the incarnation.
 	Endpoint uint32
-	// Early says that no event of an answer had come.
-	Early bool
+	// BeforeResponse says that no event of an answer had come.
+	BeforeResponse bool
 	// After is the time from the send to the end.
 	After time.Duration
 }
 
-func (e *End) points() int {
-	if e.Early {
+func (e *Crash) points() int {
+	if e.BeforeResponse {
 		return earlyPoints
 	}
 	return latePoints
 }
 
-// Suspects tells which requests end endpoints. An end counts against all requests
+// Detector tells which requests end endpoints. An end counts against all requests
 // that the endpoint had, until one of them is found guilty; from then on it counts
 // against that one only, so that those which happened to be there aren't found too. It
 // is safe for use by several goroutines.
-type Suspects struct {
+type Detector struct {
 	svc timer.Service
 
 	mu     sync.Mutex
@@ -64,7 +64,7 @@
 // suspect is one request. Invariant: one end for each incarnation, none of which is
 // blamed on another request.
 type suspect struct {
-	ends map[uint32]End
+	ends map[uint32]Crash
 	at   time.Time // of the newest
 }
 
@@ -73,9 +73,9 @@
 	at time.Time
 }
 
-// NewSuspects returns an empty set.
-func NewSuspects(svc timer.Service) *Suspects {
-	return &Suspects{
+// NewDetector returns an empty set.
+func NewDetector(svc timer.Service) *Detector {
+	return &Detector{
 		svc:    svc,
 		rows:   map[Fingerprint]*suspect{},
 		blamed: map[uint32]blame{},
@@ -84,7 +84,7 @@
 
 // Add takes an end. guilty says that the request is known to end endpoints: nothing
 // else is to blame for this one.
-func (s *Suspects) Add(e End, guilty bool) {
+func (s *Detector) Add(e Crash, guilty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.svc.Now()
@@ -99,7 +99,7 @@
 	if r == nil {
 		s.makeRoom(now)
 		r = &suspect{
-			ends: map[uint32]End{},
+			ends: map[uint32]Crash{},
 		}
 		s.rows[e.Fingerprint] = r
 	}
@@ -108,7 +108,7 @@
 }
 
 // makeRoom forgets what is too old, and the oldest if there is no room for one more.
-func (s *Suspects) makeRoom(now time.Time) {
+func (s *Detector) makeRoom(now time.Time) {
 	if len(s.rows) < maxSuspects {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // expire forgets what is too old.
-func (s *Suspects) expire(now time.Time) {
+func (s *Detector) expire(now time.Time) {
 	for f, r := range s.rows {
 		if now.Sub(r.at) > endsKept {
 			delete(s.rows, f)
@@ -138,7 +138,7 @@
 }
 
 // enough reports whether a request has enough against it to be found.
-func (s *Suspects) enough(f Fingerprint) bool {
+func (s *Detector) enough(f Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.rows[f]
@@ -150,14 +150,14 @@
 }
 
 // Clear forgets a request that was served.
-func (s *Suspects) Clear(f Fingerprint) {
+func (s *Detector) Clear(f Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.rows, f)
 }
 
-// Forget forgets everything.
-func (s *Suspects) Forget() {
+// Reset forgets everything.
+func (s *Detector) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.rows) > 0 || len(s.blamed) > 0 {
@@ -168,7 +168,7 @@
 
 // Watched returns the requests under which several endpoints ended, those with the
 // most ends first.
-func (s *Suspects) Watched() []Fingerprint {
+func (s *Detector) Watched() []Fingerprint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Fingerprint
@@ -187,12 +187,12 @@
 // Finding is a request that is found to end endpoints, and the ends that show it.
 type Finding struct {
 	Fingerprint Fingerprint
-	Ends        []End
+	Crashes     []Crash
 }
 
-// Judge returns the requests that are found to end endpoints, and forgets them. One
+// Detect returns the requests that are found to end endpoints, and forgets them. One
 // that was found before, and has served its time, is found by a single early end.
-func (s *Suspects) Judge(before func(f Fingerprint) bool) []Finding {
+func (s *Detector) Detect(before func(f Fingerprint) bool) []Finding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.svc.Now()
@@ -207,7 +207,7 @@
 			Fingerprint: f,
 		}
 		for id, e := range s.rows[f].ends {
-			one.Ends = append(one.Ends, e)
+			one.Crashes = append(one.Crashes, e)
 			s.blame(id, f, now)
 		}
 		delete(s.rows, f)
@@ -216,7 +216,7 @@
 }
 
 // blame puts an incarnation's end down to one request, and takes it off the others.
-func (s *Suspects) blame(endpoint uint32, on Fingerprint, now time.Time) {
+func (s *Detector) blame(endpoint uint32, on Fingerprint, now time.Time) {
 	s.blamed[endpoint] = blame{
 		on: on,
 		at: now,
@@ -235,7 +235,7 @@
 // worst returns the request with the most against it, if that is enough; of two with
 // as much, the one under which endpoints ended sooner after the send: what ends an
 // endpoint does so as it begins to run, what happens to be there has any age.
-func (s *Suspects) worst(before func(f Fingerprint) bool) (Fingerprint, bool) {
+func (s *Detector) worst(before func(f Fingerprint) bool) (Fingerprint, bool) {
 	best := Fingerprint(0)
 	most, soonest, found := 0, time.Duration(0), false
 	for f, r := range s.rows {
--- a/pkg/registry/incarnation_test.go
+++ b/pkg/registry/incarnation_test.go
@@ -12,7 +12,7 @@
 // started is an endpoint that tells when it started.
 func started(own string, born int64, sequence uint64) fleet.Endpoint {
 	e := endpoint(fleet.IncarnationID(own, born), sequence)
-	e.Born = born
+	e.StartedAt = born
 	return e
 }
 
@@ -32,14 +32,14 @@
 			withTable(func(t *Table, clock *timer.Manual) {
 				t.Announce(started("i", later, 1))
 				old := started("i", 1000, 70)
-				old.HeardAt = clock.Now().Add(time.Second) // another replica's word
+				old.LastHeartbeat = clock.Now().Add(time.Second) // another replica's word
 				t.Merge([]fleet.Endpoint{old})
 				Expect(usableIDs(t)).To(Equal([]string{fleet.IncarnationID("i", later)}))
 			})
 			withTable(func(t *Table, clock *timer.Manual) {
 				t.Announce(started("i", 1000, 70))
 				next := started("i", later, 1)
-				next.HeardAt = clock.Now().Add(-time.Second)
+				next.LastHeartbeat = clock.Now().Add(-time.Second)
 				t.Merge([]fleet.Endpoint{next})
 				Expect(usableIDs(t)).To(Equal([]string{fleet.IncarnationID("i", later)}))
 			})
@@ -61,7 +61,7 @@
 	It("end by the endpoint's own id where its last word tells no start", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(started("i", 1000, 1))
-			Expect(t.Gone("i").ID).To(Equal(fleet.IncarnationID("i", 1000)))
+			Expect(t.MarkGone("i").ID).To(Equal(fleet.IncarnationID("i", 1000)))
 			Expect(usableIDs(t)).To(BeEmpty())
 			clock.Advance(time.Second)
 			t.Announce(started("i", 2000, 1))
@@ -71,9 +71,9 @@
 
 	It("don't come back by another replica's older word after the last one", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
-			t.Gone("i") // never heard of here
+			t.MarkGone("i") // never heard of here
 			old := started("i", 1000, 9)
-			old.HeardAt = clock.Now().Add(-time.Second)
+			old.LastHeartbeat = clock.Now().Add(-time.Second)
 			t.Merge([]fleet.Endpoint{old})
 			Expect(usableIDs(t)).To(BeEmpty())
 		})
@@ -113,12 +113,12 @@
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("old", 11))
 			clock.Advance(2 * interval)
-			t.Lost("old")
+			t.MarkSilent("old")
 			clock.Advance(interval)
 			next := endpoint("new", 1)
-			next.HeardAt = clock.Now()
+			next.LastHeartbeat = clock.Now()
 			clock.Advance(10 * time.Millisecond)
-			t.Reported("old", Status{Layers: fleet.Range{From: 0, To: 8}})
+			t.UpdateStatus("old", Status{Layers: fleet.Range{From: 0, To: 8}})
 			clock.Advance(time.Millisecond)
 			t.Merge([]fleet.Endpoint{next})
 			Expect(usableIDs(t)).To(Equal([]string{"new"}))
@@ -130,8 +130,8 @@
 			t.Announce(endpoint("a", 1))
 			for range 2 * int(forgetAfter/interval) {
 				clock.Advance(interval)
-				t.Reported("a", Status{})
-				Expect(t.Judge()).To(BeEmpty())
+				t.UpdateStatus("a", Status{})
+				Expect(t.Sweep()).To(BeEmpty())
 			}
 			Expect(usableIDs(t)).To(Equal([]string{"a"}))
 		})
--- a/pkg/registry/recall.go
+++ b/pkg/registry/recall.go
@@ -6,10 +6,10 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// Recall takes endpoints that a disk told of, where nothing newer is known, and
+// Restore takes endpoints that a disk told of, where nothing newer is known, and
 // returns how many. They count as silent until they answer, and are dropped by
 // DropRecalled unless a heartbeat comes.
-func (t *Table) Recall(list []fleet.Endpoint) int {
+func (t *Table) Restore(list []fleet.Endpoint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -20,7 +20,7 @@
 		e.Recalled = true
 		e.Silent = true
 		e.Loading = false
-		e.HeardAt = time.Time{}
+		e.LastHeartbeat = time.Time{}
 		t.rows[e.ID] = &row{
 			Endpoint: e,
 		}
@@ -30,10 +30,10 @@
 	return n
 }
 
-// DropRecalled drops the endpoints that were recalled and sent no heartbeat
+// DropRestored drops the endpoints that were recalled and sent no heartbeat
 // since, and returns how many: they may have ended, or said that they leave,
 // after the disk was written.
-func (t *Table) DropRecalled() int {
+func (t *Table) DropRestored() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -47,8 +47,8 @@
 	return n
 }
 
-// Heard returns the rows of which a heartbeat came since this replica started.
-func (t *Table) Heard() []fleet.Endpoint {
+// Announced returns the rows of which a heartbeat came since this replica started.
+func (t *Table) Announced() []fleet.Endpoint {
 	var list []fleet.Endpoint
 	for _, e := range t.All() {
 		if !e.Recalled {
@@ -58,8 +58,8 @@
 	return list
 }
 
-// HasRecalled reports whether there are rows of which only the disk told.
-func (t *Table) HasRecalled() bool {
+// HasRestored reports whether there are rows of which only the disk told.
+func (t *Table) HasRestored() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.rows {
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -56,10 +56,10 @@
 
 // quiet returns for how long nothing was heard of an endpoint.
 func (r *row) quiet(now time.Time) time.Duration {
-	if r.answeredAt.After(r.HeardAt) {
+	if r.answeredAt.After(r.LastHeartbeat) {
 		return now.Sub(r.answeredAt)
 	}
-	return now.Sub(r.HeardAt)
+	return now.Sub(r.LastHeartbeat)
 }
 
 // New returns an empty table of endpoints that announce themselves at interval.
@@ -76,7 +76,7 @@
 // Announce takes a heartbeat that was just received, and reports whether it
 // told something that others must learn.
 func (t *Table) Announce(e fleet.Endpoint) bool {
-	e.HeardAt = t.svc.Now()
+	e.LastHeartbeat = t.svc.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.merge(e)
@@ -96,9 +96,9 @@
 	return n
 }
 
-// Gone notes that an incarnation has ended, the newest of an endpoint if only its own
+// MarkGone notes that an incarnation has ended, the newest of an endpoint if only its own
 // id is given, and returns its row.
-func (t *Table) Gone(id string) fleet.Endpoint {
+func (t *Table) MarkGone(id string) fleet.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	id = t.newest(id)
@@ -111,7 +111,7 @@
 	}
 	e.Gone = true
 	e.Leaving = true
-	e.HeardAt = t.svc.Now()
+	e.LastHeartbeat = t.svc.Now()
 	t.merge(e)
 	return t.rows[id].Endpoint
 }
@@ -136,7 +136,7 @@
 func (t *Table) left(e *fleet.Endpoint) bool {
 	own, _ := fleet.SplitIncarnation(e.ID)
 	r := t.rows[own]
-	return own != e.ID && r != nil && r.Gone && e.HeardAt.Before(r.HeardAt)
+	return own != e.ID && r != nil && r.Gone && e.LastHeartbeat.Before(r.LastHeartbeat)
 }
 
 func (t *Table) merge(e fleet.Endpoint) bool {
@@ -163,17 +163,17 @@
 	next := old.Endpoint
 	if e.Sequence > old.Sequence {
 		next = e
-		next.Slow = old.Slow // heartbeats don't tell these
+		next.Slowdown = old.Slowdown // heartbeats don't tell these
 		next.Orders = old.Orders
 		next.Loading = old.Loading && e.Layers == old.Layers
 	}
 	next.Leaving = e.Leaving || old.Leaving
 	next.Gone = e.Gone || old.Gone
-	next.HeardAt = old.HeardAt
-	if e.HeardAt.After(old.HeardAt) {
-		next.HeardAt = e.HeardAt
+	next.LastHeartbeat = old.LastHeartbeat
+	if e.LastHeartbeat.After(old.LastHeartbeat) {
+		next.LastHeartbeat = e.LastHeartbeat
 	}
-	next.Silent = old.Silent && !next.HeardAt.After(old.HeardAt)
+	next.Silent = old.Silent && !next.LastHeartbeat.After(old.LastHeartbeat)
 	next.Recalled = old.Recalled && e.Recalled
 	if next.Layers != old.Layers {
 		t.logLayers(&next)
@@ -207,13 +207,13 @@
 	}
 	now := t.svc.Now()
 	for _, r := range t.rows {
-		if r.Born > 0 && e.Born > 0 {
-			if e.Born < r.Born && sameEndpoint(e, &r.Endpoint) {
+		if r.StartedAt > 0 && e.StartedAt > 0 {
+			if e.StartedAt < r.StartedAt && sameEndpoint(e, &r.Endpoint) {
 				return true
 			}
 			continue
 		}
-		if r.Address == e.Address && !r.Gone && !r.Recalled && e.Sequence > r.Sequence && now.Sub(r.HeardAt) < 2*t.interval {
+		if r.Address == e.Address && !r.Gone && !r.Recalled && e.Sequence > r.Sequence && now.Sub(r.LastHeartbeat) < 2*t.interval {
 			return true
 		}
 	}
@@ -257,12 +257,12 @@
 // replaces reports whether a new incarnation at the address of another shows that the
 // other has ended.
 func (t *Table) replaces(e, other *fleet.Endpoint) bool {
-	quiet := e.HeardAt.Sub(other.HeardAt)
+	quiet := e.LastHeartbeat.Sub(other.LastHeartbeat)
 	if e.Service != other.Service && float64(quiet) < reuseBeats*float64(t.interval) {
 		return false
 	}
-	if e.Born > 0 && other.Born > 0 {
-		return e.Born > other.Born
+	if e.StartedAt > 0 && other.StartedAt > 0 {
+		return e.StartedAt > other.StartedAt
 	}
 	return quiet >= 0
 }
@@ -272,7 +272,7 @@
 func sameNews(a, b *fleet.Endpoint) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain && a.Slots == b.Slots &&
 		a.Leaving == b.Leaving && a.Gone == b.Gone && a.Kind == b.Kind && a.Model == b.Model &&
-		a.Layers == b.Layers && a.Loading == b.Loading && a.Silent == b.Silent && a.Slow == b.Slow &&
+		a.Layers == b.Layers && a.Loading == b.Loading && a.Silent == b.Silent && a.Slowdown == b.Slowdown &&
 		a.Recalled == b.Recalled
 }
 
@@ -303,9 +303,9 @@
 	t.changed = make(chan struct{})
 }
 
-// Judge forgets old rows, and returns the endpoints that should have sent a
+// Sweep forgets old rows, and returns the endpoints that should have sent a
 // heartbeat: they may have sent it to a replica that can't pass it on.
-func (t *Table) Judge() []fleet.Endpoint {
+func (t *Table) Sweep() []fleet.Endpoint {
 	now := t.svc.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -327,9 +327,9 @@
 	return late
 }
 
-// Lost marks an endpoint silent that doesn't answer; its next heartbeat or
+// MarkSilent marks an endpoint silent that doesn't answer; its next heartbeat or
 // answer takes that back.
-func (t *Table) Lost(id string) {
+func (t *Table) MarkSilent(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rows[id]
@@ -378,9 +378,9 @@
 	return t.version
 }
 
-// Since returns the rows that changed after version known, and the newest
+// ChangesSince returns the rows that changed after version known, and the newest
 // version.
-func (t *Table) Since(known uint64) ([]fleet.Endpoint, uint64) {
+func (t *Table) ChangesSince(known uint64) ([]fleet.Endpoint, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []fleet.Endpoint
@@ -395,9 +395,9 @@
 	return list, t.version
 }
 
-// Leaving returns the rows of endpoints of which it became known since a time that they
+// LeavingSince returns the rows of endpoints of which it became known since a time that they
 // leave or have ended. Its cost goes with these, and not with all that there are.
-func (t *Table) Leaving(since time.Time) []fleet.Endpoint {
+func (t *Table) LeavingSince(since time.Time) []fleet.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []fleet.Endpoint
@@ -422,9 +422,9 @@
 	})
 }
 
-// Changes returns the rows that changed after version known, if they are no more than
+// ChangesUpTo returns the rows that changed after version known, if they are no more than
 // most, and the newest version; few says whether they are.
-func (t *Table) Changes(known uint64, most int) (list []fleet.Endpoint, version uint64, few bool) {
+func (t *Table) ChangesUpTo(known uint64, most int) (list []fleet.Endpoint, version uint64, few bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if known == t.version {
@@ -444,17 +444,17 @@
 
 // All returns every row, sorted by incarnation.
 func (t *Table) All() []fleet.Endpoint {
-	list, _ := t.Since(0)
+	list, _ := t.ChangesSince(0)
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// HeardSince returns the rows whose last heartbeat is younger than age.
-func (t *Table) HeardSince(age time.Duration) []fleet.Endpoint {
+// AnnouncedWithin returns the rows whose last heartbeat is younger than age.
+func (t *Table) AnnouncedWithin(age time.Duration) []fleet.Endpoint {
 	from := t.svc.Now().Add(-age)
 	var list []fleet.Endpoint
-	for _, e := range t.Heard() {
-		if e.HeardAt.After(from) {
+	for _, e := range t.Announced() {
+		if e.LastHeartbeat.After(from) {
 			list = append(list, e)
 		}
 	}
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -51,7 +51,7 @@
 			t.Announce(e)
 			t.Announce(endpoint("a", 2))
 			Expect(t.All()[0].Leaving).To(BeTrue())
-			t.Gone("a")
+			t.MarkGone("a")
 			t.Announce(endpoint("a", 9))
 			Expect(t.All()[0].Usable()).To(BeFalse())
 		})
@@ -59,7 +59,7 @@
 
 	It("keeps an incarnation that ended before it was ever announced", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
-			t.Gone("late")
+			t.MarkGone("late")
 			t.Announce(endpoint("late", 1))
 			Expect(t.All()[0].Usable()).To(BeFalse())
 		})
@@ -108,7 +108,7 @@
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			clock.Advance(4 * interval)
-			Expect(t.Judge()).To(HaveLen(1))
+			Expect(t.Sweep()).To(HaveLen(1))
 			Expect(t.All()[0].Silent).To(BeFalse())
 		})
 	})
@@ -116,13 +116,13 @@
 	It("takes a loss back with the next heartbeat or answer", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
-			t.Lost("a")
+			t.MarkSilent("a")
 			Expect(t.All()[0].Silent).To(BeTrue())
 			clock.Advance(time.Millisecond)
 			t.Announce(endpoint("a", 2))
 			Expect(t.All()[0].Silent).To(BeFalse())
-			t.Lost("a")
-			t.Reported("a", Status{Slow: 1})
+			t.MarkSilent("a")
+			t.UpdateStatus("a", Status{Slowdown: 1})
 			Expect(t.All()[0].Silent).To(BeFalse())
 		})
 	})
@@ -131,7 +131,7 @@
 		withTable(func(t *Table, _ *timer.Manual) {
 			e := endpoint("a", 1)
 			t.Announce(e)
-			t.Reported("a", Status{Busy: true, Slow: 1})
+			t.UpdateStatus("a", Status{Busy: true, Slowdown: 1})
 			t.Announce(endpoint("a", 2))
 			Expect(t.All()[0].Loading).To(BeTrue())
 			done := endpoint("a", 3)
@@ -146,14 +146,14 @@
 			e := endpoint("a", 1)
 			e.Layers = fleet.Range{From: 0, To: 4}
 			t.Announce(e)
-			_, known := t.Since(0)
-			t.Ordered("a", 1)
-			list, _ := t.Since(known)
+			_, known := t.ChangesSince(0)
+			t.MarkReassigned("a", 1)
+			list, _ := t.ChangesSince(known)
 			Expect(list).To(HaveLen(1), "entry hosts learn of it")
 			Expect(list[0].Loading).To(BeTrue())
 			Expect(list[0].Layers.Len()).To(Equal(0))
 			Expect(list[0].Orders).To(BeEquivalentTo(1))
-			t.Ordered("unknown", 1)
+			t.MarkReassigned("unknown", 1)
 			Expect(t.All()).To(HaveLen(1))
 		})
 	})
@@ -167,7 +167,7 @@
 			}
 			leaving := func(age time.Duration) []string {
 				list := []string{}
-				for _, e := range t.Leaving(clock.Now().Add(-age)) {
+				for _, e := range t.LeavingSince(clock.Now().Add(-age)) {
 					list = append(list, e.ID)
 				}
 				return list
@@ -179,11 +179,11 @@
 			clock.Advance(5 * time.Second)
 			e.Sequence = 3
 			t.Announce(e) // a heartbeat of one that leaves is no news
-			t.Gone("b")
+			t.MarkGone("b")
 			Expect(leaving(time.Second)).To(Equal([]string{"b"}))
 			Expect(leaving(10 * time.Second)).To(Equal([]string{"b", "a"}))
 			clock.Advance(forgetAfter)
-			t.Gone("c")
+			t.MarkGone("c")
 			Expect(leaving(time.Hour)).To(Equal([]string{"c", "b"}), "the older one is forgotten")
 		})
 	})
@@ -207,7 +207,7 @@
 				{known: 3, most: 0, rows: 0, few: true},
 			}
 			for _, k := range cases {
-				list, version, few := t.Changes(k.known, k.most)
+				list, version, few := t.ChangesUpTo(k.known, k.most)
 				Expect(list).To(HaveLen(k.rows))
 				Expect(few).To(Equal(k.few))
 				Expect(version).To(BeEquivalentTo(3))
@@ -222,22 +222,22 @@
 			t.Announce(known)
 			other := endpoint("b", 7)
 			other.Address = "10.0.0.2:80"
-			Expect(t.HasRecalled()).To(BeFalse())
-			Expect(t.Recall([]fleet.Endpoint{known, endpoint("a", 5), other})).To(Equal(2))
-			Expect(t.HasRecalled()).To(BeTrue())
+			Expect(t.HasRestored()).To(BeFalse())
+			Expect(t.Restore([]fleet.Endpoint{known, endpoint("a", 5), other})).To(Equal(2))
+			Expect(t.HasRestored()).To(BeTrue())
 			e, _ := t.Get("a")
 			Expect(e.Silent).To(BeTrue())
-			Expect(t.Heard()).To(HaveLen(1), "nothing is passed on that no heartbeat told of")
-			t.Reported("a", Status{Layers: fleet.Range{From: 0, To: 4}, Slow: 1})
-			t.Answered("b")
+			Expect(t.Announced()).To(HaveLen(1), "nothing is passed on that no heartbeat told of")
+			t.UpdateStatus("a", Status{Layers: fleet.Range{From: 0, To: 4}, Slowdown: 1})
+			t.MarkAnswered("b")
 			for _, id := range []string{"a", "b"} {
 				e, _ = t.Get(id)
 				Expect(e.Silent).To(BeFalse(), id)
 			}
 			clock.Advance(time.Minute + time.Second)
-			Expect(t.Judge()).To(BeEmpty(), "recalled ones have no heartbeat that could be late")
+			Expect(t.Sweep()).To(BeEmpty(), "recalled ones have no heartbeat that could be late")
 			Expect(t.Announce(endpoint("a", 3))).To(BeTrue(), "other replicas must learn that it is there")
-			Expect(t.DropRecalled()).To(Equal(1))
+			Expect(t.DropRestored()).To(Equal(1))
 			_, there := t.Get("a")
 			Expect(there).To(BeTrue())
 			_, there = t.Get("b")
@@ -247,7 +247,7 @@
 
 	It("ends a recalled incarnation at the address of a new one", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
-			t.Recall([]fleet.Endpoint{endpoint("old", 5)})
+			t.Restore([]fleet.Endpoint{endpoint("old", 5)})
 			t.Announce(endpoint("new", 1))
 			e, _ := t.Get("old")
 			Expect(e.Gone).To(BeTrue())
@@ -257,13 +257,13 @@
 	It("tells what changed since a version, and wakes who waits", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			t.Announce(endpoint("a", 1))
-			_, known := t.Since(0)
+			_, known := t.ChangesSince(0)
 			changed := t.Changed()
 			other := endpoint("b", 1)
 			other.Address = "10.0.0.2:80"
 			t.Announce(other)
 			Expect(changed).To(BeClosed())
-			list, _ := t.Since(known)
+			list, _ := t.ChangesSince(known)
 			Expect(list).To(HaveLen(1))
 			Expect(list[0].ID).To(Equal("b"))
 		})
@@ -272,10 +272,10 @@
 	It("ends the earlier incarnation at the address of a new one", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("old", 7))
-			t.Lost("old")
+			t.MarkSilent("old")
 			clock.Advance(time.Millisecond)
 			t.Announce(endpoint("new", 1))
-			t.Reported("old", Status{Slow: 1})
+			t.UpdateStatus("old", Status{Slowdown: 1})
 			for _, e := range t.All() {
 				Expect(e.Usable()).To(Equal(e.ID == "new"), e.ID)
 			}
@@ -286,7 +286,7 @@
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			clock.Advance(forgetAfter + time.Second)
-			t.Judge()
+			t.Sweep()
 			Expect(t.All()).To(BeEmpty())
 		})
 	})
--- a/pkg/registry/status.go
+++ b/pkg/registry/status.go
@@ -12,14 +12,14 @@
 	Layers fleet.Range
 	Orders uint64 // taken since its start
 	Busy   bool   // with an order
-	// Slow is how many times as slow as its kind the endpoint is.
-	Slow float64
-	// Says is told with any answer, also with one that is no report.
-	Says fleet.Word
+	// Slowdown is how many times as slow as its kind the endpoint is.
+	Slowdown float64
+	// Notice is told with any answer, also with one that is no report.
+	Notice fleet.Notice
 }
 
-// Reported takes what an endpoint answered when it was asked.
-func (t *Table) Reported(id string, report Status) {
+// UpdateStatus takes what an endpoint answered when it was asked.
+func (t *Table) UpdateStatus(id string, report Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rows[id]
@@ -32,16 +32,16 @@
 	next.Layers = report.Layers
 	next.Orders = report.Orders
 	next.Loading = report.Busy
-	next.Slow = roundSlow(report.Slow)
-	if next.Layers != r.Layers || next.Loading != r.Loading || next.Slow != r.Slow {
+	next.Slowdown = roundSlow(report.Slowdown)
+	if next.Layers != r.Layers || next.Loading != r.Loading || next.Slowdown != r.Slowdown {
 		t.logLayers(&next)
 	}
 	t.replace(r, next)
 }
 
-// Left notes that an endpoint said in an answer, to this host or another, that it leaves.
+// MarkLeaving notes that an endpoint said in an answer, to this host or another, that it leaves.
 // Its heartbeats may not tell that, or later.
-func (t *Table) Left(id string) {
+func (t *Table) MarkLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rows[id]
@@ -53,9 +53,9 @@
 	t.note(r)
 }
 
-// Ordered notes that an endpoint took an order to hold other layers: it has
+// MarkReassigned notes that an endpoint took an order to hold other layers: it has
 // given up those that it held, and loads. taken is how many orders it has taken.
-func (t *Table) Ordered(id string, taken uint64) {
+func (t *Table) MarkReassigned(id string, taken uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rows[id]
@@ -77,7 +77,7 @@
 	}
 	t.log.Event(eventlog.EndpointLayers, eventlog.Str("endpoint", e.ID), eventlog.Str("address", e.Address),
 		eventlog.Int("from", int64(e.Layers.From)), eventlog.Int("to", int64(e.Layers.To)),
-		eventlog.Int("loading", loading), eventlog.Int("slow_percent", int64(100*e.Slow)))
+		eventlog.Int("loading", loading), eventlog.Int("slow_percent", int64(100*e.Slowdown)))
 }
 
 // slowStep is how finely slowness is told: a finer one is news all the time.
@@ -91,8 +91,8 @@
 	return math.Round(slow/slowStep) * slowStep
 }
 
-// Answered notes that an endpoint is there, though it told nothing of itself.
-func (t *Table) Answered(id string) {
+// MarkAnswered notes that an endpoint is there, though it told nothing of itself.
+func (t *Table) MarkAnswered(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.rows[id]; r != nil && r.Silent && !r.Gone {
--- a/pkg/rest/rest.go
+++ b/pkg/rest/rest.go
@@ -17,7 +17,7 @@
 	sweepEvery = time.Second
 )
 
-// Book is the rests that endpoints asked for. It is safe for use by several goroutines.
+// Tracker is the rests that endpoints asked for. It is safe for use by several goroutines.
 //
 // A new start of an endpoint ends its rest, unless that was asked for after the start: a
 // request that expects the endpoint by its own id is answered by whichever start is there,
@@ -26,7 +26,7 @@
 // Invariants: an end never moves nearer: neither a shorter rest nor a good answer takes
 // back what was asked for. In spite of a rest an endpoint is called once at most, until it
 // was free: endpoints bear two, and a call may be on its way when they ask.
-type Book struct {
+type Tracker struct {
 	svc timer.Service
 
 	mu    sync.Mutex
@@ -44,15 +44,15 @@
 }
 
 // New returns a book without rests.
-func New(svc timer.Service) *Book {
-	return &Book{
+func New(svc timer.Service) *Tracker {
+	return &Tracker{
 		svc:  svc,
 		rows: map[string]*row{},
 	}
 }
 
-// Ask notes that an endpoint wants nothing for d from now on.
-func (b *Book) Ask(id string, d time.Duration) {
+// Record notes that an endpoint wants nothing for d from now on.
+func (b *Tracker) Record(id string, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.svc.Now()
@@ -62,9 +62,9 @@
 	r.last(now.Add(d))
 }
 
-// Told notes that another process of this host was asked for a rest which lasts for left
+// Merge notes that another process of this host was asked for a rest which lasts for left
 // from now on. It may be told again and again.
-func (b *Book) Told(id string, left time.Duration) {
+func (b *Tracker) Merge(id string, left time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.svc.Now()
@@ -73,7 +73,7 @@
 }
 
 // open returns the row of an endpoint, a new one if it doesn't rest.
-func (b *Book) open(id string, now time.Time) *row {
+func (b *Tracker) open(id string, now time.Time) *row {
 	b.sweep(now)
 	own, born := fleet.SplitIncarnation(id)
 	r := b.rows[own]
@@ -115,7 +115,7 @@
 }
 
 // sweep forgets what is over.
-func (b *Book) sweep(now time.Time) {
+func (b *Tracker) sweep(now time.Time) {
 	if now.Sub(b.swept) < sweepEvery {
 		return
 	}
@@ -127,14 +127,14 @@
 	}
 }
 
-// Left returns how much longer an endpoint wants nothing; 0: it may be called.
-func (b *Book) Left(id string) time.Duration {
+// Remaining returns how much longer an endpoint wants nothing; 0: it may be called.
+func (b *Tracker) Remaining(id string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(id)
 }
 
-func (b *Book) left(id string) time.Duration {
+func (b *Tracker) left(id string) time.Duration {
 	r := b.of(id)
 	if r == nil || !r.holds(id) {
 		return 0
@@ -143,7 +143,7 @@
 }
 
 // of returns the row of an endpoint, or nil.
-func (b *Book) of(id string) *row {
+func (b *Tracker) of(id string) *row {
 	if len(b.rows) == 0 {
 		return nil
 	}
@@ -151,16 +151,16 @@
 	return b.rows[own]
 }
 
-// May reports whether an endpoint may be called now: it doesn't rest, or some time has
+// MayCall reports whether an endpoint may be called now: it doesn't rest, or some time has
 // passed and nothing has called it since. That is for what can't be done elsewhere: a
 // request for which there is no other endpoint, or a question about streams that it runs.
-func (b *Book) May(id string) bool {
+func (b *Tracker) MayCall(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.may(id)
 }
 
-func (b *Book) may(id string) bool {
+func (b *Tracker) may(id string) bool {
 	if b.left(id) == 0 {
 		return true
 	}
@@ -168,8 +168,8 @@
 	return !r.taken && b.svc.Now().Sub(r.asked) >= tryAfter
 }
 
-// Take is May for who then calls; others that ask for it in the same rest may not.
-func (b *Book) Take(id string) bool {
+// TryAcquire is May for who then calls; others that ask for it in the same rest may not.
+func (b *Tracker) TryAcquire(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.may(id) {
@@ -181,8 +181,8 @@
 	return true
 }
 
-// Resting returns how much longer each endpoint that rests wants nothing.
-func (b *Book) Resting() map[string]time.Duration {
+// Active returns how much longer each endpoint that rests wants nothing.
+func (b *Tracker) Active() map[string]time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := map[string]time.Duration{}
@@ -194,16 +194,16 @@
 	return list
 }
 
-// Any reports whether an endpoint may rest now.
-func (b *Book) Any() bool {
+// HasAny reports whether an endpoint may rest now.
+func (b *Tracker) HasAny() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweep(b.svc.Now())
 	return len(b.rows) > 0
 }
 
-// Size returns how many rests are kept.
-func (b *Book) Size() int {
+// Len returns how many rests are kept.
+func (b *Tracker) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.rows)
--- a/pkg/rest/rest_test.go
+++ b/pkg/rest/rest_test.go
@@ -16,43 +16,43 @@
 }
 
 // withBook runs f on a book without rests.
-func withBook(f func(b *Book, clock *timer.Manual)) {
+func withBook(f func(b *Tracker, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(New(clock), clock)
 }
 
 var _ = Describe("a rest", func() {
 	It("lasts as long as the longest that was asked for, and no longer", func() {
-		withBook(func(b *Book, clock *timer.Manual) {
-			b.Ask("p", 3*time.Second)
+		withBook(func(b *Tracker, clock *timer.Manual) {
+			b.Record("p", 3*time.Second)
 			clock.Advance(time.Second)
-			b.Ask("p", time.Second)
-			Expect(b.Left("p")).To(Equal(2 * time.Second))
-			b.Ask("p", 5*time.Second)
-			Expect(b.Left("p")).To(Equal(5 * time.Second))
-			Expect(b.Left("q")).To(BeZero())
+			b.Record("p", time.Second)
+			Expect(b.Remaining("p")).To(Equal(2 * time.Second))
+			b.Record("p", 5*time.Second)
+			Expect(b.Remaining("p")).To(Equal(5 * time.Second))
+			Expect(b.Remaining("q")).To(BeZero())
 			clock.Advance(5 * time.Second)
-			Expect(b.Left("p")).To(BeZero())
-			Expect(b.Resting()).To(BeEmpty())
+			Expect(b.Remaining("p")).To(BeZero())
+			Expect(b.Active()).To(BeEmpty())
 		})
 	})
 
 	It("allows one call in spite of it, not at its begin, and not again when it is drawn out", func() {
-		withBook(func(b *Book, clock *timer.Manual) {
-			Expect(b.Take("p")).To(BeTrue(), "it doesn't rest")
-			b.Ask("p", 3*time.Second)
-			Expect(b.Take("p")).To(BeFalse())
+		withBook(func(b *Tracker, clock *timer.Manual) {
+			Expect(b.TryAcquire("p")).To(BeTrue(), "it doesn't rest")
+			b.Record("p", 3*time.Second)
+			Expect(b.TryAcquire("p")).To(BeFalse())
 			clock.Advance(tryAfter)
-			Expect(b.May("p")).To(BeTrue())
-			Expect(b.Take("p")).To(BeTrue())
-			Expect(b.Take("p")).To(BeFalse())
-			b.Ask("p", 3*time.Second)
+			Expect(b.MayCall("p")).To(BeTrue())
+			Expect(b.TryAcquire("p")).To(BeTrue())
+			Expect(b.TryAcquire("p")).To(BeFalse())
+			b.Record("p", 3*time.Second)
 			clock.Advance(tryAfter)
-			Expect(b.Take("p")).To(BeFalse(), "in no rest may it be twice")
+			Expect(b.TryAcquire("p")).To(BeFalse(), "in no rest may it be twice")
 			clock.Advance(3 * time.Second)
-			b.Ask("p", 3*time.Second)
+			b.Record("p", 3*time.Second)
 			clock.Advance(tryAfter)
-			Expect(b.Take("p")).To(BeTrue(), "it was free meanwhile")
+			Expect(b.TryAcquire("p")).To(BeTrue(), "it was free meanwhile")
 		})
 	})
 
@@ -70,36 +70,36 @@
 			{name: "tells no start", asked: "p", nothing: true, holds: true},
 		}
 		for _, c := range cases {
-			withBook(func(b *Book, clock *timer.Manual) {
-				b.Ask(c.asked, time.Hour)
+			withBook(func(b *Tracker, clock *timer.Manual) {
+				b.Record(c.asked, time.Hour)
 				next := fleet.IncarnationID("p", clock.Wall().Add(c.born).UnixMilli())
 				if c.nothing {
 					next = "p"
 				}
-				Expect(b.Left(next) > 0).To(Equal(c.holds), c.name)
-				b.Ask(next, time.Minute)
-				Expect(b.Left(next) > time.Minute).To(Equal(c.holds), c.name)
-				Expect(b.Size()).To(Equal(1), c.name)
+				Expect(b.Remaining(next) > 0).To(Equal(c.holds), c.name)
+				b.Record(next, time.Minute)
+				Expect(b.Remaining(next) > time.Minute).To(Equal(c.holds), c.name)
+				Expect(b.Len()).To(Equal(1), c.name)
 			})
 		}
 	})
 
 	It("is forgotten once it is over, however many there were", func() {
-		withBook(func(b *Book, clock *timer.Manual) {
+		withBook(func(b *Tracker, clock *timer.Manual) {
 			for n := range 3200 {
-				b.Ask(string(rune('a'+n)), time.Duration(1+n%3)*time.Second)
+				b.Record(string(rune('a'+n)), time.Duration(1+n%3)*time.Second)
 			}
 			clock.Advance(4 * time.Second)
-			b.Ask("p", time.Second)
-			Expect(b.Size()).To(Equal(1))
+			b.Record("p", time.Second)
+			Expect(b.Len()).To(Equal(1))
 		})
 	})
 })
 
 func BenchmarkLeft(b *testing.B) {
 	book := New(timer.NewSystem())
-	book.Ask("p", time.Hour)
+	book.Record("p", time.Hour)
 	for b.Loop() {
-		book.Left("q")
+		book.Remaining("q")
 	}
 }
--- a/pkg/rollout/keeper.go
+++ b/pkg/rollout/keeper.go
@@ -30,12 +30,12 @@
 	sureWithin = 10 * time.Second
 )
 
-// Keeper holds the set in force on this host.
+// Syncer holds the set in force on this host.
 //
 // Invariants: the revision never falls; a set is installed whole or not at
 // all; confirmedAt is a time at which the installed revision was the newest
 // that a control majority had accepted.
-type Keeper struct {
+type Syncer struct {
 	host    string
 	control []string
 	peers   func() []string
@@ -55,9 +55,9 @@
 
 // New returns a keeper that holds no set yet. peers gives the addresses of
 // other entry hosts.
-func New(host string, control []string, peers func() []string, trust *bundle.Trust, svc timer.Service, client *http.Client, set *metrics.Set) *Keeper {
+func New(host string, control []string, peers func() []string, trust *bundle.Trust, svc timer.Service, client *http.Client, set *metrics.Set) *Syncer {
 	empty, _ := bundle.NewSet(0, nil)
-	return &Keeper{
+	return &Syncer{
 		host:     host,
 		control:  control,
 		peers:    peers,
@@ -72,14 +72,14 @@
 }
 
 // Set returns the set in force.
-func (k *Keeper) Set() *bundle.Set {
+func (k *Syncer) Set() *bundle.Set {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.set
 }
 
 // Changed returns a channel that is closed once a newer set is in force.
-func (k *Keeper) Changed() <-chan struct{} {
+func (k *Syncer) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
@@ -87,14 +87,14 @@
 
 // Confirmed reports whether the set was ever confirmed to be the newest since
 // this process started, and how long ago the last time was.
-func (k *Keeper) Confirmed() (bool, time.Duration) {
+func (k *Syncer) Confirmed() (bool, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.confirmed, k.svc.Now().Sub(k.confirmedAt)
 }
 
 // Run fetches newer sets until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if k.fetchControl(ctx) {
 			continue
@@ -107,7 +107,7 @@
 }
 
 // fetchControl asks one control replica, and reports whether it confirmed.
-func (k *Keeper) fetchControl(ctx context.Context) bool {
+func (k *Syncer) fetchControl(ctx context.Context) bool {
 	k.mu.Lock()
 	address := k.control[k.next%len(k.control)]
 	k.mu.Unlock()
@@ -128,7 +128,7 @@
 	return false
 }
 
-func (k *Keeper) request(wait time.Duration) *rpc.FetchRequest {
+func (k *Syncer) request(wait time.Duration) *rpc.FetchRequest {
 	r := &rpc.FetchRequest{
 		Host:          k.host,
 		KnownRevision: k.Set().Revision(),
@@ -142,7 +142,7 @@
 
 // fetchPeers asks the other entry hosts in turn, so that a set gets through
 // where no control replica can be reached.
-func (k *Keeper) fetchPeers(ctx context.Context) {
+func (k *Syncer) fetchPeers(ctx context.Context) {
 	for _, address := range k.peers() {
 		if k.fetchPeer(ctx, address) {
 			return
@@ -150,7 +150,7 @@
 	}
 }
 
-func (k *Keeper) fetchPeer(ctx context.Context, address string) bool {
+func (k *Syncer) fetchPeer(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	sent := k.svc.Now()
@@ -163,7 +163,7 @@
 
 // take installs what a reply brings and notes what it confirms. sent is when
 // the call was made: the answer is true of some moment after it.
-func (k *Keeper) take(reply *rpc.FetchReply, sent time.Time) error {
+func (k *Syncer) take(reply *rpc.FetchReply, sent time.Time) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if set := reply.GetSet(); set != nil && set.GetRevision() > k.set.Revision() {
@@ -189,7 +189,7 @@
 
 // install puts a newer set in force: the versions held, with those that
 // changed in their places.
-func (k *Keeper) install(set *rpc.BundleSet) error {
+func (k *Syncer) install(set *rpc.BundleSet) error {
 	next := map[string]*rpc.BundleVersion{}
 	for name, v := range k.versions {
 		next[name] = v
@@ -223,7 +223,7 @@
 
 // verify checks a version by itself: its digest, its signatures, and that it
 // doesn't go back behind the one held.
-func (k *Keeper) verify(v *rpc.BundleVersion) error {
+func (k *Syncer) verify(v *rpc.BundleVersion) error {
 	if bundle.Digest(v.GetContent()) != v.GetDigest() {
 		return errors.Errorf("bundle %q: the text doesn't have the digest it came with", v.GetName())
 	}
@@ -234,7 +234,7 @@
 }
 
 // Fetch implements rpc.Rollout for other entry hosts.
-func (k *Keeper) Fetch(_ context.Context, r *rpc.FetchRequest) (*rpc.FetchReply, error) {
+func (k *Syncer) Fetch(_ context.Context, r *rpc.FetchRequest) (*rpc.FetchReply, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	reply := &rpc.FetchReply{
--- a/pkg/rollout/keeper_test.go
+++ b/pkg/rollout/keeper_test.go
@@ -106,7 +106,7 @@
 }
 
 // withKeeper runs a keeper that asks one fake control host and some peers.
-func withKeeper(s signer, peers []string, f func(k *rollout.Keeper, c *fakeControl)) {
+func withKeeper(s signer, peers []string, f func(k *rollout.Syncer, c *fakeControl)) {
 	c := &fakeControl{}
 	server := httptest.NewServer(rpc.NewRolloutServer(c))
 	defer server.Close()
@@ -132,7 +132,7 @@
 	}, patience, time.Millisecond).Should(BeNumerically(">=", from+2))
 }
 
-func revisionOf(k *rollout.Keeper) func() uint64 {
+func revisionOf(k *rollout.Syncer) func() uint64 {
 	return func() uint64 {
 		return k.Set().Revision()
 	}
@@ -141,7 +141,7 @@
 var _ = Describe("Keeper", func() {
 	It("isn't sure until a control majority confirmed, and says so", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Keeper, c *fakeControl) {
+		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
 			c.set(reply(false, 4, s.version("a", 1, 4)))
 			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(4)))
 			c.asked()
@@ -157,7 +157,7 @@
 
 	It("isn't made sure by a confirmation that is an hour old", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Keeper, c *fakeControl) {
+		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
 			old := reply(true, 4, s.version("a", 1, 4))
 			old.ConfirmedAgeMs = 3_600_000
 			c.set(old)
@@ -170,7 +170,7 @@
 
 	It("never goes back, whoever says so", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Keeper, c *fakeControl) {
+		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 7, s.version("a", 3, 7)))
 			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(7)))
 			older := []struct {
@@ -207,7 +207,7 @@
 			{name: "text without its digest", bundle: changed},
 			{name: "text without its signature", bundle: forged},
 		}
-		withKeeper(s, nil, func(k *rollout.Keeper, c *fakeControl) {
+		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 7, s.version("a", 1, 7)))
 			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(7)))
 			for _, b := range bad {
@@ -224,7 +224,7 @@
 
 	It("takes only what changed, and keeps the rest", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Keeper, c *fakeControl) {
+		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 2, s.version("a", 1, 1), s.version("b", 1, 2)))
 			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(2)))
 			c.set(reply(true, 3, s.version("b", 2, 3)))
@@ -239,7 +239,7 @@
 
 	It("takes a set from a peer when no control host answers, with its age", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(near *rollout.Keeper, c *fakeControl) {
+		withKeeper(s, nil, func(near *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 6, s.version("a", 1, 6)))
 			Eventually(func() bool {
 				sure, _ := near.Confirmed()
@@ -247,7 +247,7 @@
 			}, patience, time.Millisecond).Should(BeTrue())
 			peer := httptest.NewServer(rpc.NewRolloutServer(near))
 			defer peer.Close()
-			withKeeper(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Keeper, cut *fakeControl) {
+			withKeeper(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Syncer, cut *fakeControl) {
 				cut.stop()
 				Eventually(func() bool {
 					sure, _ := far.Confirmed()
