--- a/pkg/limits/account.go
+++ b/pkg/limits/account.go
@@ -13,8 +13,8 @@
 	"golang.org/x/time/rate"
 )
 
-// idleAfter is after how long without a request an account's state is dropped.
-const idleAfter = 10 * time.Minute
+// idleTimeout is after how long without a request an account's state is dropped.
+const idleTimeout = 10 * time.Minute
 
 // burstSeconds is how many seconds' worth of a limit may be used at once.
 const burstSeconds = 2
@@ -27,25 +27,25 @@
 	svc   timer.Service
 	hosts func() int
 
-	mu   sync.Mutex
-	rows map[string]*row
+	mu      sync.Mutex
+	entries map[string]*entry
 }
 
-type row struct {
+type entry struct {
 	account  bundle.Account
 	hosts    int
 	requests *rate.Limiter
 	tokens   *rate.Limiter
 	running  int
-	used     time.Time
+	lastUsed time.Time
 }
 
 // NewAccounts returns limits for one of hosts() entry hosts.
 func NewAccounts(svc timer.Service, hosts func() int) *Accounts {
 	return &Accounts{
-		svc:   svc,
-		hosts: hosts,
-		rows:  map[string]*row{},
+		svc:     svc,
+		hosts:   hosts,
+		entries: map[string]*entry{},
 	}
 }
 
@@ -56,17 +56,17 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.svc.Now()
-	r := a.row(account, now)
-	if r.running >= share(account.Concurrent, r.hosts) {
-		return refuse(failure.ConcurrencyLimited, time.Second, "client account %q has %d requests in flight on this host", account.Name, r.running)
+	e := a.entry(account, now)
+	if e.running >= share(account.Concurrent, e.hosts) {
+		return refuse(failure.ConcurrencyLimited, time.Second, "client account %q has %d requests in flight on this host", account.Name, e.running)
 	}
-	if wait := reserve(r.requests, now, 1); wait > 0 {
+	if wait := reserve(e.requests, now, 1); wait > 0 {
 		return refuse(failure.RateLimited, wait, "client account %q is over %d requests a second", account.Name, account.RequestsPerSecond)
 	}
-	if wait := reserve(r.tokens, now, tokens); wait > 0 {
+	if wait := reserve(e.tokens, now, tokens); wait > 0 {
 		return refuse(failure.TokensLimited, wait, "client account %q is over %d tokens a second", account.Name, account.TokensPerSecond)
 	}
-	r.running++
+	e.running++
 	return nil
 }
 
@@ -74,13 +74,13 @@
 func (a *Accounts) Release(account bundle.Account, unused int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	r, ok := a.rows[account.Name]
+	e, ok := a.entries[account.Name]
 	if !ok {
 		return
 	}
-	r.running--
+	e.running--
 	if unused > 0 {
-		r.tokens.AllowN(a.svc.Now(), -unused)
+		e.tokens.AllowN(a.svc.Now(), -unused)
 	}
 }
 
@@ -89,42 +89,42 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var dropped []string
-	for name, r := range a.rows {
-		if r.running == 0 && a.svc.Now().Sub(r.used) > idleAfter {
-			delete(a.rows, name)
+	for name, e := range a.entries {
+		if e.running == 0 && a.svc.Now().Sub(e.lastUsed) > idleTimeout {
+			delete(a.entries, name)
 			dropped = append(dropped, name)
 		}
 	}
 	return dropped
 }
 
-func (a *Accounts) row(account bundle.Account, now time.Time) *row {
+func (a *Accounts) entry(account bundle.Account, now time.Time) *entry {
 	hosts := max(1, a.hosts())
-	r, ok := a.rows[account.Name]
+	e, ok := a.entries[account.Name]
 	if !ok {
-		r = &row{
+		e = &entry{
 			requests: rate.NewLimiter(0, 0),
 			tokens:   rate.NewLimiter(0, 0),
 		}
-		a.rows[account.Name] = r
+		a.entries[account.Name] = e
 	}
-	if !ok || r.hosts != hosts || r.account.RequestsPerSecond != account.RequestsPerSecond || r.account.TokensPerSecond != account.TokensPerSecond {
-		setLimit(r.requests, now, account.RequestsPerSecond, hosts)
-		setLimit(r.tokens, now, account.TokensPerSecond, hosts)
+	if !ok || e.hosts != hosts || e.account.RequestsPerSecond != account.RequestsPerSecond || e.account.TokensPerSecond != account.TokensPerSecond {
+		setLimit(e.requests, now, account.RequestsPerSecond, hosts)
+		setLimit(e.tokens, now, account.TokensPerSecond, hosts)
 	}
-	r.account = account
-	r.hosts = hosts
-	r.used = now
-	return r
+	e.account = account
+	e.hosts = hosts
+	e.lastUsed = now
+	return e
 }
 
 func setLimit(l *rate.Limiter, now time.Time, perSecond, hosts int) {
-	fresh := l.Burst() == 0
-	per := float64(perSecond) / float64(hosts)
-	burst := max(1, int(per*burstSeconds))
-	l.SetLimitAt(now, rate.Limit(per))
+	isNew := l.Burst() == 0
+	rps := float64(perSecond) / float64(hosts)
+	burst := max(1, int(rps*burstSeconds))
+	l.SetLimitAt(now, rate.Limit(rps))
 	l.SetBurstAt(now, burst)
-	if fresh {
+	if isNew {
 		l.AllowN(now, -burst) // a new account begins with its whole burst
 	}
 }
--- a/pkg/limits/gate.go
+++ b/pkg/limits/gate.go
@@ -27,15 +27,15 @@
 	capacity func() int
 	budget   time.Duration
 
-	mu      sync.Mutex
-	running int
-	queue   []*ticket
-	flows   map[string]float64 // virtual time by account
-	virtual float64
-	hold    time.Duration // average time in the engines
+	mu           sync.Mutex
+	running      int
+	queue        []*waiter
+	virtualTimes map[string]float64 // virtual time by account
+	virtualNow   float64
+	serviceTime  time.Duration // average time in the engines
 }
 
-type ticket struct {
+type waiter struct {
 	account  string
 	weight   int
 	priority int
@@ -45,37 +45,37 @@
 
 const (
 	// ageStep is how long a request waits to count one priority higher.
-	ageStep   = 500 * time.Millisecond
-	holdShare = 0.05
-	firstHold = 500 * time.Millisecond
-	// maxFlows bounds the accounts whose virtual time is remembered.
-	maxFlows = 10_000
+	ageStep            = 500 * time.Millisecond
+	serviceTimeWeight  = 0.05
+	initialServiceTime = 500 * time.Millisecond
+	// maxVirtualTimes bounds the accounts whose virtual time is remembered.
+	maxVirtualTimes = 10_000
 )
 
 // NewAdmissionQueue returns a gate that lets capacity() requests in.
 func NewAdmissionQueue(svc timer.Service, budget time.Duration, capacity func() int) *AdmissionQueue {
 	return &AdmissionQueue{
-		svc:      svc,
-		capacity: capacity,
-		budget:   budget,
-		flows:    map[string]float64{},
-		hold:     firstHold,
+		svc:          svc,
+		capacity:     capacity,
+		budget:       budget,
+		virtualTimes: map[string]float64{},
+		serviceTime:  initialServiceTime,
 	}
 }
 
 // Acquire waits until the request may go to the engines. Each Enter that
 // returns nil must be followed by one Leave.
-func (g *AdmissionQueue) Acquire(ctx context.Context, account bundle.Account, priority int) error {
-	t, err := g.join(account, priority)
-	if t == nil || err != nil {
+func (q *AdmissionQueue) Acquire(ctx context.Context, account bundle.Account, priority int) error {
+	w, err := q.join(account, priority)
+	if w == nil || err != nil {
 		return err
 	}
 	select {
-	case <-t.admitted:
+	case <-w.admitted:
 		return nil
 	case <-ctx.Done():
 	}
-	if g.withdraw(t) {
+	if q.withdraw(w) {
 		return failure.Wrap(ctx.Err(), failure.DeadlineExceeded, "the request's time ran out in the queue").WithRan(failure.RanNo)
 	}
 	return nil // it was let in at the same moment
@@ -83,125 +83,125 @@
 
 // join lets the request in, queues it, or refuses it. The ticket is nil if
 // there is nothing to wait for.
-func (g *AdmissionQueue) join(account bundle.Account, priority int) (*ticket, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	room := g.capacity()
-	if len(g.queue) == 0 && g.running < room {
-		g.running++
-		g.charge(account.Name, account.Weight)
+func (q *AdmissionQueue) join(account bundle.Account, priority int) (*waiter, error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	capacity := q.capacity()
+	if len(q.queue) == 0 && q.running < capacity {
+		q.running++
+		q.charge(account.Name, account.Weight)
 		return nil, nil
 	}
-	if wait := g.expectedWait(room, priority); wait > g.budget {
+	if wait := q.expectedWait(capacity, priority); wait > q.budget {
 		return nil, refuse(failure.Overloaded, wait, "%d requests wait; this one would wait for %s, and %s is allowed",
-			len(g.queue), wait.Round(time.Millisecond), g.budget)
+			len(q.queue), wait.Round(time.Millisecond), q.budget)
 	}
-	t := &ticket{
+	w := &waiter{
 		account:  account.Name,
 		weight:   account.Weight,
 		priority: priority,
-		arrived:  g.svc.Now(),
+		arrived:  q.svc.Now(),
 		admitted: make(chan struct{}),
 	}
-	g.queue = append(g.queue, t)
-	return t, nil
+	q.queue = append(q.queue, w)
+	return w, nil
 }
 
 // expectedWait is how long those ahead of a new request take to be let in.
-func (g *AdmissionQueue) expectedWait(room, priority int) time.Duration {
-	now := g.svc.Now()
+func (q *AdmissionQueue) expectedWait(capacity, priority int) time.Duration {
+	now := q.svc.Now()
 	ahead := 1
-	for _, t := range g.queue {
-		if t.rank(now) >= priority {
+	for _, w := range q.queue {
+		if w.rank(now) >= priority {
 			ahead++
 		}
 	}
-	return time.Duration(ahead) * g.hold / time.Duration(max(1, room))
+	return time.Duration(ahead) * q.serviceTime / time.Duration(max(1, capacity))
 }
 
 // Release ends a request that was let in; held is how long it was in the engines.
-func (g *AdmissionQueue) Release(held time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.running--
-	g.hold += time.Duration(holdShare * float64(held-g.hold))
-	g.admit()
+func (q *AdmissionQueue) Release(took time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.running--
+	q.serviceTime += time.Duration(serviceTimeWeight * float64(took-q.serviceTime))
+	q.admit()
 }
 
 // CapacityChanged lets in whom a risen capacity has room for.
-func (g *AdmissionQueue) CapacityChanged() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.admit()
+func (q *AdmissionQueue) CapacityChanged() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.admit()
 }
 
 // Counts returns how many requests wait, and how many are let in.
-func (g *AdmissionQueue) Counts() (waiting, running int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.queue), g.running
-}
-
-func (g *AdmissionQueue) admit() {
-	room := g.capacity()
-	for len(g.queue) > 0 && g.running < room {
-		i := g.first()
-		t := g.queue[i]
-		g.queue = append(g.queue[:i], g.queue[i+1:]...)
-		g.charge(t.account, t.weight)
-		g.running++
-		close(t.admitted)
+func (q *AdmissionQueue) Counts() (waiting, running int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.queue), q.running
+}
+
+func (q *AdmissionQueue) admit() {
+	capacity := q.capacity()
+	for len(q.queue) > 0 && q.running < capacity {
+		i := q.next()
+		w := q.queue[i]
+		q.queue = append(q.queue[:i], q.queue[i+1:]...)
+		q.charge(w.account, w.weight)
+		q.running++
+		close(w.admitted)
 	}
 }
 
-// first returns the place in the queue of who goes next.
-func (g *AdmissionQueue) first() int {
-	now := g.svc.Now()
+// next returns the place in the queue of who goes next.
+func (q *AdmissionQueue) next() int {
+	now := q.svc.Now()
 	best := 0
-	for i := 1; i < len(g.queue); i++ {
-		if g.before(g.queue[i], g.queue[best], now) {
+	for i := 1; i < len(q.queue); i++ {
+		if q.before(q.queue[i], q.queue[best], now) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (g *AdmissionQueue) before(a, b *ticket, now time.Time) bool {
+func (q *AdmissionQueue) before(a, b *waiter, now time.Time) bool {
 	if ra, rb := a.rank(now), b.rank(now); ra != rb {
 		return ra > rb
 	}
-	if fa, fb := g.flow(a.account), g.flow(b.account); fa != fb {
+	if fa, fb := q.virtualTime(a.account), q.virtualTime(b.account); fa != fb {
 		return fa < fb
 	}
 	return a.arrived.Before(b.arrived)
 }
 
-func (t *ticket) rank(now time.Time) int {
-	return t.priority + int(now.Sub(t.arrived)/ageStep)
+func (w *waiter) rank(now time.Time) int {
+	return w.priority + int(now.Sub(w.arrived)/ageStep)
 }
 
-// flow returns an account's virtual time; one that was away begins at now.
-func (g *AdmissionQueue) flow(account string) float64 {
-	return max(g.flows[account], g.virtual)
+// virtualTime returns an account's virtual time; one that was away begins at now.
+func (q *AdmissionQueue) virtualTime(account string) float64 {
+	return max(q.virtualTimes[account], q.virtualNow)
 }
 
 // charge moves the account's virtual time on by what one request costs it.
-func (g *AdmissionQueue) charge(account string, weight int) {
-	start := g.flow(account)
-	g.virtual = start
-	if len(g.flows) >= maxFlows {
-		g.flows = map[string]float64{}
+func (q *AdmissionQueue) charge(account string, weight int) {
+	start := q.virtualTime(account)
+	q.virtualNow = start
+	if len(q.virtualTimes) >= maxVirtualTimes {
+		q.virtualTimes = map[string]float64{}
 	}
-	g.flows[account] = start + 1/float64(max(1, weight))
+	q.virtualTimes[account] = start + 1/float64(max(1, weight))
 }
 
 // withdraw takes a ticket out of the queue, and reports whether it was there.
-func (g *AdmissionQueue) withdraw(gone *ticket) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for i, t := range g.queue {
-		if t == gone {
-			g.queue = append(g.queue[:i], g.queue[i+1:]...)
+func (q *AdmissionQueue) withdraw(target *waiter) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for i, w := range q.queue {
+		if w == target {
+			q.queue = append(q.queue[:i], q.queue[i+1:]...)
 			return true
 		}
 	}
--- a/pkg/limits/limits_test.go
+++ b/pkg/limits/limits_test.go
@@ -39,7 +39,7 @@
 }
 
 // letIn counts how many of n requests are let in, each ending at once.
-func letIn(a *limits.Accounts, acc bundle.Account, n, tokens int) int {
+func countAdmitted(a *limits.Accounts, acc bundle.Account, n, tokens int) int {
 	in := 0
 	for range n {
 		if a.Acquire(acc, tokens) == nil {
@@ -62,7 +62,7 @@
 		total := 0
 		for range 100 { // ten seconds of too many requests everywhere
 			for _, a := range all {
-				total += letIn(a, acc, 5, 0)
+				total += countAdmitted(a, acc, 5, 0)
 			}
 			svc.Advance(100 * time.Millisecond)
 		}
@@ -74,7 +74,7 @@
 		svc := timer.NewManual(start)
 		a := limits.NewAccounts(svc, hosts(1))
 		acc := account("a", 1)
-		Expect(letIn(a, acc, 80, 0)).To(Equal(80))
+		Expect(countAdmitted(a, acc, 80, 0)).To(Equal(80))
 		f := failure.From(a.Acquire(acc, 0))
 		Expect(f.Kind()).To(Equal(failure.RateLimited))
 		Expect(f.Ran()).To(Equal(failure.RanNo))
@@ -106,7 +106,7 @@
 	It("forgets an account that is never seen again", func() {
 		svc := timer.NewManual(start)
 		a := limits.NewAccounts(svc, hosts(1))
-		letIn(a, account("a", 1), 1, 0)
+		countAdmitted(a, account("a", 1), 1, 0)
 		Expect(a.Sweep()).To(BeEmpty())
 		svc.Advance(time.Hour)
 		Expect(a.Sweep()).To(Equal([]string{"a"}))
@@ -115,85 +115,85 @@
 
 // gateRun has every request wait at a gate and lets them in one by one; it
 // returns the names in the order in which they were let in.
-type gateRun struct {
-	svc  *timer.Manual
-	gate *limits.AdmissionQueue
-	room int
-	mu   sync.Mutex
-	came []string
-	g    *group.Group
+type queueTest struct {
+	svc       *timer.Manual
+	admission *limits.AdmissionQueue
+	capacity  int
+	mu        sync.Mutex
+	admitted  []string
+	g         *group.Group
 }
 
-func newGateRun(budget time.Duration) *gateRun {
-	r := &gateRun{
+func newQueueTest(budget time.Duration) *queueTest {
+	r := &queueTest{
 		svc: timer.NewManual(start),
 		g:   group.New(context.Background()),
 	}
-	r.gate = limits.NewAdmissionQueue(r.svc, budget, func() int { return r.room })
+	r.admission = limits.NewAdmissionQueue(r.svc, budget, func() int { return r.capacity })
 	return r
 }
 
 // queue adds a waiting request and returns once it waits.
-func (r *gateRun) queue(name string, acc bundle.Account, priority int) {
-	before, _ := r.gate.Counts()
+func (r *queueTest) enqueue(name string, acc bundle.Account, priority int) {
+	before, _ := r.admission.Counts()
 	r.g.Go(func(ctx context.Context) {
-		if r.gate.Acquire(ctx, acc, priority) != nil {
+		if r.admission.Acquire(ctx, acc, priority) != nil {
 			return
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.came = append(r.came, name)
+		r.admitted = append(r.admitted, name)
 	})
 	Eventually(func() int {
-		n, _ := r.gate.Counts()
+		n, _ := r.admission.Counts()
 		return n
 	}, 10*time.Second, time.Millisecond).Should(Equal(before + 1))
 }
 
 // admit lets n in, one after the other.
-func (r *gateRun) admit(n int) []string {
+func (r *queueTest) admit(n int) []string {
 	for range n {
 		r.mu.Lock()
-		want := len(r.came) + 1
+		want := len(r.admitted) + 1
 		r.mu.Unlock()
-		r.room++
-		r.gate.CapacityChanged()
+		r.capacity++
+		r.admission.CapacityChanged()
 		Eventually(func() int {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return len(r.came)
+			return len(r.admitted)
 		}, 10*time.Second, time.Millisecond).Should(Equal(want))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.came...)
+	return append([]string(nil), r.admitted...)
 }
 
 var _ = Describe("Gate", func() {
 	It("lets the higher priority go first", func() {
-		r := newGateRun(time.Hour)
+		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
-		r.queue("batch", account("a", 1), 1)
-		r.queue("note", account("a", 1), 9)
+		r.enqueue("batch", account("a", 1), 1)
+		r.enqueue("note", account("a", 1), 9)
 		Expect(r.admit(2)).To(Equal([]string{"note", "batch"}))
 	})
 
 	It("lets what has waited for long go before what has just come", func() {
-		r := newGateRun(time.Hour)
+		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
-		r.queue("batch", account("a", 1), 1)
+		r.enqueue("batch", account("a", 1), 1)
 		r.svc.Advance(5 * time.Second)
-		r.queue("note", account("a", 1), 9)
+		r.enqueue("note", account("a", 1), 9)
 		Expect(r.admit(1)).To(Equal([]string{"batch"}))
 	})
 
 	It("shares by weight, so that a large account can't starve a small one", func() {
-		r := newGateRun(time.Hour)
+		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
 		for i := range 12 {
-			r.queue("large", account("large", 3), 5)
+			r.enqueue("large", account("large", 3), 5)
 			if i < 4 {
-				r.queue("small", account("small", 1), 5)
+				r.enqueue("small", account("small", 1), 5)
 			}
 		}
 		small := 0
@@ -206,26 +206,26 @@
 	})
 
 	It("refuses at once what would wait for too long, and says when to come back", func() {
-		r := newGateRun(time.Second)
+		r := newQueueTest(time.Second)
 		defer r.g.Stop()
-		r.room = 1
-		Expect(r.gate.Acquire(context.Background(), account("a", 1), 5)).To(Succeed())
-		r.queue("one", account("a", 1), 5)
-		r.queue("two", account("a", 1), 5)
-		f := failure.From(r.gate.Acquire(context.Background(), account("a", 1), 5))
+		r.capacity = 1
+		Expect(r.admission.Acquire(context.Background(), account("a", 1), 5)).To(Succeed())
+		r.enqueue("one", account("a", 1), 5)
+		r.enqueue("two", account("a", 1), 5)
+		f := failure.From(r.admission.Acquire(context.Background(), account("a", 1), 5))
 		Expect(f.Kind()).To(Equal(failure.Overloaded))
 		Expect(f.RetryAfter()).To(BeNumerically(">=", time.Second))
-		Expect(r.gate.Acquire(context.Background(), account("a", 1), 5)).NotTo(Succeed())
+		Expect(r.admission.Acquire(context.Background(), account("a", 1), 5)).NotTo(Succeed())
 	})
 
 	It("lets a request that gives up leave the queue", func() {
-		r := newGateRun(time.Hour)
+		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		f := failure.From(r.gate.Acquire(ctx, account("a", 1), 5))
+		f := failure.From(r.admission.Acquire(ctx, account("a", 1), 5))
 		Expect(f.Ran()).To(Equal(failure.RanNo))
-		waiting, running := r.gate.Counts()
+		waiting, running := r.admission.Counts()
 		Expect(waiting + running).To(BeZero())
 	})
 })
--- a/pkg/permit/account.go
+++ b/pkg/permit/account.go
@@ -6,188 +6,188 @@
 )
 
 const (
-	// creditTime is the time whose calls may be lent at once, where nothing was lent
+	// burstTime is the time whose calls may be lent at once, where nothing was lent
 	// before, and creditMore calls beyond these: 0.4 s pass between two calls of a host, and
 	// requests don't come evenly.
-	creditTime = 500 * time.Millisecond
-	creditMore = 2.5
-	// outTime is the time whose calls may be out as permits, and outMore calls beyond
+	burstTime  = 500 * time.Millisecond
+	burstExtra = 2.5
+	// outstandingTime is the time whose calls may be out as permits, and outMore calls beyond
 	// these. With the credit it keeps the calls of any 4 s within 1.5 times what the limit
 	// allows, and 3.5 of the 5 that are allowed beyond it.
-	outTime = 1500 * time.Millisecond
-	outMore = 1
-	// pauseTime is how long nothing is lent once a limit is named: until then the
+	outstandingTime  = 1500 * time.Millisecond
+	outstandingExtra = 1
+	// grantPause is how long nothing is lent once a limit is named: until then the
 	// endpoint got what it couldn't bear.
-	pauseTime = time.Second
-	// overTime lies at least between two calls that are answered without a limit, and none
+	grantPause = time.Second
+	// removalDelay lies at least between two calls that are answered without a limit, and none
 	// with one, before it is over: one that comes and goes each second stays.
-	overTime = 1050 * time.Millisecond
-	// wordSlack is by how much a word's time may be off: it is told as an age, and the
+	removalDelay = 1050 * time.Millisecond
+	// reportSlack is by how much a word's time may be off: it is told as an age, and the
 	// way of the call that tells it isn't counted.
-	wordSlack = 100 * time.Millisecond
-	// forgetTime is how long a limit is kept of which nothing is heard.
-	forgetTime = 2 * time.Minute
+	reportSlack = 100 * time.Millisecond
+	// limitExpiry is how long a limit is kept of which nothing is heard.
+	limitExpiry = 2 * time.Minute
 	// slotTime parts the time in which permits were lent. lentSlots cover the time for
 	// which they are valid, and the slot that has begun.
-	slotTime  = 100 * time.Millisecond
-	lentSlots = int64(Lifetime/slotTime) + 1
+	slotTime   = 100 * time.Millisecond
+	grantSlots = int64(Lifetime/slotTime) + 1
 )
 
-// account is what the leader knows of one endpoint that has a limit.
+// limiter is what the leader knows of one endpoint that has a limit.
 //
 // Invariant: credit rises by the limit and falls by what is lent and not given back, so
 // that the calls of any time are at most the limit's, what was out, and the most credit.
-type account struct {
-	key     uint32
-	service string
-	limit   float64
-	credit  float64
-	at      time.Time // of credit
-	lent    [lentSlots]int
-	slot    int64 // newest of lent
-	// setSent and setAt are when the call was sent, and its answer came, that last named
+type limiter struct {
+	key        uint32
+	service    string
+	limit      float64
+	tokens     float64
+	refilledAt time.Time // of credit
+	granted    [grantSlots]int
+	newestSlot int64 // newest of lent
+	// limitSentAt and setAt are when the call was sent, and its answer came, that last named
 	// the limit that stands; toldAt is when this leader last had a word of any kind.
-	setSent time.Time
-	setAt   time.Time
-	toldAt  time.Time
-	// unnamed is when the first call was sent whose answer named no limit since one did;
+	limitSentAt     time.Time
+	limitReceivedAt time.Time
+	lastReportAt    time.Time
+	// noLimitSince is when the first call was sent whose answer named no limit since one did;
 	// zero: there is none.
-	unnamed time.Time
-	ended   bool
-	queue   []*Waiter
+	noLimitSince time.Time
+	removed      bool
+	waiters      []*Waiter
 }
 
-func newAccount(w LimitReport, now time.Time) *account {
-	return &account{
-		key:     w.Key,
-		service: w.Service,
-		limit:   w.PerSecond,
-		credit:  -w.PerSecond * pauseTime.Seconds(),
-		at:      now,
-		setSent: w.SentAt,
-		setAt:   w.ReceivedAt,
-		toldAt:  now,
+func newLimiter(r LimitReport, now time.Time) *limiter {
+	return &limiter{
+		key:             r.Key,
+		service:         r.Service,
+		limit:           r.PerSecond,
+		tokens:          -r.PerSecond * grantPause.Seconds(),
+		refilledAt:      now,
+		limitSentAt:     r.SentAt,
+		limitReceivedAt: r.ReceivedAt,
+		lastReportAt:    now,
 	}
 }
 
 // change tells that the endpoint has a limit.
-func (a *account) change() LimitChange {
+func (l *limiter) change() LimitChange {
 	return LimitChange{
-		Key:       a.key,
-		Service:   a.service,
-		PerSecond: a.limit,
+		Key:       l.key,
+		Service:   l.service,
+		PerSecond: l.limit,
 	}
 }
 
-// most returns the most credit.
-func (a *account) most() float64 {
-	return a.limit*creditTime.Seconds() + creditMore
+// maxTokens returns the most credit.
+func (l *limiter) maxTokens() float64 {
+	return l.limit*burstTime.Seconds() + burstExtra
 }
 
-// room returns how many permits may be out.
-func (a *account) room() int {
-	return int(a.limit*outTime.Seconds()) + outMore
+// maxOutstanding returns how many permits may be out.
+func (l *limiter) maxOutstanding() int {
+	return int(l.limit*outstandingTime.Seconds()) + outstandingExtra
 }
 
 // refill adds what the limit allowed since the last look.
-func (a *account) refill(now time.Time) {
-	more := a.limit * now.Sub(a.at).Seconds()
-	a.credit = math.Min(a.most(), a.credit+more)
-	a.at = now
+func (l *limiter) refill(now time.Time) {
+	more := l.limit * now.Sub(l.refilledAt).Seconds()
+	l.tokens = math.Min(l.maxTokens(), l.tokens+more)
+	l.refilledAt = now
 	slot := now.UnixNano() / int64(slotTime)
-	for ; a.slot < slot && slot-a.slot < lentSlots; a.slot++ {
-		a.lent[(a.slot+1)%lentSlots] = 0
+	for ; l.newestSlot < slot && slot-l.newestSlot < grantSlots; l.newestSlot++ {
+		l.granted[(l.newestSlot+1)%grantSlots] = 0
 	}
-	if a.slot < slot {
-		a.lent = [lentSlots]int{}
-		a.slot = slot
+	if l.newestSlot < slot {
+		l.granted = [grantSlots]int{}
+		l.newestSlot = slot
 	}
 }
 
-// out returns how many permits were lent that may still be used.
-func (a *account) out() int {
+// outstanding returns how many permits were lent that may still be used.
+func (l *limiter) outstanding() int {
 	sum := 0
-	for _, n := range a.lent {
+	for _, n := range l.granted {
 		sum += n
 	}
 	return sum
 }
 
-// free returns how many permits may be lent now beside ahead others. The account must
+// available returns how many permits may be lent now beside ahead others. The account must
 // be refilled.
-func (a *account) free(ahead int) int {
-	credit := int(math.Floor(a.credit)) - ahead
-	room := a.room() - a.out() - ahead
-	return max(0, min(credit, room))
+func (l *limiter) available(ahead int) int {
+	tokens := int(math.Floor(l.tokens)) - ahead
+	capacity := l.maxOutstanding() - l.outstanding() - ahead
+	return max(0, min(tokens, capacity))
 }
 
-// lend lends n permits.
-func (a *account) lend(n int) {
-	a.credit -= float64(n)
-	a.lent[a.slot%lentSlots] += n
+// grant lends n permits.
+func (l *limiter) grant(n int) {
+	l.tokens -= float64(n)
+	l.granted[l.newestSlot%grantSlots] += n
 }
 
-// unused takes n permits back that are over.
-func (a *account) unused(n int) {
-	a.credit = math.Min(a.most(), a.credit+float64(n))
+// returnUnused takes n permits back that are over.
+func (l *limiter) returnUnused(n int) {
+	l.tokens = math.Min(l.maxTokens(), l.tokens+float64(n))
 }
 
-// due returns how long it takes until a permit may be lent behind ahead others. The
+// availableIn returns how long it takes until a permit may be lent behind ahead others. The
 // account must be refilled.
-func (a *account) due(ahead int) time.Duration {
-	if a.free(ahead) > 0 {
+func (l *limiter) availableIn(ahead int) time.Duration {
+	if l.available(ahead) > 0 {
 		return 0
 	}
-	lack := math.Max(0, float64(ahead+1)-a.credit)
-	d := time.Duration(math.Min(lack/a.limit, longestDue.Seconds()) * float64(time.Second))
-	return max(d, lookAgain)
+	missing := math.Max(0, float64(ahead+1)-l.tokens)
+	d := time.Duration(math.Min(missing/l.limit, maxAvailableIn.Seconds()) * float64(time.Second))
+	return max(d, retryInterval)
 }
 
-// lookAgain is when to try again where it isn't known when a permit comes back.
-const lookAgain = slotTime
+// retryInterval is when to try again where it isn't known when a permit comes back.
+const retryInterval = slotTime
 
-// longestDue bounds what a caller is told.
-const longestDue = time.Minute
+// maxAvailableIn bounds what a caller is told.
+const maxAvailableIn = time.Minute
 
-// hear takes a word. Of two whose times overlap the lower limit stands: a word that is
+// observe takes a word. Of two whose times overlap the lower limit stands: a word that is
 // late may neither raise a limit nor end one.
-func (a *account) hear(w LimitReport, now time.Time) {
-	a.toldAt = now
-	later := !w.SentAt.Before(a.setAt.Add(wordSlack))
-	if !w.names() {
+func (l *limiter) observe(r LimitReport, now time.Time) {
+	l.lastReportAt = now
+	later := !r.SentAt.Before(l.limitReceivedAt.Add(reportSlack))
+	if !r.hasLimit() {
 		switch {
 		case !later:
-		case a.unnamed.IsZero():
-			a.unnamed = w.SentAt
-		case w.SentAt.Sub(a.unnamed) >= overTime:
-			a.ended = true
+		case l.noLimitSince.IsZero():
+			l.noLimitSince = r.SentAt
+		case r.SentAt.Sub(l.noLimitSince) >= removalDelay:
+			l.removed = true
 		}
 		return
 	}
-	if !w.ReceivedAt.Before(a.unnamed) {
-		a.unnamed = time.Time{}
+	if !r.ReceivedAt.Before(l.noLimitSince) {
+		l.noLimitSince = time.Time{}
 	}
-	earlier := w.ReceivedAt.Before(a.setSent)
-	if earlier || w.PerSecond > a.limit && !later || w.PerSecond == a.limit && !w.ReceivedAt.After(a.setAt) {
+	earlier := r.ReceivedAt.Before(l.limitSentAt)
+	if earlier || r.PerSecond > l.limit && !later || r.PerSecond == l.limit && !r.ReceivedAt.After(l.limitReceivedAt) {
 		return
 	}
-	a.set(w, now)
+	l.setLimit(r, now)
 }
 
-// set takes the limit of a word.
-func (a *account) set(w LimitReport, now time.Time) {
-	a.refill(now)
-	if w.PerSecond < a.limit { // until now it got what it can't bear any more
-		a.credit = math.Min(a.credit, pauseTime.Seconds()*math.Max(w.PerSecond-a.limit, -w.PerSecond))
+// setLimit takes the limit of a word.
+func (l *limiter) setLimit(r LimitReport, now time.Time) {
+	l.refill(now)
+	if r.PerSecond < l.limit { // until now it got what it can't bear any more
+		l.tokens = math.Min(l.tokens, grantPause.Seconds()*math.Max(r.PerSecond-l.limit, -r.PerSecond))
 	}
-	a.limit = w.PerSecond
-	a.setSent = w.SentAt
-	if w.ReceivedAt.After(a.setAt) {
-		a.setAt = w.ReceivedAt
+	l.limit = r.PerSecond
+	l.limitSentAt = r.SentAt
+	if r.ReceivedAt.After(l.limitReceivedAt) {
+		l.limitReceivedAt = r.ReceivedAt
 	}
 }
 
-// over reports whether the endpoint has no limit any more.
-func (a *account) over(now time.Time) bool {
-	return a.ended || now.Sub(a.toldAt) > forgetTime
+// expired reports whether the endpoint has no limit any more.
+func (l *limiter) expired(now time.Time) bool {
+	return l.removed || now.Sub(l.lastReportAt) > limitExpiry
 }
--- a/pkg/permit/book.go
+++ b/pkg/permit/book.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// fallShare is the part of a limit under which a lower one is told at once: the leader
+	// urgentDropRatio is the part of a limit under which a lower one is told at once: the leader
 	// lends by what it knows.
-	fallShare = 0.8
-	// rateTime is the time over which requests are counted.
-	rateTime = 2 * time.Second
-	// leastUse is how many requests must be expected while a permit is valid to have use
+	urgentDropRatio = 0.8
+	// rateWindow is the time over which requests are counted.
+	rateWindow = 2 * time.Second
+	// minExpectedUse is how many requests must be expected while a permit is valid to have use
 	// for one that isn't asked for by a request; one request alone makes half of one.
-	leastUse = 0.6
-	// idleFirst is for how long a host asks for no permit to an endpoint after it had no
+	minExpectedUse = 0.6
+	// unusedPause is for how long a host asks for no permit to an endpoint after it had no
 	// use for one; each time in a row doubles it, up to idleMost times.
-	idleFirst = 2 * time.Second
-	idleMost  = 3
-	// mostWanted bounds the endpoints of a service for which one call asks for permits, at
+	unusedPause       = 2 * time.Second
+	maxPauseDoublings = 3
+	// maxWanted bounds the endpoints of a service for which one call asks for permits, at
 	// four bytes each; the next call asks for others.
-	mostWanted = 32
+	maxWanted = 32
 )
 
 // Holder is what a host knows of endpoints that have limits, and the permits that it holds.
@@ -39,220 +39,220 @@
 	// seed is this host's own, so that not all hosts tell the same at the same time.
 	seed uint64
 
-	mu      sync.Mutex
-	rows    map[uint32]*row
-	digest  uint64 // of their keys
-	term    uint64 // of the leader whose limits are held, up to version
-	version uint64
-	words   map[uint32]LimitReport // to be told, the newest of each endpoint
-	asked   map[string]*asked      // by service
-	next    uint32                 // key from which on endpoints are asked for
-	unused  Counts                 // permits of term that were over, to be told
+	mu         sync.Mutex
+	entries    map[uint32]*entry
+	digest     uint64 // of their keys
+	term       uint64 // of the leader whose limits are held, up to version
+	version    uint64
+	unreported map[uint32]LimitReport  // to be told, the newest of each endpoint
+	requests   map[string]*requestRate // by service
+	nextWanted uint32                  // key from which on endpoints are asked for
+	unused     Counts                  // permits of term that were over, to be told
 }
 
-// row is one endpoint that has a limit.
-type row struct {
-	word LimitReport // the last that named it
-	told uint64      // term of the leader that knows; 0: none does
-	held []held      // permits, the oldest first
-	// noneAt is when it was last told that an answer names none.
-	noneAt time.Time
-	// retellAt is when the leader of the term retell is told, which doesn't know of it.
-	retellAt time.Time
-	retell   uint64
-	// idle is how many permits in a row weren't used, and until is when to ask for others.
-	idle  int
-	until time.Time
+// entry is one endpoint that has a limit.
+type entry struct {
+	report    LimitReport  // the last that named it
+	knownTerm uint64       // term of the leader that knows; 0: none does
+	permits   []heldPermit // permits, the oldest first
+	// noneReportedAt is when it was last told that an answer names none.
+	noneReportedAt time.Time
+	// reReportAt is when the leader of the term retell is told, which doesn't know of it.
+	reReportAt   time.Time
+	reReportTerm uint64
+	// unusedInRow is how many permits in a row weren't used, and until is when to ask for others.
+	unusedInRow int
+	pausedUntil time.Time
 }
 
-// asked is requests for a service.
-type asked struct {
-	untold int
-	rate   float64 // in rateTime, those that are older less and less
-	at     time.Time
+// requestRate is requests for a service.
+type requestRate struct {
+	unreported int
+	rate       float64 // in rateTime, those that are older less and less
+	decayedAt  time.Time
 }
 
-func (a *asked) fade(now time.Time) {
-	a.rate *= math.Exp(-float64(now.Sub(a.at)) / float64(rateTime))
-	a.at = now
+func (rate *requestRate) decay(now time.Time) {
+	rate.rate *= math.Exp(-float64(now.Sub(rate.decayedAt)) / float64(rateWindow))
+	rate.decayedAt = now
 }
 
-// held is a permit.
-type held struct {
-	end  time.Time
-	term uint64 // of the leader that lent it
+// heldPermit is a permit.
+type heldPermit struct {
+	expiresAt time.Time
+	term      uint64 // of the leader that lent it
 }
 
 // NewHolder returns a book without limits; seed should differ from host to host.
 func NewHolder(clock Clock, seed uint64) *Holder {
 	return &Holder{
-		clock:  clock,
-		seed:   seed,
-		rows:   map[uint32]*row{},
-		words:  map[uint32]LimitReport{},
-		asked:  map[string]*asked{},
-		unused: Counts{},
+		clock:      clock,
+		seed:       seed,
+		entries:    map[uint32]*entry{},
+		unreported: map[uint32]LimitReport{},
+		requests:   map[string]*requestRate{},
+		unused:     Counts{},
 	}
 }
 
 // Observe takes what an answer to a call sent at a time says of an endpoint's limit. It
 // reports whether that is news, which the leader must learn at once.
-func (b *Holder) Observe(id, service string, l fleet.Limit, sent time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if l.Status == fleet.LimitUnknown || l.Status == fleet.LimitNone && len(b.rows) == 0 {
+func (h *Holder) Observe(id, service string, l fleet.Limit, sent time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if l.Status == fleet.LimitUnknown || l.Status == fleet.LimitNone && len(h.entries) == 0 {
 		return false
 	}
-	w := LimitReport{
+	r := LimitReport{
 		Key:        EndpointKey(id),
 		Service:    service,
 		PerSecond:  -1,
 		SentAt:     sent,
-		ReceivedAt: b.clock.Now(),
+		ReceivedAt: h.clock.Now(),
 	}
-	r := b.rows[w.Key]
+	e := h.entries[r.Key]
 	if l.Status == fleet.LimitNone {
-		return r != nil && b.hearNone(r, w)
+		return e != nil && h.observeNone(e, r)
 	}
-	w.PerSecond = l.PerSecond
-	b.words[w.Key] = w
-	if r == nil {
-		b.add(&row{
-			word: w,
+	r.PerSecond = l.PerSecond
+	h.unreported[r.Key] = r
+	if e == nil {
+		h.add(&entry{
+			report: r,
 		})
 		return true
 	}
-	falls := w.PerSecond < fallShare*r.word.PerSecond
-	r.word = w
-	return falls
+	dropped := r.PerSecond < urgentDropRatio*e.report.PerSecond
+	e.report = r
+	return dropped
 }
 
-// hearNone takes an answer that names no limit, from an endpoint that has one. It may have
+// observeNone takes an answer that names no limit, from an endpoint that has one. It may have
 // begun before the limit was named.
-func (b *Holder) hearNone(r *row, w LimitReport) bool {
-	if w.SentAt.Before(r.word.ReceivedAt) {
+func (h *Holder) observeNone(e *entry, r LimitReport) bool {
+	if r.SentAt.Before(e.report.ReceivedAt) {
 		return false
 	}
-	old, waits := b.words[w.Key]
-	if waits && !old.names() {
+	previous, isPending := h.unreported[r.Key]
+	if isPending && !previous.hasLimit() {
 		return false // it will be told
 	}
-	if r.told == 0 {
-		b.remove(w.Key) // it came and went, and nobody else was told
+	if e.knownTerm == 0 {
+		h.remove(r.Key) // it came and went, and nobody else was told
 		return false
 	}
-	b.words[w.Key] = w
-	news := w.ReceivedAt.Sub(r.noneAt) > overTime
-	if news {
-		r.noneAt = w.ReceivedAt
+	h.unreported[r.Key] = r
+	urgent := r.ReceivedAt.Sub(e.noneReportedAt) > removalDelay
+	if urgent {
+		e.noneReportedAt = r.ReceivedAt
 	}
-	return news
+	return urgent
 }
 
-func (b *Holder) add(r *row) {
-	b.rows[r.word.Key] = r
-	b.digest += digestOf(r.word.Key)
+func (h *Holder) add(e *entry) {
+	h.entries[e.report.Key] = e
+	h.digest += keyDigest(e.report.Key)
 }
 
-func (b *Holder) remove(key uint32) {
-	if b.rows[key] != nil {
-		b.digest -= digestOf(key)
+func (h *Holder) remove(key uint32) {
+	if h.entries[key] != nil {
+		h.digest -= keyDigest(key)
 	}
-	delete(b.rows, key)
-	delete(b.words, key)
-	delete(b.unused, key)
+	delete(h.entries, key)
+	delete(h.unreported, key)
+	delete(h.unused, key)
 }
 
 // HasLimit reports whether an endpoint has a limit.
-func (b *Holder) HasLimit(id string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.rows) > 0 && b.rows[EndpointKey(id)] != nil
+func (h *Holder) HasLimit(id string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.entries) > 0 && h.entries[EndpointKey(id)] != nil
 }
 
 // HasLimits reports whether any endpoint has a limit.
-func (b *Holder) HasLimits() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.rows) > 0
+func (h *Holder) HasLimits() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.entries) > 0
 }
 
 // MayCall reports whether an endpoint may be called now.
-func (b *Holder) MayCall(id string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.may(id)
+func (h *Holder) MayCall(id string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.mayCall(id)
 }
 
-func (b *Holder) may(id string) bool {
-	if len(b.rows) == 0 {
+func (h *Holder) mayCall(id string) bool {
+	if len(h.entries) == 0 {
 		return true
 	}
 	key := EndpointKey(id)
-	r := b.rows[key]
-	return r == nil || b.drop(key, r, b.clock.Now()) > 0
+	e := h.entries[key]
+	return e == nil || h.dropExpired(key, e, h.clock.Now()) > 0
 }
 
 // TryAcquire takes what calls to endpoints need, all or nothing, and reports whether it was
 // there: the calls may be made then, and must follow at once.
-func (b *Holder) TryAcquire(ids ...string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.rows) == 0 {
+func (h *Holder) TryAcquire(ids ...string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.entries) == 0 {
 		return true
 	}
-	now := b.clock.Now()
+	now := h.clock.Now()
 	needed := Counts{}
 	for _, id := range ids {
 		key := EndpointKey(id)
-		r := b.rows[key]
-		if r == nil {
+		e := h.entries[key]
+		if e == nil {
 			continue
 		}
 		needed[key]++
-		if b.drop(key, r, now) < needed[key] {
+		if h.dropExpired(key, e, now) < needed[key] {
 			return false
 		}
 	}
 	for key, n := range needed {
-		r := b.rows[key]
-		r.held = r.held[n:]
-		r.idle = 0
+		e := h.entries[key]
+		e.permits = e.permits[n:]
+		e.unusedInRow = 0
 	}
 	return true
 }
 
-// drop takes the permits of an endpoint out that are over, and returns how many are left.
-func (b *Holder) drop(key uint32, r *row, now time.Time) int {
-	for len(r.held) > 0 && !now.Before(r.held[0].end) {
-		if r.held[0].term == b.term {
-			b.unused[key]++
+// dropExpired takes the permits of an endpoint out that are over, and returns how many are left.
+func (h *Holder) dropExpired(key uint32, e *entry, now time.Time) int {
+	for len(e.permits) > 0 && !now.Before(e.permits[0].expiresAt) {
+		if e.permits[0].term == h.term {
+			h.unused[key]++
 		}
-		r.held = r.held[1:]
-		r.until = now.Add(idleFirst << min(r.idle, idleMost))
-		r.idle++
+		e.permits = e.permits[1:]
+		e.pausedUntil = now.Add(unusedPause << min(e.unusedInRow, maxPauseDoublings))
+		e.unusedInRow++
 	}
-	return len(r.held)
+	return len(e.permits)
 }
 
 // CountRequest counts a request for a service, whose endpoints may have limits.
-func (b *Holder) CountRequest(service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.rows) == 0 {
+func (h *Holder) CountRequest(service string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.entries) == 0 {
 		return
 	}
-	now := b.clock.Now()
-	a := b.asked[service]
-	if a == nil {
-		a = &asked{
-			at: now,
+	now := h.clock.Now()
+	rate := h.requests[service]
+	if rate == nil {
+		rate = &requestRate{
+			decayedAt: now,
 		}
-		b.asked[service] = a
+		h.requests[service] = rate
 	}
-	a.fade(now)
-	a.rate++
-	a.untold++
+	rate.decay(now)
+	rate.rate++
+	rate.unreported++
 }
 
 // HostReport is what a host tells the leader.
@@ -267,41 +267,41 @@
 
 // TakeReport returns what the leader must be told. What is unused is told once: were it told
 // again, since an answer was lost, it would be lent twice.
-func (b *Holder) TakeReport() HostReport {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	rep := HostReport{
-		Term:         b.term,
-		Version:      b.version,
-		Digest:       b.digest,
-		LimitReports: b.pending(),
-	}
-	if len(b.rows) > 0 {
-		rep.Demands = b.demands(b.clock.Now())
-	}
-	rep.Unused = b.unused
-	b.unused = Counts{}
-	return rep
+func (h *Holder) TakeReport() HostReport {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	report := HostReport{
+		Term:         h.term,
+		Version:      h.version,
+		Digest:       h.digest,
+		LimitReports: h.pendingReports(),
+	}
+	if len(h.entries) > 0 {
+		report.Demands = h.demands(h.clock.Now())
+	}
+	report.Unused = h.unused
+	h.unused = Counts{}
+	return report
 }
 
 // demands returns the requests that weren't told, and forgets services without any.
-func (b *Holder) demands(now time.Time) []Demand {
-	wanted := b.wanted(now)
+func (h *Holder) demands(now time.Time) []Demand {
+	wanted := h.wanted(now)
 	var list []Demand
-	for service, a := range b.asked {
-		a.fade(now)
-		if a.untold == 0 && a.rate < leastUse {
-			delete(b.asked, service)
+	for service, rate := range h.requests {
+		rate.decay(now)
+		if rate.unreported == 0 && rate.rate < minExpectedUse {
+			delete(h.requests, service)
 			continue
 		}
 		d := Demand{
 			Service:  service,
-			Requests: a.untold,
+			Requests: rate.unreported,
 		}
-		if a.rate*float64(Lifetime)/float64(rateTime) >= leastUse {
+		if rate.rate*float64(Lifetime)/float64(rateWindow) >= minExpectedUse {
 			d.Wanted = wanted[service]
 		}
-		a.untold = 0
+		rate.unreported = 0
 		list = append(list, d)
 	}
 	return list
@@ -309,114 +309,114 @@
 
 // wanted returns the endpoints for which this host holds no permit, in turn, but those
 // whose permits it had no use for.
-func (b *Holder) wanted(now time.Time) map[string][]uint32 {
-	keys := make([]uint32, 0, len(b.rows))
-	for key := range b.rows {
+func (h *Holder) wanted(now time.Time) map[string][]uint32 {
+	keys := make([]uint32, 0, len(h.entries))
+	for key := range h.entries {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	first, _ := slices.BinarySearch(keys, b.next)
+	first, _ := slices.BinarySearch(keys, h.nextWanted)
 	list := map[string][]uint32{}
 	for i := range keys {
 		key := keys[(first+i)%len(keys)]
-		r := b.rows[key]
-		if b.drop(key, r, now) > 0 || now.Before(r.until) || len(list[r.word.Service]) >= mostWanted {
+		e := h.entries[key]
+		if h.dropExpired(key, e, now) > 0 || now.Before(e.pausedUntil) || len(list[e.report.Service]) >= maxWanted {
 			continue
 		}
-		list[r.word.Service] = append(list[r.word.Service], key)
-		b.next = key + 1
+		list[e.report.Service] = append(list[e.report.Service], key)
+		h.nextWanted = key + 1
 	}
 	return list
 }
 
 // PendingReports returns what was heard and not told yet.
-func (b *Holder) PendingReports() []LimitReport {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.pending()
+func (h *Holder) PendingReports() []LimitReport {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.pendingReports()
 }
 
-func (b *Holder) pending() []LimitReport {
-	now := b.clock.Now()
-	for key, r := range b.rows {
-		if _, waits := b.words[key]; !waits && r.told < b.term && !now.Before(r.retellAt) {
-			b.words[key] = r.word
+func (h *Holder) pendingReports() []LimitReport {
+	now := h.clock.Now()
+	for key, e := range h.entries {
+		if _, isPending := h.unreported[key]; !isPending && e.knownTerm < h.term && !now.Before(e.reReportAt) {
+			h.unreported[key] = e.report
 		}
 	}
-	list := make([]LimitReport, 0, len(b.words))
-	for _, w := range b.words {
-		list = append(list, w)
+	list := make([]LimitReport, 0, len(h.unreported))
+	for _, r := range h.unreported {
+		list = append(list, r)
 	}
 	return list
 }
 
 // Acknowledge notes that the leader of a term took words.
-func (b *Holder) Acknowledge(term uint64, words []LimitReport) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, w := range words {
-		if b.words[w.Key] == w {
-			delete(b.words, w.Key)
+func (h *Holder) Acknowledge(term uint64, reports []LimitReport) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, r := range reports {
+		if h.unreported[r.Key] == r {
+			delete(h.unreported, r.Key)
 		}
-		if r := b.rows[w.Key]; r != nil && w.names() {
-			r.told = term
+		if e := h.entries[r.Key]; e != nil && r.hasLimit() {
+			e.knownTerm = term
 		}
 	}
 }
 
-// retellTime is the time over which hosts tell a new leader what it doesn't know: who
+// reReportSpread is the time over which hosts tell a new leader what it doesn't know: who
 // is first spares the others.
-const retellTime = time.Second
+const reReportSpread = time.Second
 
 // ApplyChanges takes the limits that changed since what was reported, or all of them, or
 // nothing where the host holds the same ones. A limit that the leader doesn't know of
 // stays, and it is told.
-func (b *Holder) ApplyChanges(term, version uint64, whole bool, list []LimitChange) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	same := term != b.term && !whole && len(list) == 0
-	if term != b.term {
-		b.unused = Counts{} // lent by another, who doesn't lend any more
-	}
-	b.term = term
-	b.version = version
+func (h *Holder) ApplyChanges(term, version uint64, full bool, list []LimitChange) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	same := term != h.term && !full && len(list) == 0
+	if term != h.term {
+		h.unused = Counts{} // lent by another, who doesn't lend any more
+	}
+	h.term = term
+	h.version = version
 	listed := map[uint32]bool{}
 	for _, c := range list {
 		if c.Removed {
-			b.end(c.Key)
+			h.removeUnlessRenewed(c.Key)
 			continue
 		}
 		listed[c.Key] = true
-		b.learn(c).told = term
+		h.learnLimit(c).knownTerm = term
 	}
-	now := b.clock.Now()
-	for key, r := range b.rows {
-		_, waits := b.words[key]
+	now := h.clock.Now()
+	for key, e := range h.entries {
+		_, isPending := h.unreported[key]
 		switch {
-		case same && !waits: // it isn't newer than what was reported
-			r.told = term
-		case r.told < term && r.retell < term:
-			r.retell = term
-			r.retellAt = now.Add(b.part(key, retellTime))
-		case r.told == term && whole && !listed[key]:
-			b.end(key)
+		case same && !isPending: // it isn't newer than what was reported
+			e.knownTerm = term
+		case e.knownTerm < term && e.reReportTerm < term:
+			e.reReportTerm = term
+			e.reReportAt = now.Add(h.jitter(key, reReportSpread))
+		case e.knownTerm == term && full && !listed[key]:
+			h.removeUnlessRenewed(key)
 		}
 	}
 }
 
-// part returns a part of d that differs from host to host.
-func (b *Holder) part(key uint32, d time.Duration) time.Duration {
-	mixed := digestOf(key ^ uint32(b.seed))
-	return time.Duration(float64(d) * float64(mixed>>32) / (1 << 32))
+// jitter returns a part of d that differs from host to host.
+func (h *Holder) jitter(key uint32, d time.Duration) time.Duration {
+	hash := keyDigest(key ^ uint32(h.seed))
+	return time.Duration(float64(d) * float64(hash>>32) / (1 << 32))
 }
 
-// learn returns the row of an endpoint of which the leader tells that it has a limit.
-func (b *Holder) learn(c LimitChange) *row {
-	r := b.rows[c.Key]
-	if r == nil {
-		now := b.clock.Now()
-		r = &row{
-			word: LimitReport{
+// learnLimit returns the row of an endpoint of which the leader tells that it has a limit.
+func (h *Holder) learnLimit(c LimitChange) *entry {
+	e := h.entries[c.Key]
+	if e == nil {
+		now := h.clock.Now()
+		e = &entry{
+			report: LimitReport{
 				Key:        c.Key,
 				Service:    c.Service,
 				PerSecond:  c.PerSecond,
@@ -424,43 +424,43 @@
 				ReceivedAt: now,
 			},
 		}
-		b.add(r)
+		h.add(e)
 	}
-	return r
+	return e
 }
 
-// end ends a limit, unless it was named anew meanwhile.
-func (b *Holder) end(key uint32) {
-	if w, waits := b.words[key]; waits && w.names() {
+// removeUnlessRenewed ends a limit, unless it was named anew meanwhile.
+func (h *Holder) removeUnlessRenewed(key uint32) {
+	if r, isPending := h.unreported[key]; isPending && r.hasLimit() {
 		return
 	}
-	b.remove(key)
+	h.remove(key)
 }
 
 // AddPermits notes permits that the leader of a term lent, which may be used until an end.
-func (b *Holder) AddPermits(term uint64, list Counts, end time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (h *Holder) AddPermits(term uint64, list Counts, expiresAt time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	for key, n := range list {
-		r := b.rows[key]
-		if r == nil {
+		e := h.entries[key]
+		if e == nil {
 			continue // it has no limit here
 		}
 		for range n {
-			r.held = append(r.held, held{
-				end:  end,
-				term: term,
+			e.permits = append(e.permits, heldPermit{
+				expiresAt: expiresAt,
+				term:      term,
 			})
 		}
 	}
 }
 
 // Size returns how many limits and permits are held.
-func (b *Holder) Size() (limits, permits int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, r := range b.rows {
-		permits += len(r.held)
+func (h *Holder) Size() (limits, permits int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, e := range h.entries {
+		permits += len(e.permits)
 	}
-	return len(b.rows), permits
+	return len(h.entries), permits
 }
--- a/pkg/permit/lender.go
+++ b/pkg/permit/lender.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// demandTime is the time over which demand is counted.
-	demandTime = time.Second
-	// changesKept is how many changes are remembered; who is further behind gets all.
-	changesKept = 4096
-	// leastLimit is what a lower limit counts as: an endpoint that names 0 must be called
+	// demandWindow is the time over which demand is counted.
+	demandWindow = time.Second
+	// maxChanges is how many changes are remembered; who is further behind gets all.
+	maxChanges = 4096
+	// minLimit is what a lower limit counts as: an endpoint that names 0 must be called
 	// now and then, to hear when that is over.
-	leastLimit = 0.05
-	// askedShare is the part of a limit that questions may take.
-	askedShare = 0.25
+	minLimit = 0.05
+	// probeShare is the part of a limit that questions may take.
+	probeShare = 0.25
 )
 
 // Granter is the leader's side: the endpoints that have limits, and what was lent. It is
@@ -27,190 +27,190 @@
 type Granter struct {
 	clock Clock
 
-	mu       sync.Mutex
-	term     uint64
-	version  uint64
-	accounts map[uint32]*account
-	digest   uint64           // of their keys
-	pools    map[string]*pool // by service
-	changes  []numbered       // the oldest first
-	changed  chan struct{}
-	orders   uint64 // of loans
+	mu           sync.Mutex
+	term         uint64
+	version      uint64
+	limiters     map[uint32]*limiter
+	digest       uint64                    // of their keys
+	services     map[string]*serviceDemand // by service
+	changes      []versionedChange         // the oldest first
+	changed      chan struct{}
+	lastSequence uint64 // of loans
 }
 
-// numbered is a change and the version that it made.
-type numbered struct {
+// versionedChange is a change and the version that it made.
+type versionedChange struct {
 	LimitChange
 	version uint64
 }
 
-// pool is a service some of whose endpoints have limits, and what all hosts are asked for.
-type pool struct {
-	limits int     // how many of its endpoints have one
-	demand float64 // requests in demandTime
-	at     time.Time
+// serviceDemand is a service some of whose endpoints have limits, and what all hosts are asked for.
+type serviceDemand struct {
+	limitCount int     // how many of its endpoints have one
+	demand     float64 // requests in demandTime
+	decayedAt  time.Time
 }
 
 // NewGranter returns a lender of no term.
 func NewGranter(clock Clock) *Granter {
 	return &Granter{
 		clock:    clock,
-		accounts: map[uint32]*account{},
-		pools:    map[string]*pool{},
+		limiters: map[uint32]*limiter{},
+		services: map[string]*serviceDemand{},
 		changed:  make(chan struct{}),
 	}
 }
 
 // BeginTerm begins a term, unless it has begun.
-func (l *Granter) BeginTerm(term uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if term <= l.term {
+func (g *Granter) BeginTerm(term uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if term <= g.term {
 		return
 	}
-	l.term = term
-	l.version = 0
-	l.accounts = map[uint32]*account{}
-	l.digest = 0
-	l.pools = map[string]*pool{}
-	l.changes = nil
-	l.wake()
+	g.term = term
+	g.version = 0
+	g.limiters = map[uint32]*limiter{}
+	g.digest = 0
+	g.services = map[string]*serviceDemand{}
+	g.changes = nil
+	g.notify()
 }
 
 // Observe takes words, and returns which endpoints have a limit since, or none any more.
-func (l *Granter) Observe(words []LimitReport) []LimitChange {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.clock.Now()
-	var news []LimitChange
-	for _, w := range words {
-		if w.names() {
-			w.PerSecond = math.Max(leastLimit, w.PerSecond)
+func (g *Granter) Observe(reports []LimitReport) []LimitChange {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.Now()
+	var changes []LimitChange
+	for _, r := range reports {
+		if r.hasLimit() {
+			r.PerSecond = math.Max(minLimit, r.PerSecond)
 		}
-		a := l.accounts[w.Key]
+		l := g.limiters[r.Key]
 		switch {
-		case a != nil:
-			a.hear(w, now)
-			if a.over(now) {
-				news = append(news, l.close(a))
+		case l != nil:
+			l.observe(r, now)
+			if l.expired(now) {
+				changes = append(changes, g.removeLimit(l))
 			}
-		case w.names():
-			news = append(news, l.open(w, now))
+		case r.hasLimit():
+			changes = append(changes, g.addLimit(r, now))
 		}
 	}
-	return news
+	return changes
 }
 
-func (l *Granter) open(w LimitReport, now time.Time) LimitChange {
-	a := newAccount(w, now)
-	l.accounts[w.Key] = a
-	l.digest += digestOf(w.Key)
-	p := l.pools[w.Service]
-	if p == nil {
-		p = &pool{
-			at: now,
+func (g *Granter) addLimit(r LimitReport, now time.Time) LimitChange {
+	l := newLimiter(r, now)
+	g.limiters[r.Key] = l
+	g.digest += keyDigest(r.Key)
+	s := g.services[r.Service]
+	if s == nil {
+		s = &serviceDemand{
+			decayedAt: now,
 		}
-		l.pools[w.Service] = p
+		g.services[r.Service] = s
 	}
-	p.limits++
-	l.note(a.change())
-	return a.change()
+	s.limitCount++
+	g.record(l.change())
+	return l.change()
 }
 
-// close ends a limit.
-func (l *Granter) close(a *account) LimitChange {
-	delete(l.accounts, a.key)
-	l.digest -= digestOf(a.key)
-	p := l.pools[a.service]
-	if p.limits--; p.limits == 0 {
-		delete(l.pools, a.service)
+// removeLimit ends a limit.
+func (g *Granter) removeLimit(l *limiter) LimitChange {
+	delete(g.limiters, l.key)
+	g.digest -= keyDigest(l.key)
+	s := g.services[l.service]
+	if s.limitCount--; s.limitCount == 0 {
+		delete(g.services, l.service)
 	}
-	c := a.change()
+	c := l.change()
 	c.Removed = true
-	l.note(c)
+	g.record(c)
 	return c
 }
 
 // Expire ends the limits of which nothing is heard any more, and returns them.
-func (l *Granter) Expire() []LimitChange {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.clock.Now()
-	var news []LimitChange
-	for _, a := range l.accounts {
-		if a.over(now) {
-			news = append(news, l.close(a))
+func (g *Granter) Expire() []LimitChange {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.Now()
+	var changes []LimitChange
+	for _, l := range g.limiters {
+		if l.expired(now) {
+			changes = append(changes, g.removeLimit(l))
 		}
 	}
-	return news
+	return changes
 }
 
-// note numbers a change, and wakes who waits for one.
-func (l *Granter) note(c LimitChange) {
-	l.version++
-	l.changes = append(l.changes, numbered{
+// record numbers a change, and wakes who waits for one.
+func (g *Granter) record(c LimitChange) {
+	g.version++
+	g.changes = append(g.changes, versionedChange{
 		LimitChange: c,
-		version:     l.version,
+		version:     g.version,
 	})
-	if len(l.changes) > changesKept {
-		l.changes = append([]numbered(nil), l.changes[changesKept/2:]...)
+	if len(g.changes) > maxChanges {
+		g.changes = append([]versionedChange(nil), g.changes[maxChanges/2:]...)
 	}
-	l.wake()
+	g.notify()
 }
 
-func (l *Granter) wake() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+func (g *Granter) notify() {
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
 // Changed returns a channel that is closed with the next change.
-func (l *Granter) Changed() <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.changed
+func (g *Granter) Changed() <-chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.changed
 }
 
 // UpToDate reports whether who holds the limits of a term up to a version has all.
-func (l *Granter) UpToDate(term, version uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return term == l.term && version == l.version
+func (g *Granter) UpToDate(term, version uint64) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return term == g.term && version == g.version
 }
 
 // ChangesSince returns what changed since a version of a term, and the newest version; whole
 // says that these are all limits that there are. Who holds the same ones, by their digest,
 // needs none, whichever term they are of.
-func (l *Granter) ChangesSince(term, known, digest uint64) (list []LimitChange, version uint64, whole bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if digest == l.digest {
-		return nil, l.version, false
+func (g *Granter) ChangesSince(term, known, digest uint64) (list []LimitChange, version uint64, full bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if digest == g.digest {
+		return nil, g.version, false
 	}
-	if term == l.term && known <= l.version && (known == l.version || len(l.changes) > 0 && l.changes[0].version <= known+1) {
-		for i := len(l.changes) - 1; i >= 0 && l.changes[i].version > known; i-- {
-			list = append(list, l.changes[i].LimitChange)
+	if term == g.term && known <= g.version && (known == g.version || len(g.changes) > 0 && g.changes[0].version <= known+1) {
+		for i := len(g.changes) - 1; i >= 0 && g.changes[i].version > known; i-- {
+			list = append(list, g.changes[i].LimitChange)
 		}
 		slices.Reverse(list)
-		return list, l.version, false
+		return list, g.version, false
 	}
-	for _, a := range l.accounts {
-		list = append(list, a.change())
+	for _, l := range g.limiters {
+		list = append(list, l.change())
 	}
-	return list, l.version, true
+	return list, g.version, true
 }
 
 // ReturnUnused takes back permits of a term that were over before they were used.
-func (l *Granter) ReturnUnused(term uint64, list Counts) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if term != l.term {
+func (g *Granter) ReturnUnused(term uint64, list Counts) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if term != g.term {
 		return
 	}
-	now := l.clock.Now()
+	now := g.clock.Now()
 	for key, n := range list {
-		if a := l.accounts[key]; a != nil {
-			a.refill(now)
-			a.unused(n)
+		if l := g.limiters[key]; l != nil {
+			l.refill(now)
+			l.returnUnused(n)
 		}
 	}
 }
@@ -224,82 +224,82 @@
 }
 
 // Grant lends permits to a host by what it is asked for. Those who wait for one come first.
-func (l *Granter) Grant(d Demand) Counts {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	p := l.pools[d.Service]
-	if p == nil || d.Requests <= 0 {
+func (g *Granter) Grant(d Demand) Counts {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	s := g.services[d.Service]
+	if s == nil || d.Requests <= 0 {
 		return nil
 	}
-	now := l.clock.Now()
-	p.ask(d.Requests, now)
-	lent := Counts{}
-	part := float64(d.Requests) / math.Max(1, p.demand)
+	now := g.clock.Now()
+	s.add(d.Requests, now)
+	granted := Counts{}
+	hostShare := float64(d.Requests) / math.Max(1, s.demand)
 	for _, key := range d.Wanted {
-		a := l.accounts[key]
-		if a == nil {
+		l := g.limiters[key]
+		if l == nil {
 			continue
 		}
-		a.refill(now)
-		share := int(math.Ceil(a.limit * Lifetime.Seconds() * part))
-		if n := min(d.Requests, share, a.free(len(a.queue))); n > 0 {
-			a.lend(n)
-			lent[key] = n
+		l.refill(now)
+		share := int(math.Ceil(l.limit * Lifetime.Seconds() * hostShare))
+		if n := min(d.Requests, share, l.available(len(l.waiters))); n > 0 {
+			l.grant(n)
+			granted[key] = n
 		}
 	}
-	return lent
+	return granted
 }
 
-// ask counts demand; what is older counts less and less.
-func (p *pool) ask(requests int, now time.Time) {
-	p.fade(now)
-	p.demand += float64(requests)
+// add counts demand; what is older counts less and less.
+func (s *serviceDemand) add(requests int, now time.Time) {
+	s.decay(now)
+	s.demand += float64(requests)
 }
 
-func (p *pool) fade(now time.Time) {
-	p.demand *= math.Exp(-float64(now.Sub(p.at)) / float64(demandTime))
-	p.at = now
+func (s *serviceDemand) decay(now time.Time) {
+	s.demand *= math.Exp(-float64(now.Sub(s.decayedAt)) / float64(demandWindow))
+	s.decayedAt = now
 }
 
 // ChargeProbe counts a call of the leader itself, which takes what the others then lack.
-func (l *Granter) ChargeProbe(key uint32) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if a := l.accounts[key]; a != nil {
-		a.refill(l.clock.Now())
-		a.lend(1)
+func (g *Granter) ChargeProbe(key uint32) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if l := g.limiters[key]; l != nil {
+		l.refill(g.clock.Now())
+		l.grant(1)
 	}
 }
 
 // ProbeInterval returns how long an endpoint must be left alone between two questions; 0 if it
 // has no limit.
-func (l *Granter) ProbeInterval(key uint32) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.accounts[key]
-	if a == nil {
+func (g *Granter) ProbeInterval(key uint32) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	l := g.limiters[key]
+	if l == nil {
 		return 0
 	}
-	return time.Duration(float64(time.Second) / (askedShare * a.limit))
+	return time.Duration(float64(time.Second) / (probeShare * l.limit))
 }
 
 // BelowDemand reports whether an endpoint takes less than its service is asked for: it can't
 // carry that alone.
-func (l *Granter) BelowDemand(key uint32) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.accounts[key]
-	if a == nil {
+func (g *Granter) BelowDemand(key uint32) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	l := g.limiters[key]
+	if l == nil {
 		return false
 	}
-	p := l.pools[a.service]
-	p.fade(l.clock.Now())
-	return a.limit*demandTime.Seconds() < p.demand
+	s := g.services[l.service]
+	s.decay(g.clock.Now())
+	return l.limit*demandWindow.Seconds() < s.demand
 }
 
 // Size returns how many endpoints have a limit.
-func (l *Granter) Size() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.accounts)
+func (g *Granter) Size() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.limiters)
 }
--- a/pkg/permit/loan.go
+++ b/pkg/permit/loan.go
@@ -9,50 +9,50 @@
 // or one for any of them.
 type Waiter struct {
 	keys     []uint32
-	each     bool
+	all      bool
 	priority int // 0 is the most urgent
-	order    uint64
+	sequence uint64
 }
 
 // before reports whether a loan is served before another.
-func (n *Waiter) before(other *Waiter) bool {
-	if n.priority != other.priority {
-		return n.priority < other.priority
+func (w *Waiter) before(other *Waiter) bool {
+	if w.priority != other.priority {
+		return w.priority < other.priority
 	}
-	return n.order < other.order
+	return w.sequence < other.sequence
 }
 
 // Enqueue puts a loan in the queue of its endpoints, until Leave.
-func (l *Granter) Enqueue(keys []uint32, each bool, priority int) *Waiter {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.orders++
-	n := &Waiter{
+func (g *Granter) Enqueue(keys []uint32, all bool, priority int) *Waiter {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.lastSequence++
+	w := &Waiter{
 		keys:     keys,
-		each:     each,
+		all:      all,
 		priority: priority,
-		order:    l.orders,
+		sequence: g.lastSequence,
 	}
 	for _, key := range keys {
-		if a := l.accounts[key]; a != nil {
-			a.queue = append(a.queue, n)
+		if l := g.limiters[key]; l != nil {
+			l.waiters = append(l.waiters, w)
 		}
 	}
-	return n
+	return w
 }
 
 // Dequeue takes a loan out of all queues.
-func (l *Granter) Dequeue(n *Waiter) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, key := range n.keys {
-		a := l.accounts[key]
-		if a == nil {
+func (g *Granter) Dequeue(w *Waiter) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, key := range w.keys {
+		l := g.limiters[key]
+		if l == nil {
 			continue
 		}
-		for i, one := range a.queue {
-			if one == n {
-				a.queue = append(a.queue[:i:i], a.queue[i+1:]...)
+		for i, other := range l.waiters {
+			if other == w {
+				l.waiters = append(l.waiters[:i:i], l.waiters[i+1:]...)
 				break
 			}
 		}
@@ -60,10 +60,10 @@
 }
 
 // ahead returns how many loans are served before one.
-func (a *account) ahead(n *Waiter) int {
+func (l *limiter) ahead(w *Waiter) int {
 	count := 0
-	for _, one := range a.queue {
-		if one != n && one.before(n) {
+	for _, other := range l.waiters {
+		if other != w && other.before(w) {
 			count++
 		}
 	}
@@ -73,64 +73,64 @@
 // TryGrant lends what a loan asks for, or returns when to try again. Nothing is lent for an
 // endpoint that this leader doesn't know: it may not have been told yet that there is a
 // limit, and who is told that there is none any more needs no permit.
-func (l *Granter) TryGrant(n *Waiter) (lent Counts, due time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.clock.Now()
-	var best *account
-	least, longest := longestDue, time.Duration(0)
-	for _, key := range n.keys {
-		d := lookAgain
-		if a := l.accounts[key]; a != nil {
-			a.refill(now)
-			d = a.due(a.ahead(n))
+func (g *Granter) TryGrant(w *Waiter) (granted Counts, wait time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.clock.Now()
+	var best *limiter
+	shortest, longest := maxAvailableIn, time.Duration(0)
+	for _, key := range w.keys {
+		d := retryInterval
+		if l := g.limiters[key]; l != nil {
+			l.refill(now)
+			d = l.availableIn(l.ahead(w))
 			if d == 0 {
-				best = a
+				best = l
 			}
 		}
-		least = min(least, d)
+		shortest = min(shortest, d)
 		longest = max(longest, d)
 	}
 	switch {
-	case n.each && longest > 0:
+	case w.all && longest > 0:
 		return nil, longest
-	case n.each:
-		return l.lendEach(n.keys), 0
+	case w.all:
+		return g.grantEach(w.keys), 0
 	case best == nil:
-		return nil, least
+		return nil, shortest
 	}
-	best.lend(1)
+	best.grant(1)
 	return Counts{
 		best.key: 1,
 	}, 0
 }
 
-// lendEach lends one permit for each of the endpoints, all of which have one.
-func (l *Granter) lendEach(keys []uint32) Counts {
-	lent := Counts{}
+// grantEach lends one permit for each of the endpoints, all of which have one.
+func (g *Granter) grantEach(keys []uint32) Counts {
+	granted := Counts{}
 	for _, key := range keys {
-		l.accounts[key].lend(1)
-		lent[key]++
+		g.limiters[key].grant(1)
+		granted[key]++
 	}
-	return lent
+	return granted
 }
 
 // GrantInterval returns the time between two permits for what a loan asks for, of all hosts.
-func (l *Granter) GrantInterval(n *Waiter) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	sum, least := 0.0, math.Inf(1)
-	for _, key := range n.keys {
-		if a := l.accounts[key]; a != nil {
-			sum += a.limit
-			least = math.Min(least, a.limit)
+func (g *Granter) GrantInterval(w *Waiter) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	sum, lowest := 0.0, math.Inf(1)
+	for _, key := range w.keys {
+		if l := g.limiters[key]; l != nil {
+			sum += l.limit
+			lowest = math.Min(lowest, l.limit)
 		}
 	}
 	switch {
 	case sum == 0:
 		return 0
-	case n.each:
-		return time.Duration(float64(time.Second) / least)
+	case w.all:
+		return time.Duration(float64(time.Second) / lowest)
 	default:
 		return time.Duration(float64(time.Second) / sum)
 	}
--- a/pkg/permit/permit.go
+++ b/pkg/permit/permit.go
@@ -30,8 +30,8 @@
 	return fleet.LoadKey(own)
 }
 
-// digestOf returns what an endpoint that has a limit adds to the digest of all that do.
-func digestOf(key uint32) uint64 {
+// keyDigest returns what an endpoint that has a limit adds to the digest of all that do.
+func keyDigest(key uint32) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint32(nil, key))
 }
 
@@ -47,9 +47,9 @@
 	ReceivedAt time.Time
 }
 
-// names reports whether the answer named a limit.
-func (w *LimitReport) names() bool {
-	return w.PerSecond >= 0
+// hasLimit reports whether the answer named a limit.
+func (r *LimitReport) hasLimit() bool {
+	return r.PerSecond >= 0
 }
 
 // LimitChange is an endpoint that has a limit now, or has none any more.
--- a/pkg/permit/wire.go
+++ b/pkg/permit/wire.go
@@ -7,15 +7,15 @@
 )
 
 // LimitReportsToWire returns words as they are sent at now.
-func LimitReportsToWire(words []LimitReport, now time.Time) []*rpc.LimitWord {
-	list := make([]*rpc.LimitWord, 0, len(words))
-	for _, w := range words {
+func LimitReportsToWire(reports []LimitReport, now time.Time) []*rpc.LimitWord {
+	list := make([]*rpc.LimitWord, 0, len(reports))
+	for _, r := range reports {
 		list = append(list, &rpc.LimitWord{
-			Endpoint:   w.Key,
-			Service:    w.Service,
-			PerSecond:  w.PerSecond,
-			SentMsAgo:  uint32(max(0, now.Sub(w.SentAt).Milliseconds())),
-			HeardMsAgo: uint32(max(0, now.Sub(w.ReceivedAt).Milliseconds())),
+			Endpoint:   r.Key,
+			Service:    r.Service,
+			PerSecond:  r.PerSecond,
+			SentMsAgo:  uint32(max(0, now.Sub(r.SentAt).Milliseconds())),
+			HeardMsAgo: uint32(max(0, now.Sub(r.ReceivedAt).Milliseconds())),
 		})
 	}
 	return list
@@ -23,17 +23,17 @@
 
 // LimitReportsFromWire returns words as they were received at now.
 func LimitReportsFromWire(list []*rpc.LimitWord, now time.Time) []LimitReport {
-	words := make([]LimitReport, 0, len(list))
-	for _, w := range list {
-		words = append(words, LimitReport{
-			Key:        w.GetEndpoint(),
-			Service:    w.GetService(),
-			PerSecond:  w.GetPerSecond(),
-			SentAt:     now.Add(-time.Duration(w.GetSentMsAgo()) * time.Millisecond),
-			ReceivedAt: now.Add(-time.Duration(w.GetHeardMsAgo()) * time.Millisecond),
+	reports := make([]LimitReport, 0, len(list))
+	for _, r := range list {
+		reports = append(reports, LimitReport{
+			Key:        r.GetEndpoint(),
+			Service:    r.GetService(),
+			PerSecond:  r.GetPerSecond(),
+			SentAt:     now.Add(-time.Duration(r.GetSentMsAgo()) * time.Millisecond),
+			ReceivedAt: now.Add(-time.Duration(r.GetHeardMsAgo()) * time.Millisecond),
 		})
 	}
-	return words
+	return reports
 }
 
 // LimitChangesToWire returns changes as they are sent.
@@ -83,7 +83,7 @@
 	for _, d := range list {
 		demands = append(demands, Demand{
 			Service:  d.GetService(),
-			Requests: int(min(d.GetRequests(), mostCount)),
+			Requests: int(min(d.GetRequests(), maxCount)),
 			Wanted:   d.GetWanted(),
 		})
 	}
@@ -103,8 +103,8 @@
 	return list
 }
 
-// mostCount bounds what is read of one endpoint.
-const mostCount = 1 << 16
+// maxCount bounds what is read of one endpoint.
+const maxCount = 1 << 16
 
 // CountsFromWire returns a table as it was received.
 func CountsFromWire(list *rpc.PermitTable) Counts {
@@ -113,7 +113,7 @@
 	}
 	t := Counts{}
 	for i, key := range list.GetEndpoints() {
-		t[key] = int(min(list.GetCounts()[i], mostCount))
+		t[key] = int(min(list.GetCounts()[i], maxCount))
 	}
 	return t
 }
--- a/pkg/quarantine/host.go
+++ b/pkg/quarantine/host.go
@@ -13,12 +13,12 @@
 	// a leader, and a deployment without one for longer than this takes no requests
 	// with keys anyway.
 	LocalHold = 30 * time.Second
-	// reportKept is how long a host can tell a new leader of an end.
-	reportKept = 2 * time.Minute
+	// reportRetention is how long a host can tell a new leader of an end.
+	reportRetention = 2 * time.Minute
 	// maxReports bounds what a host remembers to tell, and maxTold what one call
 	// tells, at 20 bytes each: a host has a few streams at each endpoint.
 	maxReports = 512
-	maxTold    = 128
+	maxPerCall = 128
 )
 
 // Decision is what the control hosts say of a request: kept from endpoints for a time,
@@ -31,150 +31,150 @@
 // Enforcer is an entry host's part: what it saw itself and has to tell, and what it was
 // told. It is safe for use by several goroutines.
 type Enforcer struct {
-	svc timer.Service
-	own *Detector
-
-	mu      sync.Mutex
-	reports []report
-	served  []Fingerprint             // watched ones
-	told    map[Fingerprint]time.Time // until when held; zero: watched
-	digest  uint64
-	mine    map[Fingerprint]time.Time // until when held by what this host saw
+	svc      timer.Service
+	detector *Detector
+
+	mu         sync.Mutex
+	reports    []report
+	served     []Fingerprint             // watched ones
+	decisions  map[Fingerprint]time.Time // until when held; zero: watched
+	digest     uint64
+	localHolds map[Fingerprint]time.Time // until when held by what this host saw
 }
 
 // report is an end that the leader must know of.
 type report struct {
-	end  Crash
-	at   time.Time
-	term uint64 // of the leader that was told; 0: none
+	crash Crash
+	at    time.Time
+	term  uint64 // of the leader that was told; 0: none
 }
 
 // NewEnforcer returns a host that has seen nothing.
 func NewEnforcer(svc timer.Service) *Enforcer {
 	return &Enforcer{
-		svc:  svc,
-		own:  NewDetector(svc),
-		told: map[Fingerprint]time.Time{},
-		mine: map[Fingerprint]time.Time{},
+		svc:        svc,
+		detector:   NewDetector(svc),
+		decisions:  map[Fingerprint]time.Time{},
+		localHolds: map[Fingerprint]time.Time{},
 	}
 }
 
 // Idle reports whether no request is watched or held, so that none need be told apart.
-func (h *Enforcer) Idle() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.told) == 0 && len(h.mine) == 0
+func (e *Enforcer) Idle() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.decisions) == 0 && len(e.localHolds) == 0
 }
 
 // HoldRemaining returns how much longer a request is kept from endpoints; 0 if it isn't.
-func (h *Enforcer) HoldRemaining(f Fingerprint) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.held(f)
+func (e *Enforcer) HoldRemaining(f Fingerprint) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.holdRemaining(f)
 }
 
-func (h *Enforcer) held(f Fingerprint) time.Duration {
-	until := h.told[f]
-	if own := h.mine[f]; own.After(until) {
-		until = own
+func (e *Enforcer) holdRemaining(f Fingerprint) time.Duration {
+	until := e.decisions[f]
+	if localUntil := e.localHolds[f]; localUntil.After(until) {
+		until = localUntil
 	}
-	return max(0, until.Sub(h.svc.Now()))
+	return max(0, until.Sub(e.svc.Now()))
 }
 
 // RecordCrash takes an end that this host saw, and reports whether the request is held by
 // it from now on.
-func (h *Enforcer) RecordCrash(e Crash) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := h.svc.Now()
-	h.dropReports(now)
-	h.reports = append(h.reports, report{
-		end: e,
-		at:  now,
+func (e *Enforcer) RecordCrash(c Crash) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.svc.Now()
+	e.dropReports(now)
+	e.reports = append(e.reports, report{
+		crash: c,
+		at:    now,
 	})
-	h.own.Add(e, h.held(e.Fingerprint) > 0)
-	if !h.own.enough(e.Fingerprint) {
+	e.detector.Add(c, e.holdRemaining(c.Fingerprint) > 0)
+	if !e.detector.detectable(c.Fingerprint) {
 		return false // to judge all costs 0.6 ms where 4,000 are remembered
 	}
-	found := h.own.Detect(func(Fingerprint) bool { return false })
-	for _, one := range found {
-		h.mine[one.Fingerprint] = now.Add(LocalHold)
+	found := e.detector.Detect(func(Fingerprint) bool { return false })
+	for _, finding := range found {
+		e.localHolds[finding.Fingerprint] = now.Add(LocalHold)
 	}
 	return len(found) > 0
 }
 
 // dropReports makes room for one more.
-func (h *Enforcer) dropReports(now time.Time) {
-	first := max(0, len(h.reports)-maxReports+1)
-	for first < len(h.reports) && now.Sub(h.reports[first].at) > reportKept {
+func (e *Enforcer) dropReports(now time.Time) {
+	first := max(0, len(e.reports)-maxReports+1)
+	for first < len(e.reports) && now.Sub(e.reports[first].at) > reportRetention {
 		first++
 	}
-	h.reports = append([]report(nil), h.reports[first:]...)
-	for f, until := range h.mine {
+	e.reports = append([]report(nil), e.reports[first:]...)
+	for f, until := range e.localHolds {
 		if !now.Before(until) {
-			delete(h.mine, f)
+			delete(e.localHolds, f)
 		}
 	}
 }
 
 // RecordServed takes a request that an endpoint answered.
-func (h *Enforcer) RecordServed(f Fingerprint) {
-	h.own.Clear(f)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, watched := h.told[f]; watched && len(h.served) < maxTold {
-		h.served = append(h.served, f)
+func (e *Enforcer) RecordServed(f Fingerprint) {
+	e.detector.Clear(f)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if _, watched := e.decisions[f]; watched && len(e.served) < maxPerCall {
+		e.served = append(e.served, f)
 	}
 }
 
 // Digest returns the digest that came with what this host was told.
-func (h *Enforcer) Digest() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.digest
+func (e *Enforcer) Digest() uint64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.digest
 }
 
 // Unreported returns the ends that the leader of a term wasn't told of, and the watched
 // requests that were served since.
-func (h *Enforcer) Unreported(term uint64) (ends []Crash, served []Fingerprint) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i := range h.reports {
-		if h.reports[i].term != term && len(ends) < maxTold {
-			ends = append(ends, h.reports[i].end)
+func (e *Enforcer) Unreported(term uint64) (crashes []Crash, served []Fingerprint) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i := range e.reports {
+		if e.reports[i].term != term && len(crashes) < maxPerCall {
+			crashes = append(crashes, e.reports[i].crash)
 		}
 	}
-	return ends, append([]Fingerprint(nil), h.served...)
+	return crashes, append([]Fingerprint(nil), e.served...)
 }
 
 // Acknowledge notes that the leader of a term took these ends and served requests.
-func (h *Enforcer) Acknowledge(term uint64, ends []Crash, served int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	taken := map[Crash]bool{}
-	for _, e := range ends {
-		taken[e] = true
+func (e *Enforcer) Acknowledge(term uint64, crashes []Crash, served int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	acknowledged := map[Crash]bool{}
+	for _, c := range crashes {
+		acknowledged[c] = true
 	}
-	for i := range h.reports {
-		if taken[h.reports[i].end] {
-			h.reports[i].term = term
+	for i := range e.reports {
+		if acknowledged[e.reports[i].crash] {
+			e.reports[i].term = term
 		}
 	}
-	h.served = h.served[served:]
+	e.served = e.served[served:]
 }
 
 // SetDecisions installs what the control hosts say, in place of what they said before.
-func (h *Enforcer) SetDecisions(list []Decision, digest uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := h.svc.Now()
-	h.told = make(map[Fingerprint]time.Time, len(list))
-	for _, v := range list {
+func (e *Enforcer) SetDecisions(list []Decision, digest uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.svc.Now()
+	e.decisions = make(map[Fingerprint]time.Time, len(list))
+	for _, d := range list {
 		until := time.Time{}
-		if v.HoldTime > 0 {
-			until = now.Add(v.HoldTime)
+		if d.HoldTime > 0 {
+			until = now.Add(d.HoldTime)
 		}
-		h.told[v.Fingerprint] = until
+		e.decisions[d.Fingerprint] = until
 	}
-	h.digest = digest
+	e.digest = digest
 }
--- a/pkg/quarantine/suspects.go
+++ b/pkg/quarantine/suspects.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// guiltyPoints is when a request is found to end endpoints: after three ends
+	// detectionPoints is when a request is found to end endpoints: after three ends
 	// before any event of an answer, as a request that ends whatever begins to run it
 	// makes them, or five later ones. With fewer, streams that were cut twice in a
 	// crowd would be found: of 521 that were cut in 24 s of logs of such a day, 254
 	// were cut twice.
-	guiltyPoints = 15
-	earlyPoints  = 5
-	latePoints   = 3
-	// watchedEnds is under how many ends a request is watched: if it is served after
+	detectionPoints = 15
+	earlyPoints     = 5
+	latePoints      = 3
+	// watchedCrashes is under how many ends a request is watched: if it is served after
 	// all, it wasn't the cause.
-	watchedEnds = 2
-	// endsKept is how long after its newest end a request is remembered. Callers that were seen to repeat such a
+	watchedCrashes = 2
+	// crashRetention is how long after its newest end a request is remembered. Callers that were seen to repeat such a
 	// request came back within 4 s; a person may come back within minutes.
-	endsKept = 10 * time.Minute
+	crashRetention = 10 * time.Minute
 	// maxWatched bounds the requests that are watched at a time: hosts are told them.
 	maxWatched = 64
 	// maxSuspects bounds the requests that are remembered, at 200 bytes or so by
@@ -42,8 +42,8 @@
 	After time.Duration
 }
 
-func (e *Crash) points() int {
-	if e.BeforeResponse {
+func (c *Crash) points() int {
+	if c.BeforeResponse {
 		return earlyPoints
 	}
 	return latePoints
@@ -56,129 +56,129 @@
 type Detector struct {
 	svc timer.Service
 
-	mu     sync.Mutex
-	rows   map[Fingerprint]*suspect
-	blamed map[uint32]blame // by incarnation
+	mu         sync.Mutex
+	suspects   map[Fingerprint]*suspect
+	attributed map[uint32]attribution // by incarnation
 }
 
 // suspect is one request. Invariant: one end for each incarnation, none of which is
 // blamed on another request.
 type suspect struct {
-	ends map[uint32]Crash
-	at   time.Time // of the newest
+	crashes   map[uint32]Crash
+	lastCrash time.Time // of the newest
 }
 
-type blame struct {
-	on Fingerprint
-	at time.Time
+type attribution struct {
+	request Fingerprint
+	at      time.Time
 }
 
 // NewDetector returns an empty set.
 func NewDetector(svc timer.Service) *Detector {
 	return &Detector{
-		svc:    svc,
-		rows:   map[Fingerprint]*suspect{},
-		blamed: map[uint32]blame{},
+		svc:        svc,
+		suspects:   map[Fingerprint]*suspect{},
+		attributed: map[uint32]attribution{},
 	}
 }
 
 // Add takes an end. guilty says that the request is known to end endpoints: nothing
 // else is to blame for this one.
-func (s *Detector) Add(e Crash, guilty bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.svc.Now()
-	if guilty {
-		s.blame(e.Endpoint, e.Fingerprint, now)
+func (d *Detector) Add(c Crash, knownCause bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.svc.Now()
+	if knownCause {
+		d.attribute(c.Endpoint, c.Fingerprint, now)
 		return
 	}
-	if b, ok := s.blamed[e.Endpoint]; ok && b.on != e.Fingerprint {
+	if a, ok := d.attributed[c.Endpoint]; ok && a.request != c.Fingerprint {
 		return
 	}
-	r := s.rows[e.Fingerprint]
-	if r == nil {
-		s.makeRoom(now)
-		r = &suspect{
-			ends: map[uint32]Crash{},
+	s := d.suspects[c.Fingerprint]
+	if s == nil {
+		d.evictOldest(now)
+		s = &suspect{
+			crashes: map[uint32]Crash{},
 		}
-		s.rows[e.Fingerprint] = r
+		d.suspects[c.Fingerprint] = s
 	}
-	r.ends[e.Endpoint] = e
-	r.at = now
+	s.crashes[c.Endpoint] = c
+	s.lastCrash = now
 }
 
-// makeRoom forgets what is too old, and the oldest if there is no room for one more.
-func (s *Detector) makeRoom(now time.Time) {
-	if len(s.rows) < maxSuspects {
+// evictOldest forgets what is too old, and the oldest if there is no room for one more.
+func (d *Detector) evictOldest(now time.Time) {
+	if len(d.suspects) < maxSuspects {
 		return
 	}
 	oldest := Fingerprint(0)
 	at := now.Add(time.Second)
-	for f, r := range s.rows {
-		if r.at.Before(at) {
+	for f, s := range d.suspects {
+		if s.lastCrash.Before(at) {
 			oldest = f
-			at = r.at
+			at = s.lastCrash
 		}
 	}
-	delete(s.rows, oldest)
+	delete(d.suspects, oldest)
 }
 
 // expire forgets what is too old.
-func (s *Detector) expire(now time.Time) {
-	for f, r := range s.rows {
-		if now.Sub(r.at) > endsKept {
-			delete(s.rows, f)
+func (d *Detector) expire(now time.Time) {
+	for f, s := range d.suspects {
+		if now.Sub(s.lastCrash) > crashRetention {
+			delete(d.suspects, f)
 		}
 	}
-	for id, b := range s.blamed {
-		if now.Sub(b.at) > endsKept {
-			delete(s.blamed, id)
+	for id, a := range d.attributed {
+		if now.Sub(a.at) > crashRetention {
+			delete(d.attributed, id)
 		}
 	}
 }
 
-// enough reports whether a request has enough against it to be found.
-func (s *Detector) enough(f Fingerprint) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	r := s.rows[f]
-	if r == nil {
+// detectable reports whether a request has enough against it to be found.
+func (d *Detector) detectable(f Fingerprint) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	s := d.suspects[f]
+	if s == nil {
 		return false
 	}
-	points, _ := r.weigh()
-	return points >= guiltyPoints
+	points, _ := s.score()
+	return points >= detectionPoints
 }
 
 // Clear forgets a request that was served.
-func (s *Detector) Clear(f Fingerprint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.rows, f)
+func (d *Detector) Clear(f Fingerprint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.suspects, f)
 }
 
 // Reset forgets everything.
-func (s *Detector) Reset() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.rows) > 0 || len(s.blamed) > 0 {
-		s.rows = map[Fingerprint]*suspect{}
-		s.blamed = map[uint32]blame{}
+func (d *Detector) Reset() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.suspects) > 0 || len(d.attributed) > 0 {
+		d.suspects = map[Fingerprint]*suspect{}
+		d.attributed = map[uint32]attribution{}
 	}
 }
 
 // Watched returns the requests under which several endpoints ended, those with the
 // most ends first.
-func (s *Detector) Watched() []Fingerprint {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (d *Detector) Watched() []Fingerprint {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var list []Fingerprint
-	for f, r := range s.rows {
-		if len(r.ends) >= watchedEnds {
+	for f, s := range d.suspects {
+		if len(s.crashes) >= watchedCrashes {
 			list = append(list, f)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
-		a, b := len(s.rows[list[i]].ends), len(s.rows[list[j]].ends)
+		a, b := len(d.suspects[list[i]].crashes), len(d.suspects[list[j]].crashes)
 		return a > b || a == b && list[i] < list[j]
 	})
 	return list[:min(len(list), maxWatched)]
@@ -192,55 +192,55 @@
 
 // Detect returns the requests that are found to end endpoints, and forgets them. One
 // that was found before, and has served its time, is found by a single early end.
-func (s *Detector) Detect(before func(f Fingerprint) bool) []Finding {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.svc.Now()
-	s.expire(now)
+func (d *Detector) Detect(foundBefore func(f Fingerprint) bool) []Finding {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.svc.Now()
+	d.expire(now)
 	var found []Finding
 	for {
-		f, ok := s.worst(before)
+		f, ok := d.mostSuspect(foundBefore)
 		if !ok {
 			return found
 		}
-		one := Finding{
+		finding := Finding{
 			Fingerprint: f,
 		}
-		for id, e := range s.rows[f].ends {
-			one.Crashes = append(one.Crashes, e)
-			s.blame(id, f, now)
+		for id, c := range d.suspects[f].crashes {
+			finding.Crashes = append(finding.Crashes, c)
+			d.attribute(id, f, now)
 		}
-		delete(s.rows, f)
-		found = append(found, one)
+		delete(d.suspects, f)
+		found = append(found, finding)
 	}
 }
 
-// blame puts an incarnation's end down to one request, and takes it off the others.
-func (s *Detector) blame(endpoint uint32, on Fingerprint, now time.Time) {
-	s.blamed[endpoint] = blame{
-		on: on,
-		at: now,
+// attribute puts an incarnation's end down to one request, and takes it off the others.
+func (d *Detector) attribute(endpoint uint32, request Fingerprint, now time.Time) {
+	d.attributed[endpoint] = attribution{
+		request: request,
+		at:      now,
 	}
-	for f, r := range s.rows {
-		if f == on {
+	for f, s := range d.suspects {
+		if f == request {
 			continue
 		}
-		delete(r.ends, endpoint)
-		if len(r.ends) == 0 {
-			delete(s.rows, f)
+		delete(s.crashes, endpoint)
+		if len(s.crashes) == 0 {
+			delete(d.suspects, f)
 		}
 	}
 }
 
-// worst returns the request with the most against it, if that is enough; of two with
+// mostSuspect returns the request with the most against it, if that is enough; of two with
 // as much, the one under which endpoints ended sooner after the send: what ends an
 // endpoint does so as it begins to run, what happens to be there has any age.
-func (s *Detector) worst(before func(f Fingerprint) bool) (Fingerprint, bool) {
+func (d *Detector) mostSuspect(foundBefore func(f Fingerprint) bool) (Fingerprint, bool) {
 	best := Fingerprint(0)
 	most, soonest, found := 0, time.Duration(0), false
-	for f, r := range s.rows {
-		points, after := r.weigh()
-		if points < guiltyPoints && (points < earlyPoints || !before(f)) {
+	for f, s := range d.suspects {
+		points, after := s.score()
+		if points < detectionPoints && (points < earlyPoints || !foundBefore(f)) {
 			continue
 		}
 		if !found || points > most || points == most && after < soonest {
@@ -250,11 +250,11 @@
 	return best, found
 }
 
-// weigh returns what stands against a request, and the mean time to its ends.
-func (r *suspect) weigh() (points int, after time.Duration) {
-	for _, e := range r.ends {
-		points += e.points()
-		after += e.After
+// score returns what stands against a request, and the mean time to its ends.
+func (s *suspect) score() (points int, after time.Duration) {
+	for _, c := range s.crashes {
+		points += c.points()
+		after += c.After
 	}
-	return points, after / time.Duration(max(1, len(r.ends)))
+	return points, after / time.Duration(max(1, len(s.crashes)))
 }
--- a/pkg/registry/incarnation_test.go
+++ b/pkg/registry/incarnation_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// started is an endpoint that tells when it started.
-func started(own string, born int64, sequence uint64) fleet.Endpoint {
-	e := endpoint(fleet.IncarnationID(own, born), sequence)
-	e.StartedAt = born
+// startedEndpoint is an endpoint that tells when it started.
+func startedEndpoint(own string, startedAt int64, sequence uint64) fleet.Endpoint {
+	e := endpoint(fleet.IncarnationID(own, startedAt), sequence)
+	e.StartedAt = startedAt
 	return e
 }
 
@@ -30,15 +30,15 @@
 	It("are ordered by that, whatever arrives first and from wherever", func() {
 		for _, later := range []int64{2000, 999_999_999} {
 			withTable(func(t *Table, clock *timer.Manual) {
-				t.Announce(started("i", later, 1))
-				old := started("i", 1000, 70)
+				t.Announce(startedEndpoint("i", later, 1))
+				old := startedEndpoint("i", 1000, 70)
 				old.LastHeartbeat = clock.Now().Add(time.Second) // another replica's word
 				t.Merge([]fleet.Endpoint{old})
 				Expect(usableIDs(t)).To(Equal([]string{fleet.IncarnationID("i", later)}))
 			})
 			withTable(func(t *Table, clock *timer.Manual) {
-				t.Announce(started("i", 1000, 70))
-				next := started("i", later, 1)
+				t.Announce(startedEndpoint("i", 1000, 70))
+				next := startedEndpoint("i", later, 1)
 				next.LastHeartbeat = clock.Now().Add(-time.Second)
 				t.Merge([]fleet.Endpoint{next})
 				Expect(usableIDs(t)).To(Equal([]string{fleet.IncarnationID("i", later)}))
@@ -48,23 +48,23 @@
 
 	It("replace each other though the endpoint comes back at another address", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
-			next := started("i", 2000, 1)
+			next := startedEndpoint("i", 2000, 1)
 			next.Address = "10.0.0.9:80"
-			t.Announce(started("i", 1000, 70))
+			t.Announce(startedEndpoint("i", 1000, 70))
 			t.Announce(next)
 			Expect(usableIDs(t)).To(Equal([]string{next.ID}))
-			t.Announce(started("i", 1500, 3)) // late
+			t.Announce(startedEndpoint("i", 1500, 3)) // late
 			Expect(usableIDs(t)).To(Equal([]string{next.ID}))
 		})
 	})
 
 	It("end by the endpoint's own id where its last word tells no start", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
-			t.Announce(started("i", 1000, 1))
+			t.Announce(startedEndpoint("i", 1000, 1))
 			Expect(t.MarkGone("i").ID).To(Equal(fleet.IncarnationID("i", 1000)))
 			Expect(usableIDs(t)).To(BeEmpty())
 			clock.Advance(time.Second)
-			t.Announce(started("i", 2000, 1))
+			t.Announce(startedEndpoint("i", 2000, 1))
 			Expect(usableIDs(t)).To(HaveLen(1))
 		})
 	})
@@ -72,7 +72,7 @@
 	It("don't come back by another replica's older word after the last one", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.MarkGone("i") // never heard of here
-			old := started("i", 1000, 9)
+			old := startedEndpoint("i", 1000, 9)
 			old.LastHeartbeat = clock.Now().Add(-time.Second)
 			t.Merge([]fleet.Endpoint{old})
 			Expect(usableIDs(t)).To(BeEmpty())
--- a/pkg/registry/recall.go
+++ b/pkg/registry/recall.go
@@ -14,17 +14,17 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, e := range list {
-		if t.rows[e.ID] != nil {
+		if t.entries[e.ID] != nil {
 			continue
 		}
 		e.Recalled = true
 		e.Silent = true
 		e.Loading = false
 		e.LastHeartbeat = time.Time{}
-		t.rows[e.ID] = &row{
+		t.entries[e.ID] = &entry{
 			Endpoint: e,
 		}
-		t.note(t.rows[e.ID])
+		t.markChanged(t.entries[e.ID])
 		n++
 	}
 	return n
@@ -37,10 +37,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for id, r := range t.rows {
-		if r.Recalled {
-			delete(t.rows, id)
-			t.raise()
+	for id, ent := range t.entries {
+		if ent.Recalled {
+			delete(t.entries, id)
+			t.bumpVersion()
 			n++
 		}
 	}
@@ -62,8 +62,8 @@
 func (t *Table) HasRestored() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, r := range t.rows {
-		if r.Recalled {
+	for _, ent := range t.entries {
+		if ent.Recalled {
 			return true
 		}
 	}
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// silentBeats is after how many missed heartbeats an endpoint counts as
+	// silentHeartbeats is after how many missed heartbeats an endpoint counts as
 	// silent: two may be lost with a daemon that is killed between them.
-	silentBeats = 3
+	silentHeartbeats = 3
 	// forgetAfter is how long a gone or silent incarnation is remembered, so
 	// that a late heartbeat can't bring it back. Heartbeats are seconds late.
 	forgetAfter = 60 * time.Second
@@ -32,21 +32,21 @@
 	interval time.Duration // between heartbeats
 
 	mu      sync.Mutex
-	rows    map[string]*row
+	entries map[string]*entry
 	version uint64
 	changed chan struct{}
-	// leaves are the endpoints that last were told to leave or to have ended, the
+	// departures are the endpoints that last were told to leave or to have ended, the
 	// newest last.
-	leaves []leave
+	departures []departure
 }
 
-// leave is when it became known here that an endpoint leaves or has ended.
-type leave struct {
+// departure is when it became known here that an endpoint leaves or has ended.
+type departure struct {
 	id string
 	at time.Time
 }
 
-type row struct {
+type entry struct {
 	fleet.Endpoint
 	version uint64
 	// answeredAt is when it last answered a question; another incarnation at its address
@@ -54,12 +54,12 @@
 	answeredAt time.Time
 }
 
-// quiet returns for how long nothing was heard of an endpoint.
-func (r *row) quiet(now time.Time) time.Duration {
-	if r.answeredAt.After(r.LastHeartbeat) {
-		return now.Sub(r.answeredAt)
+// sinceLastContact returns for how long nothing was heard of an endpoint.
+func (ent *entry) sinceLastContact(now time.Time) time.Duration {
+	if ent.answeredAt.After(ent.LastHeartbeat) {
+		return now.Sub(ent.answeredAt)
 	}
-	return now.Sub(r.LastHeartbeat)
+	return now.Sub(ent.LastHeartbeat)
 }
 
 // New returns an empty table of endpoints that announce themselves at interval.
@@ -68,7 +68,7 @@
 		svc:      svc,
 		log:      log,
 		interval: interval,
-		rows:     map[string]*row{},
+		entries:  map[string]*entry{},
 		changed:  make(chan struct{}),
 	}
 }
@@ -102,7 +102,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	id = t.newest(id)
-	old := t.rows[id]
+	old := t.entries[id]
 	e := fleet.Endpoint{
 		ID: id,
 	}
@@ -113,50 +113,50 @@
 	e.Leaving = true
 	e.LastHeartbeat = t.svc.Now()
 	t.merge(e)
-	return t.rows[id].Endpoint
+	return t.entries[id].Endpoint
 }
 
 // newest returns the newest incarnation of an endpoint whose own id is given, and any
 // other id as it is.
 func (t *Table) newest(id string) string {
-	if t.rows[id] != nil {
+	if t.entries[id] != nil {
 		return id
 	}
-	newest, last := id, int64(0)
-	for one := range t.rows {
-		if own, born := fleet.SplitIncarnation(one); own == id && born > last {
-			newest, last = one, born
+	newest, newestStart := id, int64(0)
+	for other := range t.entries {
+		if own, startedAt := fleet.SplitIncarnation(other); own == id && startedAt > newestStart {
+			newest, newestStart = other, startedAt
 		}
 	}
 	return newest
 }
 
-// left reports whether an incarnation that isn't known was last heard of before the
+// goneSince reports whether an incarnation that isn't known was last heard of before the
 // endpoint of its id, which didn't tell when it started, said that it ended.
-func (t *Table) left(e *fleet.Endpoint) bool {
+func (t *Table) goneSince(e *fleet.Endpoint) bool {
 	own, _ := fleet.SplitIncarnation(e.ID)
-	r := t.rows[own]
-	return own != e.ID && r != nil && r.Gone && e.LastHeartbeat.Before(r.LastHeartbeat)
+	ent := t.entries[own]
+	return own != e.ID && ent != nil && ent.Gone && e.LastHeartbeat.Before(ent.LastHeartbeat)
 }
 
 func (t *Table) merge(e fleet.Endpoint) bool {
 	if e.Address == "" {
 		e.ID = t.newest(e.ID) // nothing is told but that it ended
 	}
-	old := t.rows[e.ID]
-	if old == nil && t.heldBack(&e) {
+	old := t.entries[e.ID]
+	if old == nil && t.isDelayed(&e) {
 		t.log.Event(eventlog.EndpointGone, eventlog.Str("endpoint", e.ID), eventlog.Str("address", e.Address),
 			eventlog.Str("why", "a late heartbeat"), eventlog.Int("sequence", int64(e.Sequence)))
 		return false
 	}
 	if old == nil {
-		e.Gone = e.Gone || t.left(&e)
+		e.Gone = e.Gone || t.goneSince(&e)
 		e.Silent = false
-		t.rows[e.ID] = &row{
+		t.entries[e.ID] = &entry{
 			Endpoint: e,
 		}
-		t.note(t.rows[e.ID])
-		t.noteChange(&e)
+		t.markChanged(t.entries[e.ID])
+		t.recordChange(&e)
 		t.supersede(&e)
 		return true
 	}
@@ -179,41 +179,41 @@
 		t.logLayers(&next)
 	}
 	if next.Leaving != old.Leaving || next.Gone != old.Gone {
-		t.noteChange(&next)
+		t.recordChange(&next)
 	}
 	return t.replace(old, next)
 }
 
 // replace puts what is now known of an endpoint in a row, and reports whether
 // it is news.
-func (t *Table) replace(r *row, next fleet.Endpoint) bool {
-	same := sameNews(&r.Endpoint, &next)
-	r.Endpoint = next
+func (t *Table) replace(ent *entry, next fleet.Endpoint) bool {
+	same := sameState(&ent.Endpoint, &next)
+	ent.Endpoint = next
 	if !same {
-		t.note(r)
+		t.markChanged(ent)
 	}
 	return !same
 }
 
-// heldBack reports whether a heartbeat of an incarnation that isn't known is of an
+// isDelayed reports whether a heartbeat of an incarnation that isn't known is of an
 // earlier one than that at its address: a cut may hold one back until its sender
 // has crashed and another has announced itself. Where they tell when they started,
 // that decides. Numbers begin anew with each incarnation, so that else the earlier one's
 // is the higher. If the other is gone itself, the next heartbeat is taken, two intervals
 // later at most.
-func (t *Table) heldBack(e *fleet.Endpoint) bool {
+func (t *Table) isDelayed(e *fleet.Endpoint) bool {
 	if e.Gone || e.Address == "" {
 		return false
 	}
 	now := t.svc.Now()
-	for _, r := range t.rows {
-		if r.StartedAt > 0 && e.StartedAt > 0 {
-			if e.StartedAt < r.StartedAt && sameEndpoint(e, &r.Endpoint) {
+	for _, ent := range t.entries {
+		if ent.StartedAt > 0 && e.StartedAt > 0 {
+			if e.StartedAt < ent.StartedAt && sameEndpoint(e, &ent.Endpoint) {
 				return true
 			}
 			continue
 		}
-		if r.Address == e.Address && !r.Gone && !r.Recalled && e.Sequence > r.Sequence && now.Sub(r.LastHeartbeat) < 2*t.interval {
+		if ent.Address == e.Address && !ent.Gone && !ent.Recalled && e.Sequence > ent.Sequence && now.Sub(ent.LastHeartbeat) < 2*t.interval {
 			return true
 		}
 	}
@@ -226,14 +226,14 @@
 	if e.Gone || e.Address == "" {
 		return
 	}
-	for id, r := range t.rows {
-		if id == e.ID || !sameEndpoint(e, &r.Endpoint) || r.Gone || !t.replaces(e, &r.Endpoint) {
+	for id, ent := range t.entries {
+		if id == e.ID || !sameEndpoint(e, &ent.Endpoint) || ent.Gone || !t.replaces(e, &ent.Endpoint) {
 			continue
 		}
-		r.Gone = true
-		r.Leaving = true
-		t.note(r)
-		t.noteChange(&r.Endpoint)
+		ent.Gone = true
+		ent.Leaving = true
+		t.markChanged(ent)
+		t.recordChange(&ent.Endpoint)
 	}
 }
 
@@ -243,61 +243,61 @@
 	if a.Address == b.Address {
 		return true
 	}
-	own, born := fleet.SplitIncarnation(a.ID)
-	other, before := fleet.SplitIncarnation(b.ID)
-	return own == other && born > 0 && before > 0
+	own, startedAt := fleet.SplitIncarnation(a.ID)
+	otherOwn, otherStartedAt := fleet.SplitIncarnation(b.ID)
+	return own == otherOwn && startedAt > 0 && otherStartedAt > 0
 }
 
-// reuseBeats is for how many heartbeat intervals an endpoint must not have been heard
+// addressReuseIntervals is for how many heartbeat intervals an endpoint must not have been heard
 // of before one of another service has its address: addresses are given to other
 // services some seconds after their endpoints ended. An entry that names a service
 // which isn't there mustn't end the endpoint whose address it holds.
-const reuseBeats = 1.5
+const addressReuseIntervals = 1.5
 
 // replaces reports whether a new incarnation at the address of another shows that the
 // other has ended.
 func (t *Table) replaces(e, other *fleet.Endpoint) bool {
-	quiet := e.LastHeartbeat.Sub(other.LastHeartbeat)
-	if e.Service != other.Service && float64(quiet) < reuseBeats*float64(t.interval) {
+	silence := e.LastHeartbeat.Sub(other.LastHeartbeat)
+	if e.Service != other.Service && float64(silence) < addressReuseIntervals*float64(t.interval) {
 		return false
 	}
 	if e.StartedAt > 0 && other.StartedAt > 0 {
 		return e.StartedAt > other.StartedAt
 	}
-	return quiet >= 0
+	return silence >= 0
 }
 
-// sameNews reports whether neither entry hosts nor other replicas need to learn
+// sameState reports whether neither entry hosts nor other replicas need to learn
 // of a change.
-func sameNews(a, b *fleet.Endpoint) bool {
+func sameState(a, b *fleet.Endpoint) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain && a.Slots == b.Slots &&
 		a.Leaving == b.Leaving && a.Gone == b.Gone && a.Kind == b.Kind && a.Model == b.Model &&
 		a.Layers == b.Layers && a.Loading == b.Loading && a.Silent == b.Silent && a.Slowdown == b.Slowdown &&
 		a.Recalled == b.Recalled
 }
 
-// noteChange logs that an endpoint came, leaves or has ended, and remembers the latter.
-func (t *Table) noteChange(e *fleet.Endpoint) {
+// recordChange logs that an endpoint came, leaves or has ended, and remembers the latter.
+func (t *Table) recordChange(e *fleet.Endpoint) {
 	event := eventlog.EndpointJoined
 	switch {
 	case e.Gone:
 		event = eventlog.EndpointGone
-		t.noteLeave(e.ID)
+		t.recordDeparture(e.ID)
 	case e.Leaving:
 		event = eventlog.EndpointLeaving
-		t.noteLeave(e.ID)
+		t.recordDeparture(e.ID)
 	}
 	t.log.Event(event, eventlog.Str("endpoint", e.ID), eventlog.Str("address", e.Address),
 		eventlog.Str("service", e.Service), eventlog.Int("sequence", int64(e.Sequence)))
 }
 
-func (t *Table) note(r *row) {
-	t.raise()
-	r.version = t.version
+func (t *Table) markChanged(ent *entry) {
+	t.bumpVersion()
+	ent.version = t.version
 }
 
-// raise numbers a change, and wakes who waits for one.
-func (t *Table) raise() {
+// bumpVersion numbers a change, and wakes who waits for one.
+func (t *Table) bumpVersion() {
 	t.version++
 	close(t.changed)
 	t.changed = make(chan struct{})
@@ -310,18 +310,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var late []fleet.Endpoint
-	for id, r := range t.rows {
-		age := r.quiet(now)
-		if r.Recalled {
+	for id, ent := range t.entries {
+		age := ent.sinceLastContact(now)
+		if ent.Recalled {
 			continue
 		}
 		if age > forgetAfter {
-			delete(t.rows, id)
-			t.raise()
+			delete(t.entries, id)
+			t.bumpVersion()
 			continue
 		}
-		if age > silentBeats*t.interval && !r.Silent && !r.Gone {
-			late = append(late, r.Endpoint)
+		if age > silentHeartbeats*t.interval && !ent.Silent && !ent.Gone {
+			late = append(late, ent.Endpoint)
 		}
 	}
 	return late
@@ -332,22 +332,22 @@
 func (t *Table) MarkSilent(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.rows[id]
-	if r == nil || r.Silent || r.Gone {
+	ent := t.entries[id]
+	if ent == nil || ent.Silent || ent.Gone {
 		return
 	}
-	r.Silent = true
-	t.note(r)
-	t.log.Event(eventlog.EndpointSilent, eventlog.Str("endpoint", id), eventlog.Str("address", r.Address),
-		eventlog.Str("why", "doesn't answer"), eventlog.Ms("age_ms", r.quiet(t.svc.Now())))
+	ent.Silent = true
+	t.markChanged(ent)
+	t.log.Event(eventlog.EndpointSilent, eventlog.Str("endpoint", id), eventlog.Str("address", ent.Address),
+		eventlog.Str("why", "doesn't answer"), eventlog.Ms("age_ms", ent.sinceLastContact(t.svc.Now())))
 }
 
 // Get returns the row of an incarnation.
 func (t *Table) Get(id string) (fleet.Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[id]; r != nil {
-		return r.Endpoint, true
+	if ent := t.entries[id]; ent != nil {
+		return ent.Endpoint, true
 	}
 	return fleet.Endpoint{}, false
 }
@@ -356,7 +356,7 @@
 func (t *Table) Find(fits func(id string) bool) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id := range t.rows {
+	for id := range t.entries {
 		if fits(id) {
 			return id
 		}
@@ -387,9 +387,9 @@
 	if known == t.version {
 		return nil, t.version
 	}
-	for _, r := range t.rows {
-		if r.version > known {
-			list = append(list, r.Endpoint)
+	for _, ent := range t.entries {
+		if ent.version > known {
+			list = append(list, ent.Endpoint)
 		}
 	}
 	return list, t.version
@@ -401,22 +401,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []fleet.Endpoint
-	for i := len(t.leaves) - 1; i >= 0 && t.leaves[i].at.After(since); i-- {
-		if r := t.rows[t.leaves[i].id]; r != nil {
-			out = append(out, r.Endpoint)
+	for i := len(t.departures) - 1; i >= 0 && t.departures[i].at.After(since); i-- {
+		if ent := t.entries[t.departures[i].id]; ent != nil {
+			out = append(out, ent.Endpoint)
 		}
 	}
 	return out
 }
 
-// noteLeave remembers that an endpoint leaves, and forgets what is old.
-func (t *Table) noteLeave(id string) {
+// recordDeparture remembers that an endpoint leaves, and forgets what is old.
+func (t *Table) recordDeparture(id string) {
 	now := t.svc.Now()
 	old := 0
-	for old < len(t.leaves) && now.Sub(t.leaves[old].at) > forgetAfter {
+	for old < len(t.departures) && now.Sub(t.departures[old].at) > forgetAfter {
 		old++
 	}
-	t.leaves = append(t.leaves[old:], leave{
+	t.departures = append(t.departures[old:], departure{
 		id: id,
 		at: now,
 	})
@@ -424,20 +424,20 @@
 
 // ChangesUpTo returns the rows that changed after version known, if they are no more than
 // most, and the newest version; few says whether they are.
-func (t *Table) ChangesUpTo(known uint64, most int) (list []fleet.Endpoint, version uint64, few bool) {
+func (t *Table) ChangesUpTo(known uint64, limit int) (list []fleet.Endpoint, version uint64, complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if known == t.version {
 		return nil, t.version, true
 	}
-	for _, r := range t.rows {
-		if r.version <= known {
+	for _, ent := range t.entries {
+		if ent.version <= known {
 			continue
 		}
-		if len(list) == most {
+		if len(list) == limit {
 			return nil, t.version, false
 		}
-		list = append(list, r.Endpoint)
+		list = append(list, ent.Endpoint)
 	}
 	return list, t.version, true
 }
--- a/pkg/registry/status.go
+++ b/pkg/registry/status.go
@@ -22,21 +22,21 @@
 func (t *Table) UpdateStatus(id string, report Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.rows[id]
-	if r == nil || r.Gone {
+	ent := t.entries[id]
+	if ent == nil || ent.Gone {
 		return
 	}
-	next := r.Endpoint
-	r.answeredAt = t.svc.Now()
+	next := ent.Endpoint
+	ent.answeredAt = t.svc.Now()
 	next.Silent = false
 	next.Layers = report.Layers
 	next.Orders = report.Orders
 	next.Loading = report.Busy
-	next.Slowdown = roundSlow(report.Slowdown)
-	if next.Layers != r.Layers || next.Loading != r.Loading || next.Slowdown != r.Slowdown {
+	next.Slowdown = roundSlowdown(report.Slowdown)
+	if next.Layers != ent.Layers || next.Loading != ent.Loading || next.Slowdown != ent.Slowdown {
 		t.logLayers(&next)
 	}
-	t.replace(r, next)
+	t.replace(ent, next)
 }
 
 // MarkLeaving notes that an endpoint said in an answer, to this host or another, that it leaves.
@@ -44,13 +44,13 @@
 func (t *Table) MarkLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.rows[id]
-	if r == nil || r.Leaving {
+	ent := t.entries[id]
+	if ent == nil || ent.Leaving {
 		return
 	}
-	r.Leaving = true
-	t.noteChange(&r.Endpoint)
-	t.note(r)
+	ent.Leaving = true
+	t.recordChange(&ent.Endpoint)
+	t.markChanged(ent)
 }
 
 // MarkReassigned notes that an endpoint took an order to hold other layers: it has
@@ -58,15 +58,15 @@
 func (t *Table) MarkReassigned(id string, taken uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.rows[id]
-	if r == nil || r.Gone {
+	ent := t.entries[id]
+	if ent == nil || ent.Gone {
 		return
 	}
-	next := r.Endpoint
+	next := ent.Endpoint
 	next.Layers = fleet.Range{}
 	next.Loading = true
 	next.Orders = taken
-	t.replace(r, next)
+	t.replace(ent, next)
 }
 
 // logLayers tells what an endpoint holds and how it does.
@@ -80,23 +80,23 @@
 		eventlog.Int("loading", loading), eventlog.Int("slow_percent", int64(100*e.Slowdown)))
 }
 
-// slowStep is how finely slowness is told: a finer one is news all the time.
-const slowStep = 0.5
+// slowdownStep is how finely slowness is told: a finer one is news all the time.
+const slowdownStep = 0.5
 
-// roundSlow rounds to slowStep; what is hardly slow counts as it should be.
-func roundSlow(slow float64) float64 {
-	if slow < 1+slowStep {
+// roundSlowdown rounds to slowStep; what is hardly slow counts as it should be.
+func roundSlowdown(slow float64) float64 {
+	if slow < 1+slowdownStep {
 		return 1
 	}
-	return math.Round(slow/slowStep) * slowStep
+	return math.Round(slow/slowdownStep) * slowdownStep
 }
 
 // MarkAnswered notes that an endpoint is there, though it told nothing of itself.
 func (t *Table) MarkAnswered(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[id]; r != nil && r.Silent && !r.Gone {
-		r.Silent = false
-		t.note(r)
+	if ent := t.entries[id]; ent != nil && ent.Silent && !ent.Gone {
+		ent.Silent = false
+		t.markChanged(ent)
 	}
 }
--- a/pkg/rest/rest.go
+++ b/pkg/rest/rest.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// tryAfter is how long after it was asked for a rest isn't disturbed at all: the
+	// probeDelay is how long after it was asked for a rest isn't disturbed at all: the
 	// endpoint has just said so.
-	tryAfter = time.Second
-	// sweepEvery is how often rests that are over are forgotten.
-	sweepEvery = time.Second
+	probeDelay = time.Second
+	// sweepInterval is how often rests that are over are forgotten.
+	sweepInterval = time.Second
 )
 
 // Tracker is the rests that endpoints asked for. It is safe for use by several goroutines.
@@ -29,182 +29,182 @@
 type Tracker struct {
 	svc timer.Service
 
-	mu    sync.Mutex
-	rows  map[string]*row // by the endpoint's own id
-	swept time.Time
+	mu      sync.Mutex
+	entries map[string]*entry // by the endpoint's own id
+	sweptAt time.Time
 }
 
-// row is rests without a pause between them.
-type row struct {
-	id    string    // the newest incarnation that asked
-	asked time.Time // the last time
-	wall  time.Time // the same by the time of day, which endpoints' starts are told in
-	end   time.Time
-	taken bool // the one call in spite of it
+// entry is rests without a pause between them.
+type entry struct {
+	id            string    // the newest incarnation that asked
+	requestedAt   time.Time // the last time
+	requestedWall time.Time // the same by the time of day, which endpoints' starts are told in
+	until         time.Time
+	probed        bool // the one call in spite of it
 }
 
 // New returns a book without rests.
 func New(svc timer.Service) *Tracker {
 	return &Tracker{
-		svc:  svc,
-		rows: map[string]*row{},
+		svc:     svc,
+		entries: map[string]*entry{},
 	}
 }
 
 // Record notes that an endpoint wants nothing for d from now on.
-func (b *Tracker) Record(id string, d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.svc.Now()
-	r := b.open(id, now)
-	r.asked = now
-	r.wall = b.svc.Wall()
-	r.last(now.Add(d))
+func (t *Tracker) Record(id string, d time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.svc.Now()
+	e := t.open(id, now)
+	e.requestedAt = now
+	e.requestedWall = t.svc.Wall()
+	e.extend(now.Add(d))
 }
 
 // Merge notes that another process of this host was asked for a rest which lasts for left
 // from now on. It may be told again and again.
-func (b *Tracker) Merge(id string, left time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.svc.Now()
-	r := b.open(id, now)
-	r.last(now.Add(left))
+func (t *Tracker) Merge(id string, remaining time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.svc.Now()
+	e := t.open(id, now)
+	e.extend(now.Add(remaining))
 }
 
 // open returns the row of an endpoint, a new one if it doesn't rest.
-func (b *Tracker) open(id string, now time.Time) *row {
-	b.sweep(now)
-	own, born := fleet.SplitIncarnation(id)
-	r := b.rows[own]
-	if r == nil || !now.Before(r.end) || !r.holds(id) {
-		r = &row{
-			id:    id,
-			asked: now,
-			wall:  b.svc.Wall(),
+func (t *Tracker) open(id string, now time.Time) *entry {
+	t.sweep(now)
+	own, startedAt := fleet.SplitIncarnation(id)
+	e := t.entries[own]
+	if e == nil || !now.Before(e.until) || !e.appliesTo(id) {
+		e = &entry{
+			id:            id,
+			requestedAt:   now,
+			requestedWall: t.svc.Wall(),
 		}
-		b.rows[own] = r
+		t.entries[own] = e
 	}
-	if _, last := fleet.SplitIncarnation(r.id); born > last {
-		r.id = id
+	if _, newestStart := fleet.SplitIncarnation(e.id); startedAt > newestStart {
+		e.id = id
 	}
-	return r
+	return e
 }
 
-// bornSlack is by how much the clocks of a host and an endpoint may differ: a rest that
+// clockSlack is by how much the clocks of a host and an endpoint may differ: a rest that
 // was asked for so little before a start may be that start's. Kept for nothing, it costs
 // the new start what is left of it; dropped, the endpoint gets what it didn't want.
-const bornSlack = time.Second
+const clockSlack = time.Second
 
-// holds reports whether the rests are of an incarnation: it asked, or an earlier one did
+// appliesTo reports whether the rests are of an incarnation: it asked, or an earlier one did
 // that had started again by then. An endpoint that doesn't tell its start has one.
-func (r *row) holds(id string) bool {
-	if r.id == id {
+func (e *entry) appliesTo(id string) bool {
+	if e.id == id {
 		return true
 	}
-	_, born := fleet.SplitIncarnation(id)
-	_, last := fleet.SplitIncarnation(r.id)
-	return born <= last || !r.wall.Before(time.UnixMilli(born).Add(-bornSlack))
+	_, startedAt := fleet.SplitIncarnation(id)
+	_, newestStart := fleet.SplitIncarnation(e.id)
+	return startedAt <= newestStart || !e.requestedWall.Before(time.UnixMilli(startedAt).Add(-clockSlack))
 }
 
-// last makes rests last until end at least.
-func (r *row) last(end time.Time) {
-	if end.After(r.end) {
-		r.end = end
+// extend makes rests last until end at least.
+func (e *entry) extend(until time.Time) {
+	if until.After(e.until) {
+		e.until = until
 	}
 }
 
 // sweep forgets what is over.
-func (b *Tracker) sweep(now time.Time) {
-	if now.Sub(b.swept) < sweepEvery {
+func (t *Tracker) sweep(now time.Time) {
+	if now.Sub(t.sweptAt) < sweepInterval {
 		return
 	}
-	b.swept = now
-	for id, r := range b.rows {
-		if !now.Before(r.end) {
-			delete(b.rows, id)
+	t.sweptAt = now
+	for id, e := range t.entries {
+		if !now.Before(e.until) {
+			delete(t.entries, id)
 		}
 	}
 }
 
 // Remaining returns how much longer an endpoint wants nothing; 0: it may be called.
-func (b *Tracker) Remaining(id string) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.left(id)
+func (t *Tracker) Remaining(id string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.remaining(id)
 }
 
-func (b *Tracker) left(id string) time.Duration {
-	r := b.of(id)
-	if r == nil || !r.holds(id) {
+func (t *Tracker) remaining(id string) time.Duration {
+	e := t.find(id)
+	if e == nil || !e.appliesTo(id) {
 		return 0
 	}
-	return max(0, r.end.Sub(b.svc.Now()))
+	return max(0, e.until.Sub(t.svc.Now()))
 }
 
-// of returns the row of an endpoint, or nil.
-func (b *Tracker) of(id string) *row {
-	if len(b.rows) == 0 {
+// find returns the row of an endpoint, or nil.
+func (t *Tracker) find(id string) *entry {
+	if len(t.entries) == 0 {
 		return nil
 	}
 	own, _ := fleet.SplitIncarnation(id)
-	return b.rows[own]
+	return t.entries[own]
 }
 
 // MayCall reports whether an endpoint may be called now: it doesn't rest, or some time has
 // passed and nothing has called it since. That is for what can't be done elsewhere: a
 // request for which there is no other endpoint, or a question about streams that it runs.
-func (b *Tracker) MayCall(id string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.may(id)
+func (t *Tracker) MayCall(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.mayCall(id)
 }
 
-func (b *Tracker) may(id string) bool {
-	if b.left(id) == 0 {
+func (t *Tracker) mayCall(id string) bool {
+	if t.remaining(id) == 0 {
 		return true
 	}
-	r := b.of(id)
-	return !r.taken && b.svc.Now().Sub(r.asked) >= tryAfter
+	e := t.find(id)
+	return !e.probed && t.svc.Now().Sub(e.requestedAt) >= probeDelay
 }
 
 // TryAcquire is May for who then calls; others that ask for it in the same rest may not.
-func (b *Tracker) TryAcquire(id string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.may(id) {
+func (t *Tracker) TryAcquire(id string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.mayCall(id) {
 		return false
 	}
-	if b.left(id) > 0 {
-		b.of(id).taken = true
+	if t.remaining(id) > 0 {
+		t.find(id).probed = true
 	}
 	return true
 }
 
 // Active returns how much longer each endpoint that rests wants nothing.
-func (b *Tracker) Active() map[string]time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) Active() map[string]time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	list := map[string]time.Duration{}
-	for _, r := range b.rows {
-		if left := b.left(r.id); left > 0 {
-			list[r.id] = left
+	for _, e := range t.entries {
+		if remaining := t.remaining(e.id); remaining > 0 {
+			list[e.id] = remaining
 		}
 	}
 	return list
 }
 
 // HasAny reports whether an endpoint may rest now.
-func (b *Tracker) HasAny() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sweep(b.svc.Now())
-	return len(b.rows) > 0
+func (t *Tracker) HasAny() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sweep(t.svc.Now())
+	return len(t.entries) > 0
 }
 
 // Len returns how many rests are kept.
-func (b *Tracker) Len() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.rows)
+func (t *Tracker) Len() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.entries)
 }
--- a/pkg/rest/wire.go
+++ b/pkg/rest/wire.go
@@ -9,10 +9,10 @@
 // ToWire lists rests, as the processes of a machine tell each other of them.
 func ToWire(resting map[string]time.Duration) []*rpc.Resting {
 	list := make([]*rpc.Resting, 0, len(resting))
-	for id, left := range resting {
+	for id, remaining := range resting {
 		list = append(list, &rpc.Resting{
 			Endpoint: id,
-			LeftMs:   uint32(left.Milliseconds()),
+			LeftMs:   uint32(remaining.Milliseconds()),
 		})
 	}
 	return list
--- a/pkg/rollout/keeper.go
+++ b/pkg/rollout/keeper.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// fetchWait is for how long a control replica holds a call when nothing
+	// longPollWait is for how long a control replica holds a call when nothing
 	// is newer. It bounds the age of a confirmation when nothing changes.
-	fetchWait    = 4 * time.Second
-	fetchTimeout = fetchWait + 2*time.Second
+	longPollWait = 4 * time.Second
+	fetchTimeout = longPollWait + 2*time.Second
 	retryPause   = 250 * time.Millisecond
 	peerTimeout  = time.Second
-	// sureWithin is how old a confirmation may be to make this host sure for
+	// maxInitialConfirmationAge is how old a confirmation may be to make this host sure for
 	// the first time. A host that starts without a disk may have served a
 	// newer set in its last life than an old confirmation speaks of.
-	sureWithin = 10 * time.Second
+	maxInitialConfirmationAge = 10 * time.Second
 )
 
 // Syncer holds the set in force on this host.
@@ -50,7 +50,7 @@
 	confirmed   bool
 	confirmedAt time.Time
 	changed     chan struct{}
-	next        int // the control replica to ask next
+	nextControl int // the control replica to ask next
 }
 
 // New returns a keeper that holds no set yet. peers gives the addresses of
@@ -72,69 +72,69 @@
 }
 
 // Set returns the set in force.
-func (k *Syncer) Set() *bundle.Set {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.set
+func (s *Syncer) Set() *bundle.Set {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.set
 }
 
 // Changed returns a channel that is closed once a newer set is in force.
-func (k *Syncer) Changed() <-chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.changed
+func (s *Syncer) Changed() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.changed
 }
 
 // Confirmed reports whether the set was ever confirmed to be the newest since
 // this process started, and how long ago the last time was.
-func (k *Syncer) Confirmed() (bool, time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.confirmed, k.svc.Now().Sub(k.confirmedAt)
+func (s *Syncer) Confirmed() (bool, time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.confirmed, s.svc.Now().Sub(s.confirmedAt)
 }
 
 // Run fetches newer sets until ctx ends.
-func (k *Syncer) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if k.fetchControl(ctx) {
+		if s.fetchControl(ctx) {
 			continue
 		}
-		k.fetchPeers(ctx)
-		if timer.Sleep(ctx, k.svc, retryPause) != nil {
+		s.fetchPeers(ctx)
+		if timer.Sleep(ctx, s.svc, retryPause) != nil {
 			return
 		}
 	}
 }
 
 // fetchControl asks one control replica, and reports whether it confirmed.
-func (k *Syncer) fetchControl(ctx context.Context) bool {
-	k.mu.Lock()
-	address := k.control[k.next%len(k.control)]
-	k.mu.Unlock()
+func (s *Syncer) fetchControl(ctx context.Context) bool {
+	s.mu.Lock()
+	address := s.control[s.nextControl%len(s.control)]
+	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	sent := k.svc.Now()
-	reply, err := rpc.NewRolloutProtobufClient("http://"+address, k.client).Fetch(ctx, k.request(fetchWait))
+	sent := s.svc.Now()
+	reply, err := rpc.NewRolloutProtobufClient("http://"+address, s.client).Fetch(ctx, s.request(longPollWait))
 	if err == nil {
-		err = k.take(reply, sent)
+		err = s.apply(reply, sent)
 	}
 	if err == nil && reply.GetConfirmed() {
 		return true
 	}
-	k.metrics.Counter("rollout_fetch_failures").Inc(1)
-	k.mu.Lock()
-	k.next++
-	k.mu.Unlock()
+	s.metrics.Counter("rollout_fetch_failures").Inc(1)
+	s.mu.Lock()
+	s.nextControl++
+	s.mu.Unlock()
 	return false
 }
 
-func (k *Syncer) request(wait time.Duration) *rpc.FetchRequest {
+func (s *Syncer) request(wait time.Duration) *rpc.FetchRequest {
 	r := &rpc.FetchRequest{
-		Host:          k.host,
-		KnownRevision: k.Set().Revision(),
+		Host:          s.host,
+		KnownRevision: s.Set().Revision(),
 		WaitMs:        uint32(wait.Milliseconds()),
 	}
-	if ok, _ := k.Confirmed(); !ok {
+	if ok, _ := s.Confirmed(); !ok {
 		r.WaitMs = 0
 	}
 	return r
@@ -142,60 +142,60 @@
 
 // fetchPeers asks the other entry hosts in turn, so that a set gets through
 // where no control replica can be reached.
-func (k *Syncer) fetchPeers(ctx context.Context) {
-	for _, address := range k.peers() {
-		if k.fetchPeer(ctx, address) {
+func (s *Syncer) fetchPeers(ctx context.Context) {
+	for _, address := range s.peers() {
+		if s.fetchPeer(ctx, address) {
 			return
 		}
 	}
 }
 
-func (k *Syncer) fetchPeer(ctx context.Context, address string) bool {
+func (s *Syncer) fetchPeer(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	sent := k.svc.Now()
-	reply, err := rpc.NewRolloutProtobufClient("http://"+address, k.client).Fetch(ctx, k.request(0))
+	sent := s.svc.Now()
+	reply, err := rpc.NewRolloutProtobufClient("http://"+address, s.client).Fetch(ctx, s.request(0))
 	if err != nil {
 		return false
 	}
-	return k.take(reply, sent) == nil && reply.GetConfirmed()
+	return s.apply(reply, sent) == nil && reply.GetConfirmed()
 }
 
-// take installs what a reply brings and notes what it confirms. sent is when
+// apply installs what a reply brings and notes what it confirms. sent is when
 // the call was made: the answer is true of some moment after it.
-func (k *Syncer) take(reply *rpc.FetchReply, sent time.Time) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if set := reply.GetSet(); set != nil && set.GetRevision() > k.set.Revision() {
-		if err := k.install(set); err != nil {
-			k.metrics.Counter("rollout_refused").Inc(1)
+func (s *Syncer) apply(reply *rpc.FetchReply, sent time.Time) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if set := reply.GetSet(); set != nil && set.GetRevision() > s.set.Revision() {
+		if err := s.install(set); err != nil {
+			s.metrics.Counter("rollout_refused").Inc(1)
 			logflags.Error(logflags.Rollout, err, "a set was refused", "revision", set.GetRevision())
 			return err
 		}
 	}
-	if !reply.GetConfirmed() || reply.GetRevision() != k.set.Revision() {
+	if !reply.GetConfirmed() || reply.GetRevision() != s.set.Revision() {
 		return nil
 	}
 	at := sent.Add(-time.Duration(reply.GetConfirmedAgeMs()) * time.Millisecond)
-	if !k.confirmed && k.svc.Now().Sub(at) > sureWithin {
+	if !s.confirmed && s.svc.Now().Sub(at) > maxInitialConfirmationAge {
 		return nil
 	}
-	if !k.confirmed || at.After(k.confirmedAt) {
-		k.confirmed = true
-		k.confirmedAt = at
+	if !s.confirmed || at.After(s.confirmedAt) {
+		s.confirmed = true
+		s.confirmedAt = at
 	}
 	return nil
 }
 
 // install puts a newer set in force: the versions held, with those that
 // changed in their places.
-func (k *Syncer) install(set *rpc.BundleSet) error {
+func (s *Syncer) install(set *rpc.BundleSet) error {
 	next := map[string]*rpc.BundleVersion{}
-	for name, v := range k.versions {
+	for name, v := range s.versions {
 		next[name] = v
 	}
 	for _, v := range set.GetBundles() {
-		if err := k.verify(v); err != nil {
+		if err := s.verify(v); err != nil {
 			return err
 		}
 		next[v.GetName()] = v
@@ -212,45 +212,45 @@
 	if err != nil {
 		return err
 	}
-	k.versions = next
-	k.set = built
-	close(k.changed)
-	k.changed = make(chan struct{})
-	k.metrics.Gauge("revision").Update(int64(set.GetRevision()))
+	s.versions = next
+	s.set = built
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.metrics.Gauge("revision").Update(int64(set.GetRevision()))
 	logflags.Info(logflags.Rollout, "set in force", "revision", set.GetRevision())
 	return nil
 }
 
 // verify checks a version by itself: its digest, its signatures, and that it
 // doesn't go back behind the one held.
-func (k *Syncer) verify(v *rpc.BundleVersion) error {
+func (s *Syncer) verify(v *rpc.BundleVersion) error {
 	if bundle.Digest(v.GetContent()) != v.GetDigest() {
 		return errors.Errorf("bundle %q: the text doesn't have the digest it came with", v.GetName())
 	}
-	if held := k.versions[v.GetName()]; held != nil && v.GetVersion() < held.GetVersion() {
+	if held := s.versions[v.GetName()]; held != nil && v.GetVersion() < held.GetVersion() {
 		return errors.Errorf("bundle %q: version %d came after version %d", v.GetName(), v.GetVersion(), held.GetVersion())
 	}
-	return k.trust.Verify(v)
+	return s.trust.Verify(v)
 }
 
 // Fetch implements rpc.Rollout for other entry hosts.
-func (k *Syncer) Fetch(_ context.Context, r *rpc.FetchRequest) (*rpc.FetchReply, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Syncer) Fetch(_ context.Context, r *rpc.FetchRequest) (*rpc.FetchReply, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	reply := &rpc.FetchReply{
-		Revision:  k.set.Revision(),
-		Confirmed: k.confirmed,
+		Revision:  s.set.Revision(),
+		Confirmed: s.confirmed,
 	}
-	if k.confirmed {
-		reply.ConfirmedAgeMs = uint32(k.svc.Now().Sub(k.confirmedAt).Milliseconds())
+	if s.confirmed {
+		reply.ConfirmedAgeMs = uint32(s.svc.Now().Sub(s.confirmedAt).Milliseconds())
 	}
-	if k.set.Revision() <= r.GetKnownRevision() {
+	if s.set.Revision() <= r.GetKnownRevision() {
 		return reply, nil
 	}
 	reply.Set = &rpc.BundleSet{
-		Revision: k.set.Revision(),
+		Revision: s.set.Revision(),
 	}
-	for _, v := range k.versions {
+	for _, v := range s.versions {
 		if v.GetRevision() > r.GetKnownRevision() {
 			reply.Set.Bundles = append(reply.Set.Bundles, v)
 		}
--- a/pkg/rollout/keeper_test.go
+++ b/pkg/rollout/keeper_test.go
@@ -26,7 +26,7 @@
 	RunSpecs(t, "rollout")
 }
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // fakeControl answers fetches with what it is told to.
 type fakeControl struct {
@@ -106,18 +106,18 @@
 }
 
 // withKeeper runs a keeper that asks one fake control host and some peers.
-func withKeeper(s signer, peers []string, f func(k *rollout.Syncer, c *fakeControl)) {
+func withSyncer(s signer, peers []string, f func(syncer *rollout.Syncer, c *fakeControl)) {
 	c := &fakeControl{}
 	server := httptest.NewServer(rpc.NewRolloutServer(c))
 	defer server.Close()
 	one, err := bundle.NewSigner("tiina", s.public, []string{"*"})
 	Expect(err).NotTo(HaveOccurred())
-	k := rollout.New("entry-1", []string{strings.TrimPrefix(server.URL, "http://")}, func() []string { return peers },
+	syncer := rollout.New("entry-1", []string{strings.TrimPrefix(server.URL, "http://")}, func() []string { return peers },
 		bundle.NewTrust([]bundle.Signer{one}, 1), timer.NewSystem(), &http.Client{}, metrics.New())
 	g := group.New(context.Background())
 	defer g.Stop()
-	g.Go(k.Run)
-	f(k, c)
+	g.Go(syncer.Run)
+	f(syncer, c)
 }
 
 // asked waits until the control host was asked twice more.
@@ -129,50 +129,50 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.calls
-	}, patience, time.Millisecond).Should(BeNumerically(">=", from+2))
+	}, waitTimeout, time.Millisecond).Should(BeNumerically(">=", from+2))
 }
 
-func revisionOf(k *rollout.Syncer) func() uint64 {
+func revisionOf(syncer *rollout.Syncer) func() uint64 {
 	return func() uint64 {
-		return k.Set().Revision()
+		return syncer.Set().Revision()
 	}
 }
 
 var _ = Describe("Keeper", func() {
 	It("isn't sure until a control majority confirmed, and says so", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
+		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(false, 4, s.version("a", 1, 4)))
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(4)))
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(4)))
 			c.asked()
-			sure, _ := k.Confirmed()
-			Expect(sure).To(BeFalse())
+			confirmed, _ := syncer.Confirmed()
+			Expect(confirmed).To(BeFalse())
 			c.set(reply(true, 4))
 			Eventually(func() bool {
-				sure, _ := k.Confirmed()
-				return sure
-			}, patience, time.Millisecond).Should(BeTrue())
+				confirmed, _ := syncer.Confirmed()
+				return confirmed
+			}, waitTimeout, time.Millisecond).Should(BeTrue())
 		})
 	})
 
 	It("isn't made sure by a confirmation that is an hour old", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
+		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			old := reply(true, 4, s.version("a", 1, 4))
 			old.ConfirmedAgeMs = 3_600_000
 			c.set(old)
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(4)))
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(4)))
 			c.asked()
-			sure, _ := k.Confirmed()
-			Expect(sure).To(BeFalse())
+			confirmed, _ := syncer.Confirmed()
+			Expect(confirmed).To(BeFalse())
 		})
 	})
 
 	It("never goes back, whoever says so", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
+		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 7, s.version("a", 3, 7)))
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(7)))
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(7)))
 			older := []struct {
 				name  string
 				reply *rpc.FetchReply
@@ -184,8 +184,8 @@
 			for _, o := range older {
 				c.set(o.reply)
 				c.asked()
-				Expect(k.Set().Revision()).To(Equal(uint64(7)), o.name)
-				v, _ := k.Set().Service("a")
+				Expect(syncer.Set().Revision()).To(Equal(uint64(7)), o.name)
+				v, _ := syncer.Set().Service("a")
 				Expect(v.BodyLimitKB).To(Equal(3), o.name)
 			}
 		})
@@ -207,31 +207,31 @@
 			{name: "text without its digest", bundle: changed},
 			{name: "text without its signature", bundle: forged},
 		}
-		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
+		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 7, s.version("a", 1, 7)))
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(7)))
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(7)))
 			for _, b := range bad {
 				c.set(reply(true, 8, s.version("a", 2, 8), b.bundle))
 				c.asked()
-				Expect(k.Set().Revision()).To(Equal(uint64(7)), b.name)
-				v, _ := k.Set().Service("a")
+				Expect(syncer.Set().Revision()).To(Equal(uint64(7)), b.name)
+				v, _ := syncer.Set().Service("a")
 				Expect(v.BodyLimitKB).To(Equal(1), b.name)
 			}
 			c.set(reply(true, 8, s.version("a", 2, 8)))
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(8)))
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(8)))
 		})
 	})
 
 	It("takes only what changed, and keeps the rest", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(k *rollout.Syncer, c *fakeControl) {
+		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 2, s.version("a", 1, 1), s.version("b", 1, 2)))
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(2)))
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(2)))
 			c.set(reply(true, 3, s.version("b", 2, 3)))
-			Eventually(revisionOf(k), patience, time.Millisecond).Should(Equal(uint64(3)))
-			_, kept := k.Set().Service("a")
+			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(3)))
+			_, kept := syncer.Set().Service("a")
 			Expect(kept).To(BeTrue())
-			out, err := k.Fetch(context.Background(), &rpc.FetchRequest{KnownRevision: 2})
+			out, err := syncer.Fetch(context.Background(), &rpc.FetchRequest{KnownRevision: 2})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(out.GetSet().GetBundles()).To(HaveLen(1))
 		})
@@ -239,20 +239,20 @@
 
 	It("takes a set from a peer when no control host answers, with its age", func() {
 		s := newSigner()
-		withKeeper(s, nil, func(near *rollout.Syncer, c *fakeControl) {
+		withSyncer(s, nil, func(near *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 6, s.version("a", 1, 6)))
 			Eventually(func() bool {
-				sure, _ := near.Confirmed()
-				return sure
-			}, patience, time.Millisecond).Should(BeTrue())
+				confirmed, _ := near.Confirmed()
+				return confirmed
+			}, waitTimeout, time.Millisecond).Should(BeTrue())
 			peer := httptest.NewServer(rpc.NewRolloutServer(near))
 			defer peer.Close()
-			withKeeper(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Syncer, cut *fakeControl) {
+			withSyncer(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Syncer, cut *fakeControl) {
 				cut.stop()
 				Eventually(func() bool {
-					sure, _ := far.Confirmed()
-					return sure
-				}, patience, time.Millisecond).Should(BeTrue())
+					confirmed, _ := far.Confirmed()
+					return confirmed
+				}, waitTimeout, time.Millisecond).Should(BeTrue())
 				Expect(far.Set().Revision()).To(Equal(uint64(6)))
 				_, nearAge := near.Confirmed()
 				_, farAge := far.Confirmed()
