--- a/pkg/permit/account.go
+++ b/pkg/permit/account.go
@@ -6,52 +6,54 @@
 )
 
 const (
-	// burstTime is the time whose calls may be lent at once, where nothing was lent
-	// before, and creditMore calls beyond these: 0.4 s pass between two calls of a host, and
-	// requests don't come evenly.
+	// The token bucket holds burstTime's worth of the limit and burstExtra tokens at most:
+	// a host calls the leader every 0.4 s, and requests don't arrive evenly.
 	burstTime  = 500 * time.Millisecond
 	burstExtra = 2.5
-	// outstandingTime is the time whose calls may be out as permits, and outMore calls beyond
-	// these. With the credit it keeps the calls of any 4 s within 1.5 times what the limit
-	// allows, and 3.5 of the 5 that are allowed beyond it.
+	// At most outstandingTime's worth of the limit and outstandingExtra permits may be
+	// outstanding. Together with the bucket size this bounds the calls of any 4 s to
+	// 1.5 times what the limit allows, plus 3.5; plus 5 is permitted.
 	outstandingTime  = 1500 * time.Millisecond
 	outstandingExtra = 1
-	// grantPause is how long nothing is lent once a limit is named: until then the
-	// endpoint got what it couldn't bear.
+	// After a limit was first reported, nothing is granted for grantPause: until then the
+	// endpoint received more than it can take. After it fell, the excess of the same time
+	// is withheld.
 	grantPause = time.Second
-	// removalDelay lies at least between two calls that are answered without a limit, and none
-	// with one, before it is over: one that comes and goes each second stays.
+	// removalDelay is the least time between the sends of two calls, both answered without a
+	// limit and none with one in between, after which the limit is removed. A limit that
+	// comes and goes every second is kept.
 	removalDelay = 1050 * time.Millisecond
-	// reportSlack is by how much a word's time may be off: it is told as an age, and the
-	// way of the call that tells it isn't counted.
+	// reportSlack is the error of a report's times: they are sent as ages, which don't
+	// include the transit time of the call that carries them.
 	reportSlack = 100 * time.Millisecond
-	// limitExpiry is how long a limit is kept of which nothing is heard.
+	// limitExpiry is how long a limit is kept without any report about the endpoint.
 	limitExpiry = 2 * time.Minute
-	// slotTime parts the time in which permits were lent. lentSlots cover the time for
-	// which they are valid, and the slot that has begun.
+	// Granted permits are counted in slots of slotTime. grantSlots cover the lifetime of a
+	// permit and the slot that has begun.
 	slotTime   = 100 * time.Millisecond
 	grantSlots = int64(Lifetime/slotTime) + 1
 )
 
-// limiter is what the leader knows of one endpoint that has a limit.
+// limiter is the leader's state of one endpoint that has a limit.
 //
-// Invariant: credit rises by the limit and falls by what is lent and not given back, so
-// that the calls of any time are at most the limit's, what was out, and the most credit.
+// Invariant: tokens rise by the limit and fall by what is granted and not returned, so the
+// calls of any period are at most what the limit allows for it, plus the permits that were
+// outstanding at its start, plus the size of the bucket.
 type limiter struct {
 	key        uint32
 	service    string
 	limit      float64
-	tokens     float64
-	refilledAt time.Time // of credit
+	tokens     float64   // in the bucket; may be negative
+	refilledAt time.Time // when tokens was last updated
 	granted    [grantSlots]int
-	newestSlot int64 // newest of lent
-	// limitSentAt and setAt are when the call was sent, and its answer came, that last named
-	// the limit that stands; toldAt is when this leader last had a word of any kind.
+	newestSlot int64 // newest slot of granted
+	// limitSentAt and limitReceivedAt are when the call that last reported the current limit
+	// was sent and answered. lastReportAt is when this leader last received any report.
 	limitSentAt     time.Time
 	limitReceivedAt time.Time
 	lastReportAt    time.Time
-	// noLimitSince is when the first call was sent whose answer named no limit since one did;
-	// zero: there is none.
+	// noLimitSince is when the first call was sent that was answered without a limit, since
+	// the last answer with one; zero if there is none.
 	noLimitSince time.Time
 	removed      bool
 	waiters      []*Waiter
@@ -70,7 +72,7 @@
 	}
 }
 
-// change tells that the endpoint has a limit.
+// change returns the change by which the endpoint got its limit.
 func (l *limiter) change() LimitChange {
 	return LimitChange{
 		Key:       l.key,
@@ -79,17 +81,17 @@
 	}
 }
 
-// maxTokens returns the most credit.
+// maxTokens returns the size of the bucket.
 func (l *limiter) maxTokens() float64 {
 	return l.limit*burstTime.Seconds() + burstExtra
 }
 
-// maxOutstanding returns how many permits may be out.
+// maxOutstanding returns how many permits may be outstanding.
 func (l *limiter) maxOutstanding() int {
 	return int(l.limit*outstandingTime.Seconds()) + outstandingExtra
 }
 
-// refill adds what the limit allowed since the last look.
+// refill adds the tokens since the last refill, and clears the slots that have passed.
 func (l *limiter) refill(now time.Time) {
 	more := l.limit * now.Sub(l.refilledAt).Seconds()
 	l.tokens = math.Min(l.maxTokens(), l.tokens+more)
@@ -104,7 +106,7 @@
 	}
 }
 
-// outstanding returns how many permits were lent that may still be used.
+// outstanding returns the number of granted permits that haven't expired.
 func (l *limiter) outstanding() int {
 	sum := 0
 	for _, n := range l.granted {
@@ -113,27 +115,26 @@
 	return sum
 }
 
-// available returns how many permits may be lent now beside ahead others. The account must
-// be refilled.
+// available returns how many permits may be granted now if the given number is set aside for
+// waiters ahead. The limiter must have been refilled.
 func (l *limiter) available(ahead int) int {
 	tokens := int(math.Floor(l.tokens)) - ahead
 	capacity := l.maxOutstanding() - l.outstanding() - ahead
 	return max(0, min(tokens, capacity))
 }
 
-// grant lends n permits.
 func (l *limiter) grant(n int) {
 	l.tokens -= float64(n)
 	l.granted[l.newestSlot%grantSlots] += n
 }
 
-// returnUnused takes n permits back that are over.
+// returnUnused puts back the tokens of n permits that expired unused.
 func (l *limiter) returnUnused(n int) {
 	l.tokens = math.Min(l.maxTokens(), l.tokens+float64(n))
 }
 
-// availableIn returns how long it takes until a permit may be lent behind ahead others. The
-// account must be refilled.
+// availableIn returns the time until a permit can be granted behind the given number of
+// waiters ahead. The limiter must have been refilled.
 func (l *limiter) availableIn(ahead int) time.Duration {
 	if l.available(ahead) > 0 {
 		return 0
@@ -143,14 +144,14 @@
 	return max(d, retryInterval)
 }
 
-// retryInterval is when to try again where it isn't known when a permit comes back.
+// retryInterval is when to try again if it isn't known when a permit becomes available.
 const retryInterval = slotTime
 
-// maxAvailableIn bounds what a caller is told.
+// maxAvailableIn bounds the wait that a caller is given.
 const maxAvailableIn = time.Minute
 
-// observe takes a word. Of two whose times overlap the lower limit stands: a word that is
-// late may neither raise a limit nor end one.
+// observe applies a report. If its time range overlaps that of the current limit's report,
+// the lower limit wins: a delayed report must neither raise a limit nor remove it.
 func (l *limiter) observe(r LimitReport, now time.Time) {
 	l.lastReportAt = now
 	later := !r.SentAt.Before(l.limitReceivedAt.Add(reportSlack))
@@ -174,10 +175,10 @@
 	l.setLimit(r, now)
 }
 
-// setLimit takes the limit of a word.
+// setLimit applies the limit of a report.
 func (l *limiter) setLimit(r LimitReport, now time.Time) {
 	l.refill(now)
-	if r.PerSecond < l.limit { // until now it got what it can't bear any more
+	if r.PerSecond < l.limit { // until now the endpoint received more than it can take
 		l.tokens = math.Min(l.tokens, grantPause.Seconds()*math.Max(r.PerSecond-l.limit, -r.PerSecond))
 	}
 	l.limit = r.PerSecond
@@ -187,7 +188,7 @@
 	}
 }
 
-// expired reports whether the endpoint has no limit any more.
+// expired reports whether the limit was removed, or had no report for too long.
 func (l *limiter) expired(now time.Time) bool {
 	return l.removed || now.Sub(l.lastReportAt) > limitExpiry
 }
--- a/pkg/permit/book.go
+++ b/pkg/permit/book.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// urgentDropRatio is the part of a limit under which a lower one is told at once: the leader
-	// lends by what it knows.
+	// A new limit below urgentDropRatio of the previous one is reported to the leader at once,
+	// since the leader grants by the limit that it knows.
 	urgentDropRatio = 0.8
-	// rateWindow is the time over which requests are counted.
+	// rateWindow is the time constant with which counted requests decay.
 	rateWindow = 2 * time.Second
-	// minExpectedUse is how many requests must be expected while a permit is valid to have use
-	// for one that isn't asked for by a request; one request alone makes half of one.
+	// minExpectedUse is how many requests must be expected within a permit's lifetime for the
+	// host to ask for permits in advance. A single request makes for an expectation of 0.5.
 	minExpectedUse = 0.6
-	// unusedPause is for how long a host asks for no permit to an endpoint after it had no
-	// use for one; each time in a row doubles it, up to idleMost times.
+	// After a permit expired unused, a host asks for no permit to that endpoint for
+	// unusedPause. Each further one in a row doubles the pause, maxPauseDoublings times at most.
 	unusedPause       = 2 * time.Second
 	maxPauseDoublings = 3
 	// maxWanted bounds the endpoints of a service for which one call asks for permits, at
@@ -27,48 +27,49 @@
 	maxWanted = 32
 )
 
-// Holder is what a host knows of endpoints that have limits, and the permits that it holds.
-// It is safe for use by several goroutines.
+// Holder is a host's side: the endpoints that it knows to have limits, and the permits that
+// it holds. It is safe for use by several goroutines.
 //
-// Invariant: an endpoint that has a limit is called by a permit that wasn't used, and
-// isn't over. A host alone never ends a limit: it tells what it heard, and the leader
-// weighs that with what others heard.
+// Invariant: an endpoint that has a limit is called only with a permit that is neither used
+// nor expired. A host doesn't remove a limit by itself once a leader knows of it: it reports
+// what it received, and the leader weighs that against the reports of other hosts.
 type Holder struct {
 	clock Clock
 
-	// seed is this host's own, so that not all hosts tell the same at the same time.
+	// seed differs from host to host, so that not all hosts report the same at the same time.
 	seed uint64
 
 	mu         sync.Mutex
 	entries    map[uint32]*entry
-	digest     uint64 // of their keys
+	digest     uint64 // of the keys of entries
 	term       uint64 // of the leader whose limits are held, up to version
 	version    uint64
-	unreported map[uint32]LimitReport  // to be told, the newest of each endpoint
+	unreported map[uint32]LimitReport  // not acknowledged by a leader; the newest of each endpoint
 	requests   map[string]*requestRate // by service
-	nextWanted uint32                  // key from which on endpoints are asked for
-	unused     Counts                  // permits of term that were over, to be told
+	nextWanted uint32                  // key at which the next round of wanted endpoints starts
+	unused     Counts                  // permits of term that expired unused, not reported yet
 }
 
 // entry is one endpoint that has a limit.
 type entry struct {
-	report    LimitReport  // the last that named it
-	knownTerm uint64       // term of the leader that knows; 0: none does
-	permits   []heldPermit // permits, the oldest first
-	// noneReportedAt is when it was last told that an answer names none.
+	report    LimitReport  // the last one with a limit
+	knownTerm uint64       // term of the last leader that knows of the limit; 0 if none does
+	permits   []heldPermit // the oldest first
+	// noneReportedAt is when an answer without a limit was last reported at once.
 	noneReportedAt time.Time
-	// reReportAt is when the leader of the term retell is told, which doesn't know of it.
+	// reReportAt is when to report the limit to the leader of reReportTerm, which lacks it.
 	reReportAt   time.Time
 	reReportTerm uint64
-	// unusedInRow is how many permits in a row weren't used, and until is when to ask for others.
+	// unusedInRow counts the permits in a row that expired unused; no permits are asked for
+	// until pausedUntil.
 	unusedInRow int
 	pausedUntil time.Time
 }
 
-// requestRate is requests for a service.
+// requestRate counts the requests for a service.
 type requestRate struct {
 	unreported int
-	rate       float64 // in rateTime, those that are older less and less
+	rate       float64 // decays with rateWindow
 	decayedAt  time.Time
 }
 
@@ -77,13 +78,13 @@
 	rate.decayedAt = now
 }
 
-// heldPermit is a permit.
+// heldPermit is one permit that the host holds.
 type heldPermit struct {
 	expiresAt time.Time
-	term      uint64 // of the leader that lent it
+	term      uint64 // of the leader that granted it
 }
 
-// NewHolder returns a book without limits; seed should differ from host to host.
+// NewHolder returns a holder without limits; seed should differ from host to host.
 func NewHolder(clock Clock, seed uint64) *Holder {
 	return &Holder{
 		clock:      clock,
@@ -95,8 +96,8 @@
 	}
 }
 
-// Observe takes what an answer to a call sent at a time says of an endpoint's limit. It
-// reports whether that is news, which the leader must learn at once.
+// Observe applies what the answer to a call sent at the given time says about an endpoint's
+// limit. It reports whether the leader must learn of it at once.
 func (h *Holder) Observe(id, service string, l fleet.Limit, sent time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,18 +128,18 @@
 	return dropped
 }
 
-// observeNone takes an answer that names no limit, from an endpoint that has one. It may have
-// begun before the limit was named.
+// observeNone applies an answer without a limit from an endpoint that has one. The call may
+// have been sent before the limit was reported; then the answer is ignored.
 func (h *Holder) observeNone(e *entry, r LimitReport) bool {
 	if r.SentAt.Before(e.report.ReceivedAt) {
 		return false
 	}
 	previous, isPending := h.unreported[r.Key]
 	if isPending && !previous.hasLimit() {
-		return false // it will be told
+		return false // one is pending already
 	}
 	if e.knownTerm == 0 {
-		h.remove(r.Key) // it came and went, and nobody else was told
+		h.remove(r.Key) // the limit came and went before any leader learned of it
 		return false
 	}
 	h.unreported[r.Key] = r
@@ -177,7 +178,7 @@
 	return len(h.entries) > 0
 }
 
-// MayCall reports whether an endpoint may be called now.
+// MayCall reports whether an endpoint may be called now: it has no limit, or a permit is held.
 func (h *Holder) MayCall(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -193,8 +194,8 @@
 	return e == nil || h.dropExpired(key, e, h.clock.Now()) > 0
 }
 
-// TryAcquire takes what calls to endpoints need, all or nothing, and reports whether it was
-// there: the calls may be made then, and must follow at once.
+// TryAcquire uses up the permits that calls to these endpoints need, all or none, and reports
+// whether they were there. If so, the calls must be made at once.
 func (h *Holder) TryAcquire(ids ...string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,7 +223,7 @@
 	return true
 }
 
-// dropExpired takes the permits of an endpoint out that are over, and returns how many are left.
+// dropExpired drops the expired permits of an endpoint, and returns how many are left.
 func (h *Holder) dropExpired(key uint32, e *entry, now time.Time) int {
 	for len(e.permits) > 0 && !now.Before(e.permits[0].expiresAt) {
 		if e.permits[0].term == h.term {
@@ -235,7 +236,7 @@
 	return len(e.permits)
 }
 
-// CountRequest counts a request for a service, whose endpoints may have limits.
+// CountRequest counts a request for a service, as demand for permits to its endpoints.
 func (h *Holder) CountRequest(service string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -255,7 +256,7 @@
 	rate.unreported++
 }
 
-// HostReport is what a host tells the leader.
+// HostReport is what a host sends the leader.
 type HostReport struct {
 	Term         uint64
 	Version      uint64
@@ -265,8 +266,8 @@
 	Unused       Counts
 }
 
-// TakeReport returns what the leader must be told. What is unused is told once: were it told
-// again, since an answer was lost, it would be lent twice.
+// TakeReport returns what to send the leader. Unused permits are returned only once: if they
+// were sent again after an answer was lost, the leader would grant them twice.
 func (h *Holder) TakeReport() HostReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -284,7 +285,7 @@
 	return report
 }
 
-// demands returns the requests that weren't told, and forgets services without any.
+// demands returns the requests that weren't reported yet, and drops services without any.
 func (h *Holder) demands(now time.Time) []Demand {
 	wanted := h.wanted(now)
 	var list []Demand
@@ -307,8 +308,8 @@
 	return list
 }
 
-// wanted returns the endpoints for which this host holds no permit, in turn, but those
-// whose permits it had no use for.
+// wanted returns, by service, the endpoints to ask permits for: those for which none is held,
+// in turn, except those paused because permits expired unused.
 func (h *Holder) wanted(now time.Time) map[string][]uint32 {
 	keys := make([]uint32, 0, len(h.entries))
 	for key := range h.entries {
@@ -329,7 +330,7 @@
 	return list
 }
 
-// PendingReports returns what was heard and not told yet.
+// PendingReports returns the limit reports that no leader has acknowledged yet.
 func (h *Holder) PendingReports() []LimitReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -350,7 +351,7 @@
 	return list
 }
 
-// Acknowledge notes that the leader of a term took words.
+// Acknowledge notes that the leader of a term received these reports.
 func (h *Holder) Acknowledge(term uint64, reports []LimitReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -364,19 +365,19 @@
 	}
 }
 
-// reReportSpread is the time over which hosts tell a new leader what it doesn't know: who
-// is first spares the others.
+// reReportSpread is the time over which the hosts report to a new leader the limits that it
+// lacks: once the first has done so, the others needn't.
 const reReportSpread = time.Second
 
-// ApplyChanges takes the limits that changed since what was reported, or all of them, or
-// nothing where the host holds the same ones. A limit that the leader doesn't know of
-// stays, and it is told.
+// ApplyChanges applies what the leader of a term answered: the limits that changed since the
+// reported version, all limits if full, or nothing if the host's limits are the same as the
+// leader's. A limit that the leader doesn't know of is kept, and reported to it.
 func (h *Holder) ApplyChanges(term, version uint64, full bool, list []LimitChange) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	same := term != h.term && !full && len(list) == 0
 	if term != h.term {
-		h.unused = Counts{} // lent by another, who doesn't lend any more
+		h.unused = Counts{} // granted by another leader, which grants no more
 	}
 	h.term = term
 	h.version = version
@@ -393,7 +394,7 @@
 	for key, e := range h.entries {
 		_, isPending := h.unreported[key]
 		switch {
-		case same && !isPending: // it isn't newer than what was reported
+		case same && !isPending: // nothing newer than what the leader compared
 			e.knownTerm = term
 		case e.knownTerm < term && e.reReportTerm < term:
 			e.reReportTerm = term
@@ -404,13 +405,13 @@
 	}
 }
 
-// jitter returns a part of d that differs from host to host.
+// jitter returns a fraction of d that differs from host to host.
 func (h *Holder) jitter(key uint32, d time.Duration) time.Duration {
 	hash := keyDigest(key ^ uint32(h.seed))
 	return time.Duration(float64(d) * float64(hash>>32) / (1 << 32))
 }
 
-// learnLimit returns the row of an endpoint of which the leader tells that it has a limit.
+// learnLimit returns the entry of an endpoint that has a limit according to the leader.
 func (h *Holder) learnLimit(c LimitChange) *entry {
 	e := h.entries[c.Key]
 	if e == nil {
@@ -429,7 +430,7 @@
 	return e
 }
 
-// removeUnlessRenewed ends a limit, unless it was named anew meanwhile.
+// removeUnlessRenewed removes a limit, unless it was reported again meanwhile.
 func (h *Holder) removeUnlessRenewed(key uint32) {
 	if r, isPending := h.unreported[key]; isPending && r.hasLimit() {
 		return
@@ -437,14 +438,14 @@
 	h.remove(key)
 }
 
-// AddPermits notes permits that the leader of a term lent, which may be used until an end.
+// AddPermits adds permits that the leader of a term granted, and that expire at expiresAt.
 func (h *Holder) AddPermits(term uint64, list Counts, expiresAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key, n := range list {
 		e := h.entries[key]
 		if e == nil {
-			continue // it has no limit here
+			continue // the endpoint has no limit according to this host
 		}
 		for range n {
 			e.permits = append(e.permits, heldPermit{
@@ -455,7 +456,7 @@
 	}
 }
 
-// Size returns how many limits and permits are held.
+// Size returns the number of limits and of permits held.
 func (h *Holder) Size() (limits, permits int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/permit/lender.go
+++ b/pkg/permit/lender.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// demandWindow is the time over which demand is counted.
+	// demandWindow is the time constant with which demand decays.
 	demandWindow = time.Second
-	// maxChanges is how many changes are remembered; who is further behind gets all.
+	// maxChanges bounds the changes kept; a host that is further behind gets all limits.
 	maxChanges = 4096
-	// minLimit is what a lower limit counts as: an endpoint that names 0 must be called
-	// now and then, to hear when that is over.
+	// Lower limits count as minLimit: an endpoint that reports 0 must be called now and then
+	// to learn when it takes calls again.
 	minLimit = 0.05
-	// probeShare is the part of a limit that questions may take.
+	// probeShare is the part of a limit that the leader's own probes may use.
 	probeShare = 0.25
 )
 
-// Granter is the leader's side: the endpoints that have limits, and what was lent. It is
-// safe for use by several goroutines.
+// Granter is the leader's side: the endpoints that have limits, and the permits granted. It
+// is safe for use by several goroutines.
 //
-// Invariant: what is known is of one term. Who leads next begins with nothing, and what
-// the one before lent is over soon.
+// Invariant: its state is of one term only. The next leader begins with none, and what the
+// previous one granted expires soon.
 type Granter struct {
 	clock Clock
 
@@ -31,27 +31,27 @@
 	term         uint64
 	version      uint64
 	limiters     map[uint32]*limiter
-	digest       uint64                    // of their keys
-	services     map[string]*serviceDemand // by service
+	digest       uint64                    // of the keys of limiters
+	services     map[string]*serviceDemand // those with limited endpoints
 	changes      []versionedChange         // the oldest first
 	changed      chan struct{}
-	lastSequence uint64 // of loans
+	lastSequence uint64 // of the waiters
 }
 
-// versionedChange is a change and the version that it made.
+// versionedChange is a change and the version that it led to.
 type versionedChange struct {
 	LimitChange
 	version uint64
 }
 
-// serviceDemand is a service some of whose endpoints have limits, and what all hosts are asked for.
+// serviceDemand is the demand, over all hosts, for a service that has limited endpoints.
 type serviceDemand struct {
-	limitCount int     // how many of its endpoints have one
-	demand     float64 // requests in demandTime
+	limitCount int     // number of limited endpoints
+	demand     float64 // requests; decays with demandWindow
 	decayedAt  time.Time
 }
 
-// NewGranter returns a lender of no term.
+// NewGranter returns a granter that is in no term yet.
 func NewGranter(clock Clock) *Granter {
 	return &Granter{
 		clock:    clock,
@@ -61,7 +61,7 @@
 	}
 }
 
-// BeginTerm begins a term, unless it has begun.
+// BeginTerm discards all state and begins a term, unless that or a later one has begun.
 func (g *Granter) BeginTerm(term uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +77,7 @@
 	g.notify()
 }
 
-// Observe takes words, and returns which endpoints have a limit since, or none any more.
+// Observe applies limit reports, and returns the limits that were added or removed.
 func (g *Granter) Observe(reports []LimitReport) []LimitChange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,7 +117,6 @@
 	return l.change()
 }
 
-// removeLimit ends a limit.
 func (g *Granter) removeLimit(l *limiter) LimitChange {
 	delete(g.limiters, l.key)
 	g.digest -= keyDigest(l.key)
@@ -131,7 +130,7 @@
 	return c
 }
 
-// Expire ends the limits of which nothing is heard any more, and returns them.
+// Expire removes the limits without reports for too long, and returns the changes.
 func (g *Granter) Expire() []LimitChange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,7 +144,7 @@
 	return changes
 }
 
-// record numbers a change, and wakes who waits for one.
+// record gives a change the next version, and wakes those who wait for one.
 func (g *Granter) record(c LimitChange) {
 	g.version++
 	g.changes = append(g.changes, versionedChange{
@@ -163,23 +162,23 @@
 	g.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed with the next change.
+// Changed returns a channel that is closed at the next change.
 func (g *Granter) Changed() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.changed
 }
 
-// UpToDate reports whether who holds the limits of a term up to a version has all.
+// UpToDate reports whether a host with the limits of a term up to a version lacks none.
 func (g *Granter) UpToDate(term, version uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return term == g.term && version == g.version
 }
 
-// ChangesSince returns what changed since a version of a term, and the newest version; whole
-// says that these are all limits that there are. Who holds the same ones, by their digest,
-// needs none, whichever term they are of.
+// ChangesSince returns the changes since a version of a term, and the newest version; if full,
+// the list holds all limits instead. A host whose limits are the same, by their digest, gets
+// none, whichever term they are of.
 func (g *Granter) ChangesSince(term, known, digest uint64) (list []LimitChange, version uint64, full bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -199,7 +198,7 @@
 	return list, g.version, true
 }
 
-// ReturnUnused takes back permits of a term that were over before they were used.
+// ReturnUnused takes back permits of a term that expired unused.
 func (g *Granter) ReturnUnused(term uint64, list Counts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,15 +214,15 @@
 	}
 }
 
-// Demand is what a host was asked for of a service since its last call, and the endpoints
-// for which it has use for permits.
+// Demand is the number of requests that a host received for a service since its last call to
+// the leader, and the endpoints to which it wants permits.
 type Demand struct {
 	Service  string
 	Requests int
 	Wanted   []uint32
 }
 
-// Grant lends permits to a host by what it is asked for. Those who wait for one come first.
+// Grant grants permits to a host in proportion to its demand. Waiters come first.
 func (g *Granter) Grant(d Demand) Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -250,7 +249,7 @@
 	return granted
 }
 
-// add counts demand; what is older counts less and less.
+// add counts requests; older ones decay.
 func (s *serviceDemand) add(requests int, now time.Time) {
 	s.decay(now)
 	s.demand += float64(requests)
@@ -261,7 +260,7 @@
 	s.decayedAt = now
 }
 
-// ChargeProbe counts a call of the leader itself, which takes what the others then lack.
+// ChargeProbe counts a call that the leader makes itself, at the expense of the hosts' permits.
 func (g *Granter) ChargeProbe(key uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -271,8 +270,7 @@
 	}
 }
 
-// ProbeInterval returns how long an endpoint must be left alone between two questions; 0 if it
-// has no limit.
+// ProbeInterval returns the least time between two probes of an endpoint; 0 if it has no limit.
 func (g *Granter) ProbeInterval(key uint32) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -283,8 +281,8 @@
 	return time.Duration(float64(time.Second) / (probeShare * l.limit))
 }
 
-// BelowDemand reports whether an endpoint takes less than its service is asked for: it can't
-// carry that alone.
+// BelowDemand reports whether an endpoint's limit is lower than the demand for its service, so
+// that it can't serve that alone.
 func (g *Granter) BelowDemand(key uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -297,7 +295,7 @@
 	return l.limit*demandWindow.Seconds() < s.demand
 }
 
-// Size returns how many endpoints have a limit.
+// Size returns the number of endpoints that have a limit.
 func (g *Granter) Size() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/permit/lender_test.go
+++ b/pkg/permit/lender_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// withGranter runs f on a lender of term 1.
+// withGranter runs f on a granter in term 1.
 func withGranter(f func(g *Granter, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	g := NewGranter(clock)
@@ -19,13 +19,13 @@
 	f(g, clock)
 }
 
-// report has an endpoint of service s name a limit now.
+// report applies a report, made now, that an endpoint of service s has a limit.
 func (g *Granter) report(id string, limit float64) []LimitChange {
 	now := g.clock.Now()
 	return g.Observe([]LimitReport{{Key: EndpointKey(id), Service: "s", PerSecond: limit, SentAt: now, ReceivedAt: now}})
 }
 
-// limitOf returns the limit that stands; below 0: none.
+// limitOf returns an endpoint's limit; below 0 if it has none.
 func (g *Granter) limitOf(id string) float64 {
 	if l := g.limiters[EndpointKey(id)]; l != nil {
 		return l.limit
@@ -33,7 +33,7 @@
 	return -1
 }
 
-// demandOf is a host's demand for permits to an endpoint.
+// demandOf returns a host's demand, with the endpoints to which it wants permits.
 func demandOf(requests int, ids ...string) Demand {
 	d := Demand{Service: "s", Requests: requests}
 	for _, id := range ids {
@@ -42,8 +42,8 @@
 	return d
 }
 
-var _ = Describe("the leader's permits", func() {
-	It("begin after a pause, and come at the rate of the limit", func() {
+var _ = Describe("permits that the leader grants", func() {
+	It("start after a pause, and then follow the rate of the limit", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			g.report("e", 8)
 			Expect(g.Grant(demandOf(5, "e"))).To(BeEmpty())
@@ -58,22 +58,22 @@
 		})
 	})
 
-	It("are granted by demand, and those that weren't used again", func() {
+	It("are in proportion to demand, and unused ones are granted again", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			g.report("e", 10)
 			clock.Advance(10 * time.Second)
 			g.Grant(demandOf(90))
-			Expect(g.Grant(demandOf(10, "e"))).To(Equal(Counts{EndpointKey("e"): 1}), "a tenth of the requests")
+			Expect(g.Grant(demandOf(10, "e"))).To(Equal(Counts{EndpointKey("e"): 1}), "a tenth of the demand")
 			first := g.Grant(demandOf(1000, "e")).Total()
 			Expect(g.Grant(demandOf(1000, "e")).Total()).To(BeZero())
 			g.ReturnUnused(2, Counts{EndpointKey("e"): first})
-			Expect(g.limiters[EndpointKey("e")].tokens).To(BeNumerically("<", 1), "of another term")
+			Expect(g.limiters[EndpointKey("e")].tokens).To(BeNumerically("<", 1), "permits of another term don't count")
 			g.ReturnUnused(1, Counts{EndpointKey("e"): first})
 			Expect(g.limiters[EndpointKey("e")].tokens).To(BeNumerically(">=", first))
 		})
 	})
 
-	It("aren't more and more where they are granted again and again, and not used", func() {
+	It("don't accumulate while they are granted again and again and expire unused", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			const step = 50 * time.Millisecond
 			g.report("e", 8)
@@ -94,7 +94,7 @@
 		})
 	})
 
-	It("go to who waits for one first, by priority", func() {
+	It("go to waiters first, by priority", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			g.report("e", 1)
 			clock.Advance(grantPause)
@@ -105,7 +105,7 @@
 			_, wait = g.TryGrant(urgent)
 			Expect(wait).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 			clock.Advance(1010 * time.Millisecond)
-			Expect(g.Grant(demandOf(5, "e"))).To(BeEmpty(), "others wait for it")
+			Expect(g.Grant(demandOf(5, "e"))).To(BeEmpty(), "waiters come first")
 			_, wait = g.TryGrant(late)
 			Expect(wait).NotTo(BeZero())
 			granted, _ := g.TryGrant(urgent)
@@ -117,7 +117,7 @@
 		})
 	})
 
-	It("are granted for each endpoint of a path or for none, and for any one of a service", func() {
+	It("are for each endpoint of a path or for none, or for any one endpoint of a service", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			g.report("e", 1)
 			g.report("f", 0.1)
@@ -132,11 +132,11 @@
 			Expect(granted).To(Equal(Counts{EndpointKey("e"): 1}))
 			granted, wait = g.TryGrant(g.Enqueue(both[2:], false, 5))
 			Expect(granted).To(BeEmpty())
-			Expect(wait).To(Equal(retryInterval), "it isn't known here")
+			Expect(wait).To(Equal(retryInterval), "the endpoint has no limiter")
 		})
 	})
 
-	It("are spent by questions, which are asked the less often the less an endpoint takes", func() {
+	It("are used up by probes, which are the rarer the lower the limit is", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			cases := []struct {
 				limit float64
@@ -159,7 +159,7 @@
 		})
 	})
 
-	It("tell which endpoints take less than is asked for", func() {
+	It("show which endpoints have limits below the demand", func() {
 		withGranter(func(g *Granter, _ *timer.Manual) {
 			g.report("e", 8)
 			Expect(g.BelowDemand(EndpointKey("e"))).To(BeFalse())
@@ -169,7 +169,7 @@
 		})
 	})
 
-	It("begin anew with a term", func() {
+	It("start from nothing in a new term", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
 			g.report("e", 8)
 			clock.Advance(time.Minute)
@@ -179,38 +179,38 @@
 			g.report("e", 8)
 			Expect(g.Grant(demandOf(5, "e"))).To(BeEmpty())
 			g.BeginTerm(1)
-			Expect(g.Size()).To(Equal(1), "a late call of the term before changes nothing")
+			Expect(g.Size()).To(Equal(1), "a delayed call of the previous term changes nothing")
 		})
 	})
 })
 
-var _ = Describe("limits as the leader hears of them", func() {
-	// Times are seconds since the first word.
+var _ = Describe("limits that are reported to the leader", func() {
+	// Times are seconds since the start.
 	type observation struct{ sentAt, receivedAt, limit float64 }
 	cases := []struct {
 		name    string
 		reports []observation
-		limit   float64 // below 0: none
+		limit   float64 // below 0 if there is none
 		at      float64
 	}{
-		{name: "named", reports: []observation{{0, 0, 8}}, limit: 8, at: 1},
+		{name: "reported", reports: []observation{{0, 0, 8}}, limit: 8, at: 1},
 		{name: "falls", reports: []observation{{0, 0, 8}, {0.1, 0.2, 4}}, limit: 4, at: 1},
-		{name: "falls by a late word", reports: []observation{{0, 1, 8}, {0.1, 0.9, 4}}, limit: 4, at: 1},
-		{name: "doesn't fall by a word that is older", reports: []observation{{0, 0, 8}, {1, 1.1, 8}, {0.2, 0.3, 4}}, limit: 8, at: 2},
-		{name: "told by a host that heard it long ago", reports: []observation{{-300, -299, 8}}, limit: 8, at: 1},
+		{name: "falls by a delayed report", reports: []observation{{0, 1, 8}, {0.1, 0.9, 4}}, limit: 4, at: 1},
+		{name: "doesn't fall by an older report", reports: []observation{{0, 0, 8}, {1, 1.1, 8}, {0.2, 0.3, 4}}, limit: 8, at: 2},
+		{name: "reported by a host that observed it long ago", reports: []observation{{-300, -299, 8}}, limit: 8, at: 1},
 		{name: "rises", reports: []observation{{0, 0, 4}, {0.5, 0.6, 8}}, limit: 8, at: 1},
-		{name: "doesn't rise by a word that may be older", reports: []observation{{0, 0.6, 4}, {0.5, 0.8, 8}}, limit: 4, at: 1},
-		{name: "over", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {2.1, 2.2, -1}}, limit: -1, at: 3},
-		{name: "not over yet", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {2, 2.2, -1}}, limit: 8, at: 3},
-		{name: "not over by an answer that began before it was named", reports: []observation{{0, 0.5, 8}, {0.4, 0.7, -1}, {1.5, 1.6, -1}}, limit: 8, at: 3},
-		{name: "not over, since it is named again", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {1.2, 1.3, 8}, {2.2, 2.3, -1}}, limit: 8, at: 3},
-		{name: "not over by two that cross", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {0.9, 1.2, 8}, {2.2, 2.3, -1}}, limit: 8, at: 3},
-		{name: "over though an older word comes later", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {0.2, 0.3, 8}, {2.2, 2.3, -1}}, limit: -1, at: 3},
-		{name: "0 counts as hardly any", reports: []observation{{0, 0, 0}}, limit: minLimit, at: 1},
-		{name: "forgotten where nothing is heard", reports: []observation{{0, 0, 8}}, limit: -1, at: 121},
+		{name: "doesn't rise by a report that may be older", reports: []observation{{0, 0.6, 4}, {0.5, 0.8, 8}}, limit: 4, at: 1},
+		{name: "removed", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {2.1, 2.2, -1}}, limit: -1, at: 3},
+		{name: "not removed yet", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {2, 2.2, -1}}, limit: 8, at: 3},
+		{name: "not removed by the answer to a call that was sent before the limit was reported", reports: []observation{{0, 0.5, 8}, {0.4, 0.7, -1}, {1.5, 1.6, -1}}, limit: 8, at: 3},
+		{name: "not removed, since it is reported again", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {1.2, 1.3, 8}, {2.2, 2.3, -1}}, limit: 8, at: 3},
+		{name: "not removed by two calls that overlap", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {0.9, 1.2, 8}, {2.2, 2.3, -1}}, limit: 8, at: 3},
+		{name: "removed although an older report arrives in between", reports: []observation{{0, 0, 8}, {1, 1.1, -1}, {0.2, 0.3, 8}, {2.2, 2.3, -1}}, limit: -1, at: 3},
+		{name: "0 counts as the minimum", reports: []observation{{0, 0, 0}}, limit: minLimit, at: 1},
+		{name: "expired without reports", reports: []observation{{0, 0, 8}}, limit: -1, at: 121},
 	}
 	for _, c := range cases {
-		It("stand as they were named last: "+c.name, func() {
+		It("follow the latest report: "+c.name, func() {
 			withGranter(func(g *Granter, clock *timer.Manual) {
 				start := clock.Now()
 				at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -225,9 +225,9 @@
 		})
 	}
 
-	It("are told as what changed, or all where that isn't known", func() {
+	It("are passed on as changes, or as a full list if the changes aren't kept", func() {
 		withGranter(func(g *Granter, clock *timer.Manual) {
-			const other = 1 // no digest
+			const other = 1 // differs from every digest
 			list, version, full := g.ChangesSince(0, 0, other)
 			Expect(list).To(BeEmpty())
 			Expect(full).To(BeTrue())
@@ -251,7 +251,7 @@
 			Expect(list[0].Removed).To(BeTrue())
 			Expect(full).To(BeFalse())
 			list, _, full = g.ChangesSince(7, 0, g.digest)
-			Expect(list).To(BeEmpty(), "the same ones, of another term")
+			Expect(list).To(BeEmpty(), "the same limits, of another term")
 			Expect(full).To(BeFalse())
 			for n := range maxChanges {
 				g.report(fmt.Sprint("e", n), 8)
@@ -263,8 +263,8 @@
 	})
 })
 
-// Whatever is asked for, spent and given back: if each permit is used in the worst moment,
-// no 4 s hold more than one and a half times what the limit allows, and 5.
+// TestFuzzSum checks that, whatever is granted, charged and returned, and however late in its
+// lifetime each permit is used, no 4 s hold more calls than 1.5 times the limit's, plus 5.
 func TestFuzzSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := timer.NewManual(time.Unix(1000, 0))
@@ -276,7 +276,7 @@
 		type batch struct {
 			at      time.Duration
 			n       int
-			granted bool // as permits, which may be used later
+			granted bool // as permits, which may be used later and returned
 		}
 		var batches []batch
 		term := uint64(1)
@@ -290,7 +290,7 @@
 					batches = append(batches, batch{at: now, n: granted.Total(), granted: true})
 				}
 				g.Dequeue(w)
-			case 1: // what is over and unused comes back
+			case 1: // some expired permits are returned unused
 				for i := range batches {
 					if b := &batches[i]; b.granted && b.n > 0 && now-b.at >= Lifetime {
 						returned := rapid.IntRange(0, b.n).Draw(t, "back")
@@ -299,7 +299,7 @@
 					}
 				}
 			case 2:
-				if g.limiters[EndpointKey("e")].tokens > 0 { // questions have a pause of their own
+				if g.limiters[EndpointKey("e")].tokens > 0 { // ProbeInterval keeps the leader from probing more often
 					g.ChargeProbe(EndpointKey("e"))
 					batches = append(batches, batch{at: now, n: 1})
 				}
@@ -309,7 +309,7 @@
 					g.BeginTerm(term)
 					g.report("e", limit)
 					for i := range batches {
-						batches[i].granted = false // nothing of before is taken back
+						batches[i].granted = false // permits of the previous term aren't taken back
 					}
 				}
 			case 4:
--- a/pkg/permit/loan.go
+++ b/pkg/permit/loan.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Waiter is a request that waits at the leader for permits: one for each of its endpoints,
-// or one for any of them.
+// Waiter is a request that waits at the leader for permits: one for each of its endpoints if
+// all is set, else one for any of them.
 type Waiter struct {
 	keys     []uint32
 	all      bool
@@ -14,7 +14,7 @@
 	sequence uint64
 }
 
-// before reports whether a loan is served before another.
+// before reports whether a waiter is served before another.
 func (w *Waiter) before(other *Waiter) bool {
 	if w.priority != other.priority {
 		return w.priority < other.priority
@@ -22,7 +22,7 @@
 	return w.sequence < other.sequence
 }
 
-// Enqueue puts a loan in the queue of its endpoints, until Leave.
+// Enqueue adds a waiter to the queues of its endpoints; Dequeue must be called for it.
 func (g *Granter) Enqueue(keys []uint32, all bool, priority int) *Waiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,7 +41,7 @@
 	return w
 }
 
-// Dequeue takes a loan out of all queues.
+// Dequeue removes a waiter from all queues.
 func (g *Granter) Dequeue(w *Waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// ahead returns how many loans are served before one.
+// ahead returns the number of waiters that are served before one.
 func (l *limiter) ahead(w *Waiter) int {
 	count := 0
 	for _, other := range l.waiters {
@@ -70,9 +70,9 @@
 	return count
 }
 
-// TryGrant lends what a loan asks for, or returns when to try again. Nothing is lent for an
-// endpoint that this leader doesn't know: it may not have been told yet that there is a
-// limit, and who is told that there is none any more needs no permit.
+// TryGrant grants what a waiter waits for, or returns when to try again. Nothing is granted
+// for an endpoint without a limiter: the leader may not have learned of the limit yet, and a
+// host that learns that the limit is removed needs no permit.
 func (g *Granter) TryGrant(w *Waiter) (granted Counts, wait time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +105,7 @@
 	}, 0
 }
 
-// grantEach lends one permit for each of the endpoints, all of which have one.
+// grantEach grants one permit for each endpoint; all of them must have one available.
 func (g *Granter) grantEach(keys []uint32) Counts {
 	granted := Counts{}
 	for _, key := range keys {
@@ -115,7 +115,8 @@
 	return granted
 }
 
-// GrantInterval returns the time between two permits for what a loan asks for, of all hosts.
+// GrantInterval returns the mean time between two permits, over all hosts, of the kind that a
+// waiter waits for; 0 if none of its endpoints has a limit.
 func (g *Granter) GrantInterval(w *Waiter) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/permit/permit.go
+++ b/pkg/permit/permit.go
@@ -1,8 +1,8 @@
-// Package permit keeps what all hosts together send to endpoints within the limits that
-// these name. The leader lends permits, each for one call to one endpoint, and lends no
-// more than the endpoint takes, whichever host asks; a host calls an endpoint that has a
-// limit only by a permit. A host that hears nothing has none, and what it held is over
-// after a second: nothing need be known of it to lend to others.
+// Package permit keeps the calls that all hosts together make to an endpoint within the
+// rate limit that the endpoint reports. The leader grants permits, each for one call to one
+// endpoint, and never more than the limit allows, whichever host asks. A host calls an
+// endpoint that has a limit only with a permit. Permits expire after a second, so the leader
+// can grant them to other hosts without knowing whether a host that it can't reach still runs.
 package permit
 
 import (
@@ -13,60 +13,61 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// Lifetime is how long a permit may be used after it was lent. Shorter than the time between
-// two calls of a host, most would be over unused; longer, more are out at once that may
-// all be used in one moment.
+// Lifetime is how long a permit may be used after it was granted. If it were shorter than the
+// interval between a host's calls to the leader, most permits would expire unused; the longer
+// it is, the more permits are outstanding that may all be used at the same moment.
 const Lifetime = time.Second
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock interface {
 	Now() time.Time
 }
 
-// EndpointKey names an endpoint, whichever start of it is there: one that is in need may still be
-// after a start, and names no limit then if it isn't.
+// EndpointKey returns the key of an endpoint, the same for all its incarnations: an overloaded
+// endpoint may still be overloaded after a restart, and reports no limit if it isn't.
 func EndpointKey(id string) uint32 {
 	own, _ := fleet.SplitIncarnation(id)
 	return fleet.LoadKey(own)
 }
 
-// keyDigest returns what an endpoint that has a limit adds to the digest of all that do.
+// keyDigest returns the share of one key in the digest of all endpoints that have a limit,
+// which is the sum over their keys.
 func keyDigest(key uint32) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint32(nil, key))
 }
 
-// LimitReport is what an answer told of an endpoint's limit.
+// LimitReport is what an answer to a call said about the endpoint's rate limit.
 type LimitReport struct {
 	Key     uint32
 	Service string
-	// PerSecond is the limit; below 0: the answer named none.
+	// PerSecond is the limit in requests per second; below 0 if the answer reported none.
 	PerSecond float64
-	// SentAt is when the call was sent that was answered, and Heard when the answer came:
-	// the endpoint said it at some time between.
+	// SentAt is when the answered call was sent, ReceivedAt when the answer was received: the
+	// endpoint made the report at some time between them.
 	SentAt     time.Time
 	ReceivedAt time.Time
 }
 
-// hasLimit reports whether the answer named a limit.
+// hasLimit reports whether the answer reported a limit.
 func (r *LimitReport) hasLimit() bool {
 	return r.PerSecond >= 0
 }
 
-// LimitChange is an endpoint that has a limit now, or has none any more.
+// LimitChange says that an endpoint has a limit now, or no longer has one.
 type LimitChange struct {
 	Key       uint32
 	Service   string
-	PerSecond float64 // as it was when it was named
+	PerSecond float64 // at the time of the change
 	Removed   bool
 }
 
-// Counts counts permits, or calls, by endpoint.
+// Counts holds the number of permits, or of calls, by endpoint key.
 type Counts map[uint32]int
 
-// Total returns how many permits there are.
-func (t Counts) Total() int {
+// Total returns the sum over all endpoints.
+func (c Counts) Total() int {
 	sum := 0
-	for _, n := range t {
+	for _, n := range c {
 		sum += n
 	}
 	return sum
--- a/pkg/permit/wire.go
+++ b/pkg/permit/wire.go
@@ -6,7 +6,7 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// LimitReportsToWire returns words as they are sent at now.
+// LimitReportsToWire encodes reports; their times are sent as ages at now.
 func LimitReportsToWire(reports []LimitReport, now time.Time) []*rpc.LimitWord {
 	list := make([]*rpc.LimitWord, 0, len(reports))
 	for _, r := range reports {
@@ -21,7 +21,7 @@
 	return list
 }
 
-// LimitReportsFromWire returns words as they were received at now.
+// LimitReportsFromWire decodes reports that were received at now.
 func LimitReportsFromWire(list []*rpc.LimitWord, now time.Time) []LimitReport {
 	reports := make([]LimitReport, 0, len(list))
 	for _, r := range list {
@@ -36,7 +36,7 @@
 	return reports
 }
 
-// LimitChangesToWire returns changes as they are sent.
+// LimitChangesToWire encodes limit changes.
 func LimitChangesToWire(changes []LimitChange) []*rpc.Limit {
 	list := make([]*rpc.Limit, 0, len(changes))
 	for _, c := range changes {
@@ -50,7 +50,7 @@
 	return list
 }
 
-// LimitChangesFromWire returns changes as they were received.
+// LimitChangesFromWire decodes limit changes.
 func LimitChangesFromWire(list []*rpc.Limit) []LimitChange {
 	changes := make([]LimitChange, 0, len(list))
 	for _, c := range list {
@@ -64,7 +64,7 @@
 	return changes
 }
 
-// DemandsToWire returns demands as they are sent.
+// DemandsToWire encodes demands.
 func DemandsToWire(demands []Demand) []*rpc.Demand {
 	list := make([]*rpc.Demand, 0, len(demands))
 	for _, d := range demands {
@@ -77,7 +77,7 @@
 	return list
 }
 
-// DemandsFromWire returns demands as they were received.
+// DemandsFromWire decodes demands.
 func DemandsFromWire(list []*rpc.Demand) []Demand {
 	demands := make([]Demand, 0, len(list))
 	for _, d := range list {
@@ -90,30 +90,30 @@
 	return demands
 }
 
-// ToWire returns a table as it is sent; nil if it is empty.
-func (t Counts) ToWire() *rpc.PermitTable {
-	if len(t) == 0 {
+// ToWire encodes the counts; it returns nil if there are none.
+func (c Counts) ToWire() *rpc.PermitTable {
+	if len(c) == 0 {
 		return nil
 	}
 	list := &rpc.PermitTable{}
-	for key, n := range t {
+	for key, n := range c {
 		list.Endpoints = append(list.Endpoints, key)
 		list.Counts = append(list.Counts, uint32(n))
 	}
 	return list
 }
 
-// maxCount bounds what is read of one endpoint.
+// maxCount bounds each count that is read from the wire.
 const maxCount = 1 << 16
 
-// CountsFromWire returns a table as it was received.
+// CountsFromWire decodes counts; it returns nil if the lists have different lengths.
 func CountsFromWire(list *rpc.PermitTable) Counts {
 	if len(list.GetEndpoints()) != len(list.GetCounts()) {
-		return nil // no process of ours sends that
+		return nil // malformed: ToWire never produces this
 	}
-	t := Counts{}
+	counts := Counts{}
 	for i, key := range list.GetEndpoints() {
-		t[key] = int(min(list.GetCounts()[i], maxCount))
+		counts[key] = int(min(list.GetCounts()[i], maxCount))
 	}
-	return t
+	return counts
 }
