--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// fullDetector returns a full set of requests with one end each.
+// fullDetector returns a detector with maxSuspects requests, each with one crash.
 func fullDetector() *Detector {
 	d := NewDetector(timer.NewManual(time.Unix(1000, 0)))
 	for f := range Fingerprint(maxSuspects) {
@@ -16,8 +16,7 @@
 	return d
 }
 
-// BenchmarkAddToFull gives what an end costs the leader while it knows as many as it
-// keeps, and BenchmarkJudgeFull what judging them does.
+// BenchmarkAddToFull measures adding a crash to a full detector.
 func BenchmarkAddToFull(b *testing.B) {
 	d := fullDetector()
 	f := Fingerprint(maxSuspects)
@@ -27,15 +26,15 @@
 	}
 }
 
-func BenchmarkJudgeFull(b *testing.B) {
+func BenchmarkDetectFull(b *testing.B) {
 	d := fullDetector()
 	for b.Loop() {
 		d.Detect(never)
 	}
 }
 
-// BenchmarkBlameInFull gives what an end under a request that is held costs.
-func BenchmarkBlameInFull(b *testing.B) {
+// BenchmarkAttributeInFull measures a crash of a request that is already quarantined.
+func BenchmarkAttributeInFull(b *testing.B) {
 	d := fullDetector()
 	for b.Loop() {
 		d.Add(earlyCrash(1<<40, 1<<20, time.Second), true)
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine finds the requests that end the endpoints which run them,
-// and keeps them away from endpoints: a caller sends such a request again, with a
-// new id and to any host, so what one try on one host tells is not enough.
+// Package quarantine detects the requests that crash the endpoints which run them, and keeps
+// them away from endpoints. Callers retry such a request with a new id and at any host, so one
+// attempt on one host doesn't show enough.
 package quarantine
 
 import (
@@ -10,12 +10,11 @@
 	"hash"
 )
 
-// Fingerprint names what the tries of one request share: client account, method,
-// target and body. Their ids differ.
+// Fingerprint identifies a request across its attempts by what they share: client account,
+// method, target and body. Their ids differ.
 type Fingerprint uint64
 
-// FingerprintOf returns the fingerprint of a request. It costs 2 microseconds for a
-// body of 800 bytes (BenchmarkFingerprint).
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(account, method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{account, method, target} {
@@ -25,14 +24,15 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// write adds a field behind its length, so that none can pass for two.
+// write adds a field after its length, so that no two different lists of fields hash the same
+// bytes.
 func write(h hash.Hash, field []byte) {
 	length := make([]byte, 0, binary.MaxVarintLen64)
-	_, _ = h.Write(binary.AppendUvarint(length, uint64(len(field)))) // never fails
+	_, _ = h.Write(binary.AppendUvarint(length, uint64(len(field)))) // never returns an error
 	_, _ = h.Write(field)
 }
 
-// String implements fmt.Stringer, as the log shows it.
+// String implements fmt.Stringer.
 func (f Fingerprint) String() string {
 	return fmt.Sprintf("%016x", uint64(f))
 }
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -12,7 +12,7 @@
 	RunSpecs(t, "quarantine")
 }
 
-// BenchmarkFingerprint gives what a request costs while anything is watched or held.
+// BenchmarkFingerprint measures the cost per request while any request is watched or quarantined.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 800)
 	for b.Loop() {
@@ -21,7 +21,7 @@
 }
 
 var _ = Describe("a fingerprint", func() {
-	It("is the same for the same request, and another if any part of it differs", func() {
+	It("is the same for the same request, and differs if any part of the request differs", func() {
 		same := FingerprintOf("a", "POST", "/x/1", []byte("body"))
 		Expect(FingerprintOf("a", "POST", "/x/1", []byte("body"))).To(Equal(same))
 		others := []Fingerprint{
--- a/pkg/quarantine/host.go
+++ b/pkg/quarantine/host.go
@@ -8,48 +8,47 @@
 )
 
 const (
-	// LocalHold is how long a host keeps a request from endpoints by what it saw alone,
-	// without a word of the control hosts: these decide within a second while there is
-	// a leader, and a deployment without one for longer than this takes no requests
-	// with keys anyway.
+	// LocalHold is how long a host quarantines a request that it detected itself, without
+	// a decision of the control hosts: these decide within a second while there is a leader,
+	// and a deployment without one for longer than this rejects requests with keys anyway.
 	LocalHold = 30 * time.Second
-	// reportRetention is how long a host can tell a new leader of an end.
+	// reportRetention is how long a crash is kept to be reported to a new leader.
 	reportRetention = 2 * time.Minute
-	// maxReports bounds what a host remembers to tell, and maxTold what one call
-	// tells, at 20 bytes each: a host has a few streams at each endpoint.
+	// maxReports bounds the crashes that a host keeps to report, and maxPerCall those that
+	// one call reports, at 20 bytes each. A host has a few streams at each endpoint.
 	maxReports = 512
 	maxPerCall = 128
 )
 
-// Decision is what the control hosts say of a request: kept from endpoints for a time,
-// or watched if that is 0.
+// Decision is what the control hosts decided about a request: it is quarantined for HoldTime,
+// or only watched if that is 0.
 type Decision struct {
 	Fingerprint Fingerprint
 	HoldTime    time.Duration
 }
 
-// Enforcer is an entry host's part: what it saw itself and has to tell, and what it was
-// told. It is safe for use by several goroutines.
+// Enforcer is an entry host's side: the crashes that the host saw and has to report, and the
+// decisions that it received. It is safe for use by several goroutines.
 type Enforcer struct {
 	svc      timer.Service
 	detector *Detector
 
 	mu         sync.Mutex
 	reports    []report
-	served     []Fingerprint             // watched ones
-	decisions  map[Fingerprint]time.Time // until when held; zero: watched
+	served     []Fingerprint             // watched requests to report as served
+	decisions  map[Fingerprint]time.Time // until when quarantined; zero if watched
 	digest     uint64
-	localHolds map[Fingerprint]time.Time // until when held by what this host saw
+	localHolds map[Fingerprint]time.Time // until when quarantined by this host alone
 }
 
-// report is an end that the leader must know of.
+// report is a crash that the leader must learn of.
 type report struct {
 	crash Crash
 	at    time.Time
-	term  uint64 // of the leader that was told; 0: none
+	term  uint64 // of the leader that acknowledged it; 0 if none did
 }
 
-// NewEnforcer returns a host that has seen nothing.
+// NewEnforcer returns an enforcer without crashes and decisions.
 func NewEnforcer(svc timer.Service) *Enforcer {
 	return &Enforcer{
 		svc:        svc,
@@ -59,14 +58,14 @@
 	}
 }
 
-// Idle reports whether no request is watched or held, so that none need be told apart.
+// Idle reports whether no request is watched or quarantined, so that fingerprints aren't needed.
 func (e *Enforcer) Idle() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.decisions) == 0 && len(e.localHolds) == 0
 }
 
-// HoldRemaining returns how much longer a request is kept from endpoints; 0 if it isn't.
+// HoldRemaining returns how much longer a request is quarantined; 0 if it isn't.
 func (e *Enforcer) HoldRemaining(f Fingerprint) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,8 +80,8 @@
 	return max(0, until.Sub(e.svc.Now()))
 }
 
-// RecordCrash takes an end that this host saw, and reports whether the request is held by
-// it from now on.
+// RecordCrash records a crash that this host saw, and reports whether the host quarantines the
+// request from now on because of it.
 func (e *Enforcer) RecordCrash(c Crash) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,7 +93,7 @@
 	})
 	e.detector.Add(c, e.holdRemaining(c.Fingerprint) > 0)
 	if !e.detector.detectable(c.Fingerprint) {
-		return false // to judge all costs 0.6 ms where 4,000 are remembered
+		return false // saves Detect, which looks at all requests
 	}
 	found := e.detector.Detect(func(Fingerprint) bool { return false })
 	for _, finding := range found {
@@ -103,7 +102,7 @@
 	return len(found) > 0
 }
 
-// dropReports makes room for one more.
+// dropReports makes room for one more report, and drops old ones and expired local holds.
 func (e *Enforcer) dropReports(now time.Time) {
 	first := max(0, len(e.reports)-maxReports+1)
 	for first < len(e.reports) && now.Sub(e.reports[first].at) > reportRetention {
@@ -117,7 +116,7 @@
 	}
 }
 
-// RecordServed takes a request that an endpoint answered.
+// RecordServed records that an endpoint answered a request.
 func (e *Enforcer) RecordServed(f Fingerprint) {
 	e.detector.Clear(f)
 	e.mu.Lock()
@@ -127,15 +126,15 @@
 	}
 }
 
-// Digest returns the digest that came with what this host was told.
+// Digest returns the digest that came with the decisions.
 func (e *Enforcer) Digest() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.digest
 }
 
-// Unreported returns the ends that the leader of a term wasn't told of, and the watched
-// requests that were served since.
+// Unreported returns the crashes that the leader of a term hasn't acknowledged, and the watched
+// requests that were served and not reported yet, maxPerCall of each at most.
 func (e *Enforcer) Unreported(term uint64) (crashes []Crash, served []Fingerprint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,7 +146,8 @@
 	return crashes, append([]Fingerprint(nil), e.served...)
 }
 
-// Acknowledge notes that the leader of a term took these ends and served requests.
+// Acknowledge notes that the leader of a term received these crashes, and the first so many
+// served requests.
 func (e *Enforcer) Acknowledge(term uint64, crashes []Crash, served int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -163,7 +163,7 @@
 	e.served = e.served[served:]
 }
 
-// SetDecisions installs what the control hosts say, in place of what they said before.
+// SetDecisions replaces all decisions.
 func (e *Enforcer) SetDecisions(list []Decision, digest uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/quarantine/suspects.go
+++ b/pkg/quarantine/suspects.go
@@ -9,36 +9,34 @@
 )
 
 const (
-	// detectionPoints is when a request is found to end endpoints: after three ends
-	// before any event of an answer, as a request that ends whatever begins to run it
-	// makes them, or five later ones. With fewer, streams that were cut twice in a
-	// crowd would be found: of 521 that were cut in 24 s of logs of such a day, 254
-	// were cut twice.
+	// A request is detected as crashing endpoints from detectionPoints on: after three crashes
+	// before any event of the response, as a request makes that crashes whatever begins to run
+	// it, or after five later ones. A lower bound would also detect streams that happened to
+	// be cut off twice while many were.
 	detectionPoints = 15
 	earlyPoints     = 5
 	latePoints      = 3
-	// watchedCrashes is under how many ends a request is watched: if it is served after
-	// all, it wasn't the cause.
+	// watchedCrashes is the number of crashes from which on a request is watched: if it is
+	// served after all, it wasn't the cause.
 	watchedCrashes = 2
-	// crashRetention is how long after its newest end a request is remembered. Callers that were seen to repeat such a
-	// request came back within 4 s; a person may come back within minutes.
+	// crashRetention is how long after its last crash a request is remembered. Automatic
+	// retries come within seconds, those by a person may come within minutes.
 	crashRetention = 10 * time.Minute
-	// maxWatched bounds the requests that are watched at a time: hosts are told them.
+	// maxWatched bounds the watched requests, since all hosts are sent the list.
 	maxWatched = 64
-	// maxSuspects bounds the requests that are remembered, at 200 bytes or so by
-	// their fields: eight times the 521 streams that were cut in 24 s of such a day.
+	// maxSuspects bounds the remembered requests, each of which takes about 200 bytes.
 	maxSuspects = 4096
 )
 
-// Crash is the end of one endpoint under one request: the connection broke, or the
-// endpoint fell silent, while it had the request.
+// Crash is the crash of one endpoint that had one request: the connection broke, or the
+// endpoint stopped answering.
 type Crash struct {
 	Fingerprint Fingerprint
-	// Endpoint names the incarnation.
+	// Endpoint identifies the incarnation.
 	Endpoint uint32
-	// BeforeResponse says that no event of an answer had come.
+	// BeforeResponse says that no event of the response had arrived.
 	BeforeResponse bool
-	// After is the time from the send to the end.
+	// After is the time from the send of the request to the crash.
 	After time.Duration
 }
 
@@ -49,10 +47,10 @@
 	return latePoints
 }
 
-// Detector tells which requests end endpoints. An end counts against all requests
-// that the endpoint had, until one of them is found guilty; from then on it counts
-// against that one only, so that those which happened to be there aren't found too. It
-// is safe for use by several goroutines.
+// Detector detects the requests that crash endpoints. A crash counts against all requests
+// that the endpoint had, until one of them is detected; from then on it counts only against
+// that one, so that those which happened to be there aren't detected too. It is safe for use
+// by several goroutines.
 type Detector struct {
 	svc timer.Service
 
@@ -61,11 +59,11 @@
 	attributed map[uint32]attribution // by incarnation
 }
 
-// suspect is one request. Invariant: one end for each incarnation, none of which is
-// blamed on another request.
+// suspect is one request. Invariant: it has one crash for each incarnation, and none that is
+// attributed to another request.
 type suspect struct {
 	crashes   map[uint32]Crash
-	lastCrash time.Time // of the newest
+	lastCrash time.Time
 }
 
 type attribution struct {
@@ -73,7 +71,7 @@
 	at      time.Time
 }
 
-// NewDetector returns an empty set.
+// NewDetector returns a detector that knows of no crash.
 func NewDetector(svc timer.Service) *Detector {
 	return &Detector{
 		svc:        svc,
@@ -82,8 +80,8 @@
 	}
 }
 
-// Add takes an end. guilty says that the request is known to end endpoints: nothing
-// else is to blame for this one.
+// Add records a crash. If the request is already known to crash endpoints, the crash is
+// attributed to it alone.
 func (d *Detector) Add(c Crash, knownCause bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,7 +105,7 @@
 	s.lastCrash = now
 }
 
-// evictOldest forgets what is too old, and the oldest if there is no room for one more.
+// evictOldest drops the suspect with the oldest last crash if there is no room for one more.
 func (d *Detector) evictOldest(now time.Time) {
 	if len(d.suspects) < maxSuspects {
 		return
@@ -123,7 +121,7 @@
 	delete(d.suspects, oldest)
 }
 
-// expire forgets what is too old.
+// expire drops what is older than crashRetention.
 func (d *Detector) expire(now time.Time) {
 	for f, s := range d.suspects {
 		if now.Sub(s.lastCrash) > crashRetention {
@@ -137,7 +135,7 @@
 	}
 }
 
-// detectable reports whether a request has enough against it to be found.
+// detectable reports whether a request has enough points to be detected.
 func (d *Detector) detectable(f Fingerprint) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,14 +147,14 @@
 	return points >= detectionPoints
 }
 
-// Clear forgets a request that was served.
+// Clear drops a request that was served.
 func (d *Detector) Clear(f Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.suspects, f)
 }
 
-// Reset forgets everything.
+// Reset drops all state.
 func (d *Detector) Reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,8 +164,7 @@
 	}
 }
 
-// Watched returns the requests under which several endpoints ended, those with the
-// most ends first.
+// Watched returns the requests with watchedCrashes or more, those with the most crashes first.
 func (d *Detector) Watched() []Fingerprint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,14 +181,15 @@
 	return list[:min(len(list), maxWatched)]
 }
 
-// Finding is a request that is found to end endpoints, and the ends that show it.
+// Finding is a request that was detected as crashing endpoints, with the crashes that show it.
 type Finding struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
 }
 
-// Detect returns the requests that are found to end endpoints, and forgets them. One
-// that was found before, and has served its time, is found by a single early end.
+// Detect returns the requests that are detected as crashing endpoints, and drops them. One that
+// was found before, and whose quarantine has ended, is detected by a single crash before the
+// response.
 func (d *Detector) Detect(foundBefore func(f Fingerprint) bool) []Finding {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,7 +213,7 @@
 	}
 }
 
-// attribute puts an incarnation's end down to one request, and takes it off the others.
+// attribute attributes the crash of an incarnation to one request, and drops it from the others.
 func (d *Detector) attribute(endpoint uint32, request Fingerprint, now time.Time) {
 	d.attributed[endpoint] = attribution{
 		request: request,
@@ -232,9 +230,9 @@
 	}
 }
 
-// mostSuspect returns the request with the most against it, if that is enough; of two with
-// as much, the one under which endpoints ended sooner after the send: what ends an
-// endpoint does so as it begins to run, what happens to be there has any age.
+// mostSuspect returns the request with the most points, if they are enough. Of two with as many,
+// it is the one whose crashes came sooner after the send: a request that crashes an endpoint
+// does so when it begins to run, one that happened to be there may be of any age.
 func (d *Detector) mostSuspect(foundBefore func(f Fingerprint) bool) (Fingerprint, bool) {
 	best := Fingerprint(0)
 	most, soonest, found := 0, time.Duration(0), false
@@ -250,7 +248,7 @@
 	return best, found
 }
 
-// score returns what stands against a request, and the mean time to its ends.
+// score returns the points of a request, and the mean time from send to crash.
 func (s *suspect) score() (points int, after time.Duration) {
 	for _, c := range s.crashes {
 		points += c.points()
--- a/pkg/quarantine/suspects_test.go
+++ b/pkg/quarantine/suspects_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// withDetector runs f on an empty set and a manual clock.
+// withDetector runs f on an empty detector with a manual clock.
 func withDetector(f func(d *Detector, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(NewDetector(clock), clock)
@@ -29,8 +29,8 @@
 	return out
 }
 
-var _ = Describe("suspects", func() {
-	It("are found after three early ends or five later ones, each of another incarnation", func() {
+var _ = Describe("requests that crash endpoints", func() {
+	It("are detected after three crashes before the response or five later ones, each of another incarnation", func() {
 		cases := []struct {
 			name      string
 			endpoints []uint32
@@ -39,7 +39,7 @@
 		}{
 			{"two early", []uint32{1, 2}, true, false},
 			{"three early", []uint32{1, 2, 3}, true, true},
-			{"one endpoint, told by three hosts", []uint32{1, 1, 1}, true, false},
+			{"one endpoint, reported by three hosts", []uint32{1, 1, 1}, true, false},
 			{"four late", []uint32{1, 2, 3, 4}, false, false},
 			{"five late", []uint32{1, 2, 3, 4, 5}, false, true},
 		}
@@ -53,7 +53,7 @@
 		}
 	})
 
-	It("don't include requests that happened to be where another ended endpoints", func() {
+	It("don't include requests that happened to be on the endpoints that another crashed", func() {
 		withDetector(func(d *Detector, _ *timer.Manual) {
 			for id := uint32(1); id <= 3; id++ {
 				for f := Fingerprint(100); f < 130; f++ {
@@ -62,36 +62,37 @@
 				d.Add(earlyCrash(7, id, 150*time.Millisecond), false)
 			}
 			Expect(fingerprintsOf(d.Detect(never))).To(Equal([]Fingerprint{7}))
-			d.Add(earlyCrash(100, 3, time.Second), false) // a host tells late
+			d.Add(earlyCrash(100, 3, time.Second), false) // a host reports late
 			Expect(d.Detect(never)).To(BeEmpty())
 			Expect(d.Watched()).To(BeEmpty())
 		})
 	})
 
-	It("are both found where two end endpoints at the same time", func() {
+	It("are both detected where two crash endpoints at the same time", func() {
 		withDetector(func(d *Detector, _ *timer.Manual) {
 			for id := uint32(1); id <= 6; id++ {
 				d.Add(earlyCrash(Fingerprint(7+id%2), id, 100*time.Millisecond), false)
 				d.Add(earlyCrash(50, id, 700*time.Millisecond), false)
 				d.Add(earlyCrash(51, id, 600*time.Millisecond), false)
 			}
-			// 50 and 51 were under all six, as no caller's tries can be; the rest is theirs.
+			// Requests 50 and 51 were on all six endpoints, more than a caller's attempts can
+			// reach, so that all crashes may be attributed to one of them.
 			Expect(len(d.Detect(never))).To(BeNumerically(">=", 1))
 		})
 		withDetector(func(d *Detector, _ *timer.Manual) {
 			for id := uint32(1); id <= 6; id++ {
 				d.Add(earlyCrash(Fingerprint(7+id%2), id, 100*time.Millisecond), false)
 			}
-			for id := uint32(1); id <= 3; id++ { // at ends of both
+			for id := uint32(1); id <= 3; id++ { // crashes of both
 				d.Add(earlyCrash(50, id, 700*time.Millisecond), false)
 			}
 			Expect(fingerprintsOf(d.Detect(never))).To(ConsistOf(Fingerprint(7), Fingerprint(8)))
 		})
 	})
 
-	It("are found in a crowd of callers that return: seeded", func() {
-		// Each request has at most four sends, as an attempt and a return allow; the
-		// guilty one is sent until it is found. Every endpoint has thirty at a time.
+	It("are detected among many requests that are retried: seeded", func() {
+		// Each request is sent at most four times, as retries allow; the one that crashes
+		// endpoints is sent until it is detected. Every endpoint has thirty at a time.
 		for seed := range uint64(50) {
 			withDetector(func(d *Detector, _ *timer.Manual) {
 				r := rand.New(rand.NewPCG(seed, 1))
@@ -99,7 +100,7 @@
 				found := []Fingerprint{}
 				for id := uint32(1); id <= 12 && len(found) == 0; id++ {
 					for range 30 {
-						f := Fingerprint(100 + r.IntN(60)) // half of those there were there before
+						f := Fingerprint(100 + r.IntN(60)) // half of them were on the previous endpoint too
 						if sends[f]++; sends[f] <= 4 {
 							d.Add(Crash{Fingerprint: f, Endpoint: id, BeforeResponse: r.IntN(3) == 0, After: time.Duration(r.IntN(2000)) * time.Millisecond}, false)
 						}
@@ -113,7 +114,7 @@
 		}
 	})
 
-	It("are cleared by being served, and by time", func() {
+	It("are dropped when served, and after a time", func() {
 		withDetector(func(d *Detector, clock *timer.Manual) {
 			d.Add(earlyCrash(7, 1, time.Second), false)
 			d.Add(earlyCrash(7, 2, time.Second), false)
@@ -128,7 +129,7 @@
 		})
 	})
 
-	It("are found by one early end if they were found before", func() {
+	It("are detected by one crash before the response if they were detected before", func() {
 		withDetector(func(d *Detector, _ *timer.Manual) {
 			d.Add(earlyCrash(7, 1, time.Second), false)
 			d.Add(earlyCrash(8, 1, time.Second), false)
@@ -136,7 +137,7 @@
 		})
 	})
 
-	It("are bounded", func() {
+	It("are bounded in number", func() {
 		withDetector(func(d *Detector, clock *timer.Manual) {
 			for f := range Fingerprint(maxSuspects + 10) {
 				d.Add(earlyCrash(f, uint32(f), time.Second), false)
@@ -149,8 +150,8 @@
 	})
 })
 
-var _ = Describe("an entry host's part", func() {
-	It("tells each leader of every end once", func() {
+var _ = Describe("an entry host's enforcer", func() {
+	It("reports every crash to each leader once", func() {
 		e := NewEnforcer(timer.NewManual(time.Unix(1000, 0)))
 		c := earlyCrash(7, 1, time.Second)
 		e.RecordCrash(c)
@@ -163,7 +164,7 @@
 		Expect(crashes).To(Equal([]Crash{c}))
 	})
 
-	It("holds what it is told for as long, and what it found alone for a while", func() {
+	It("holds a request as long as the decision says, and one that it detected itself for LocalHold", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		e := NewEnforcer(clock)
 		Expect(e.Idle()).To(BeTrue())
@@ -183,7 +184,7 @@
 		Expect(e.HoldRemaining(9)).To(BeZero())
 	})
 
-	It("tells of watched requests that were served, and of no others", func() {
+	It("reports watched requests that were served, and no others", func() {
 		e := NewEnforcer(timer.NewManual(time.Unix(1000, 0)))
 		e.SetDecisions([]Decision{{Fingerprint: 8}}, 5)
 		e.RecordServed(8)
--- a/pkg/rest/rest.go
+++ b/pkg/rest/rest.go
@@ -1,4 +1,4 @@
-// Package rest keeps which endpoints asked this host for rest, and until when.
+// Package rest records which endpoints asked this host for backoff, and until when.
 package rest
 
 import (
@@ -10,40 +10,42 @@
 )
 
 const (
-	// probeDelay is how long after it was asked for a rest isn't disturbed at all: the
-	// endpoint has just said so.
+	// probeDelay is how long after a request for backoff the endpoint isn't called at all.
 	probeDelay = time.Second
-	// sweepInterval is how often rests that are over are forgotten.
+	// sweepInterval is how often expired entries are dropped.
 	sweepInterval = time.Second
 )
 
-// Tracker is the rests that endpoints asked for. It is safe for use by several goroutines.
+// Tracker records the backoffs that endpoints asked for. It is safe for use by several
+// goroutines.
 //
-// A new start of an endpoint ends its rest, unless that was asked for after the start: a
-// request that expects the endpoint by its own id is answered by whichever start is there,
-// and a host learns of a new one up to a heartbeat and a held call later.
+// A new incarnation of an endpoint ends its backoff, unless that was asked for after the new
+// one had started: a request addressed to the endpoint's own id is answered by whichever
+// incarnation runs, and a host learns of a new one as late as a heartbeat interval and a long
+// poll after its start.
 //
-// Invariants: an end never moves nearer: neither a shorter rest nor a good answer takes
-// back what was asked for. In spite of a rest an endpoint is called once at most, until it
-// was free: endpoints bear two, and a call may be on its way when they ask.
+// Invariants: the end of a backoff never moves earlier; neither a request for a shorter one
+// nor a successful answer cuts it short. During a backoff an endpoint is called at most once,
+// until it was out of backoff in between: endpoints tolerate two calls, and one may be in
+// flight when they ask.
 type Tracker struct {
 	svc timer.Service
 
 	mu      sync.Mutex
-	entries map[string]*entry // by the endpoint's own id
+	entries map[string]*entry // by the endpoint's own id, without the incarnation
 	sweptAt time.Time
 }
 
-// entry is rests without a pause between them.
+// entry is the backoffs of an endpoint that followed each other without a break.
 type entry struct {
 	id            string    // the newest incarnation that asked
-	requestedAt   time.Time // the last time
-	requestedWall time.Time // the same by the time of day, which endpoints' starts are told in
+	requestedAt   time.Time // when it last asked this process, or when the entry was created
+	requestedWall time.Time // requestedAt in wall time, to compare with the start of an incarnation
 	until         time.Time
-	probed        bool // the one call in spite of it
+	probed        bool // the one call allowed during the backoff was made
 }
 
-// New returns a book without rests.
+// New returns a tracker without backoffs.
 func New(svc timer.Service) *Tracker {
 	return &Tracker{
 		svc:     svc,
@@ -51,7 +53,7 @@
 	}
 }
 
-// Record notes that an endpoint wants nothing for d from now on.
+// Record notes that an endpoint asked this process to send it nothing for d from now on.
 func (t *Tracker) Record(id string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,8 +64,8 @@
 	e.extend(now.Add(d))
 }
 
-// Merge notes that another process of this host was asked for a rest which lasts for left
-// from now on. It may be told again and again.
+// Merge notes that an endpoint asked another process of this host for a backoff that ends
+// after the given time from now. It may be called again for the same backoff.
 func (t *Tracker) Merge(id string, remaining time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +74,7 @@
 	e.extend(now.Add(remaining))
 }
 
-// open returns the row of an endpoint, a new one if it doesn't rest.
+// open returns the entry of an endpoint, a new one if the endpoint isn't in backoff.
 func (t *Tracker) open(id string, now time.Time) *entry {
 	t.sweep(now)
 	own, startedAt := fleet.SplitIncarnation(id)
@@ -91,13 +93,15 @@
 	return e
 }
 
-// clockSlack is by how much the clocks of a host and an endpoint may differ: a rest that
-// was asked for so little before a start may be that start's. Kept for nothing, it costs
-// the new start what is left of it; dropped, the endpoint gets what it didn't want.
+// clockSlack bounds the difference between the clocks of a host and an endpoint: a backoff that
+// was asked for less than that before an incarnation started may have been asked for by it.
+// Kept wrongly, it costs the new incarnation the rest of the backoff; dropped wrongly, the
+// endpoint gets calls that it asked not to get.
 const clockSlack = time.Second
 
-// appliesTo reports whether the rests are of an incarnation: it asked, or an earlier one did
-// that had started again by then. An endpoint that doesn't tell its start has one.
+// appliesTo reports whether the backoffs apply to an incarnation: it asked for them, or an
+// earlier one did when this one had already started. An endpoint whose id doesn't include a
+// start time counts as a single incarnation.
 func (e *entry) appliesTo(id string) bool {
 	if e.id == id {
 		return true
@@ -107,14 +111,14 @@
 	return startedAt <= newestStart || !e.requestedWall.Before(time.UnixMilli(startedAt).Add(-clockSlack))
 }
 
-// extend makes rests last until end at least.
+// extend makes the backoff last until the given time at least.
 func (e *entry) extend(until time.Time) {
 	if until.After(e.until) {
 		e.until = until
 	}
 }
 
-// sweep forgets what is over.
+// sweep drops expired entries, every sweepInterval at most.
 func (t *Tracker) sweep(now time.Time) {
 	if now.Sub(t.sweptAt) < sweepInterval {
 		return
@@ -127,7 +131,7 @@
 	}
 }
 
-// Remaining returns how much longer an endpoint wants nothing; 0: it may be called.
+// Remaining returns how much longer an endpoint is in backoff; 0 if it may be called.
 func (t *Tracker) Remaining(id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +146,7 @@
 	return max(0, e.until.Sub(t.svc.Now()))
 }
 
-// find returns the row of an endpoint, or nil.
+// find returns the entry of an endpoint, or nil.
 func (t *Tracker) find(id string) *entry {
 	if len(t.entries) == 0 {
 		return nil
@@ -151,9 +155,10 @@
 	return t.entries[own]
 }
 
-// MayCall reports whether an endpoint may be called now: it doesn't rest, or some time has
-// passed and nothing has called it since. That is for what can't be done elsewhere: a
-// request for which there is no other endpoint, or a question about streams that it runs.
+// MayCall reports whether an endpoint may be called now: it isn't in backoff, or probeDelay has
+// passed and nothing has called it during the backoff. Only calls that no other endpoint can
+// serve should use the latter: a request that no other endpoint can take, or a status query
+// about streams that the endpoint runs.
 func (t *Tracker) MayCall(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,7 +173,8 @@
 	return !e.probed && t.svc.Now().Sub(e.requestedAt) >= probeDelay
 }
 
-// TryAcquire is May for who then calls; others that ask for it in the same rest may not.
+// TryAcquire is MayCall for a caller that then makes the call; during the same backoff no
+// other call is allowed.
 func (t *Tracker) TryAcquire(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +187,7 @@
 	return true
 }
 
-// Active returns how much longer each endpoint that rests wants nothing.
+// Active returns the remaining time of each endpoint that is in backoff.
 func (t *Tracker) Active() map[string]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,7 +200,7 @@
 	return list
 }
 
-// HasAny reports whether an endpoint may rest now.
+// HasAny reports whether any endpoint may be in backoff now.
 func (t *Tracker) HasAny() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +208,7 @@
 	return len(t.entries) > 0
 }
 
-// Len returns how many rests are kept.
+// Len returns the number of entries.
 func (t *Tracker) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/rest/rest_test.go
+++ b/pkg/rest/rest_test.go
@@ -15,14 +15,14 @@
 	RunSpecs(t, "rest")
 }
 
-// withTracker runs f on a book without rests.
+// withTracker runs f on a tracker without backoffs.
 func withTracker(f func(t *Tracker, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(New(clock), clock)
 }
 
-var _ = Describe("a rest", func() {
-	It("lasts as long as the longest that was requestedBy for, and no longer", func() {
+var _ = Describe("a backoff", func() {
+	It("lasts as long as the longest that was asked for, and no longer", func() {
 		withTracker(func(t *Tracker, clock *timer.Manual) {
 			t.Record("p", 3*time.Second)
 			clock.Advance(time.Second)
@@ -37,9 +37,9 @@
 		})
 	})
 
-	It("allows one call in spite of it, not at its begin, and not again when it is drawn out", func() {
+	It("allows one call while it lasts, not at its start, and not again when it is extended", func() {
 		withTracker(func(t *Tracker, clock *timer.Manual) {
-			Expect(t.TryAcquire("p")).To(BeTrue(), "it doesn't rest")
+			Expect(t.TryAcquire("p")).To(BeTrue(), "it isn't in backoff")
 			t.Record("p", 3*time.Second)
 			Expect(t.TryAcquire("p")).To(BeFalse())
 			clock.Advance(probeDelay)
@@ -48,26 +48,26 @@
 			Expect(t.TryAcquire("p")).To(BeFalse())
 			t.Record("p", 3*time.Second)
 			clock.Advance(probeDelay)
-			Expect(t.TryAcquire("p")).To(BeFalse(), "in no rest may it be twice")
+			Expect(t.TryAcquire("p")).To(BeFalse(), "no second call during one backoff")
 			clock.Advance(3 * time.Second)
 			t.Record("p", 3*time.Second)
 			clock.Advance(probeDelay)
-			Expect(t.TryAcquire("p")).To(BeTrue(), "it was free meanwhile")
+			Expect(t.TryAcquire("p")).To(BeTrue(), "it was out of backoff in between")
 		})
 	})
 
-	It("is of the start that requestedBy for it, or of one that was there by then", func() {
+	It("applies to the incarnation that asked for it, or to one that had started by then", func() {
 		cases := []struct {
 			name        string
 			requestedBy string
-			startedAt   time.Duration // of the next start, from when the rest was asked for
+			startedAt   time.Duration // of the next incarnation, from when the backoff was asked for
 			applies     bool
-			noStart     bool // the endpoint doesn't tell when it started
+			noStart     bool // the endpoint's id doesn't include a start time
 		}{
 			{name: "started later", requestedBy: fleet.IncarnationID("p", 5), startedAt: 2 * time.Second},
-			{name: "had started by then, and the host didn't know", requestedBy: fleet.IncarnationID("p", 5), startedAt: -2 * time.Second, applies: true},
+			{name: "had started by then, unknown to the host", requestedBy: fleet.IncarnationID("p", 5), startedAt: -2 * time.Second, applies: true},
 			{name: "clocks differ a little", requestedBy: fleet.IncarnationID("p", 5), startedAt: clockSlack / 2, applies: true},
-			{name: "tells no start", requestedBy: "p", noStart: true, applies: true},
+			{name: "no start time", requestedBy: "p", noStart: true, applies: true},
 		}
 		for _, c := range cases {
 			withTracker(func(t *Tracker, clock *timer.Manual) {
@@ -84,7 +84,7 @@
 		}
 	})
 
-	It("is forgotten once it is over, however many there were", func() {
+	It("is dropped once it has expired, however many there were", func() {
 		withTracker(func(t *Tracker, clock *timer.Manual) {
 			for n := range 3200 {
 				t.Record(string(rune('a'+n)), time.Duration(1+n%3)*time.Second)
--- a/pkg/rest/wire.go
+++ b/pkg/rest/wire.go
@@ -6,7 +6,7 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// ToWire lists rests, as the processes of a machine tell each other of them.
+// ToWire encodes backoffs, for the processes of a host to send each other.
 func ToWire(resting map[string]time.Duration) []*rpc.Resting {
 	list := make([]*rpc.Resting, 0, len(resting))
 	for id, remaining := range resting {
@@ -18,7 +18,7 @@
 	return list
 }
 
-// FromWire returns how much longer a listed endpoint rests.
+// FromWire returns the remaining time of a backoff.
 func FromWire(r *rpc.Resting) time.Duration {
 	return time.Duration(r.GetLeftMs()) * time.Millisecond
 }
