--- a/pkg/registry/incarnation_test.go
+++ b/pkg/registry/incarnation_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// startedEndpoint is an endpoint that tells when it started.
+// startedEndpoint returns an incarnation with a start time.
 func startedEndpoint(own string, startedAt int64, sequence uint64) fleet.Endpoint {
 	e := endpoint(fleet.IncarnationID(own, startedAt), sequence)
 	e.StartedAt = startedAt
@@ -26,13 +26,13 @@
 	return ids
 }
 
-var _ = Describe("incarnations that tell when they started", func() {
-	It("are ordered by that, whatever arrives first and from wherever", func() {
+var _ = Describe("incarnations with start times", func() {
+	It("are ordered by them, whatever arrives first and from any replica", func() {
 		for _, later := range []int64{2000, 999_999_999} {
 			withTable(func(t *Table, clock *timer.Manual) {
 				t.Announce(startedEndpoint("i", later, 1))
 				old := startedEndpoint("i", 1000, 70)
-				old.LastHeartbeat = clock.Now().Add(time.Second) // another replica's word
+				old.LastHeartbeat = clock.Now().Add(time.Second) // passed on by another replica
 				t.Merge([]fleet.Endpoint{old})
 				Expect(usableIDs(t)).To(Equal([]string{fleet.IncarnationID("i", later)}))
 			})
@@ -46,7 +46,7 @@
 		}
 	})
 
-	It("replace each other though the endpoint comes back at another address", func() {
+	It("replace each other even if the endpoint comes back at another address", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			next := startedEndpoint("i", 2000, 1)
 			next.Address = "10.0.0.9:80"
@@ -58,7 +58,7 @@
 		})
 	})
 
-	It("end by the endpoint's own id where its last word tells no start", func() {
+	It("are marked gone by the endpoint's own id if its deregistration has no start time", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(startedEndpoint("i", 1000, 1))
 			Expect(t.MarkGone("i").ID).To(Equal(fleet.IncarnationID("i", 1000)))
@@ -69,9 +69,9 @@
 		})
 	})
 
-	It("don't come back by another replica's older word after the last one", func() {
+	It("don't come back by an older announcement from another replica after the deregistration", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
-			t.MarkGone("i") // never heard of here
+			t.MarkGone("i") // not known to this replica
 			old := startedEndpoint("i", 1000, 9)
 			old.LastHeartbeat = clock.Now().Add(-time.Second)
 			t.Merge([]fleet.Endpoint{old})
@@ -80,8 +80,8 @@
 	})
 })
 
-var _ = Describe("an entry that holds the address of an endpoint of another service", func() {
-	It("ends it only once nothing was heard of it for as long as addresses rest", func() {
+var _ = Describe("an announcement with the address of an endpoint of another service", func() {
+	It("replaces that endpoint only after it has sent no heartbeat for the time that addresses stay unused", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("real", 5))
 			other := endpoint("other", 1)
@@ -101,15 +101,10 @@
 	})
 })
 
-// What was seen: a leader gave orders to an endpoint that had ended 3 s before, and
-// again for 9 s, each refused as meant for another; paths over its layers failed.
-// How it came about: the address had a new incarnation, which answered the leader's
-// question to the old one 1 ms before the leader learnt of the new one by another
-// replica's word, 10 ms old. What caused it: answers counted as heartbeats, so the old
-// one seemed to have been heard of later than the new one, and stayed.
-// What proved it: the leader's log shows the new one's layers under both names.
-var _ = Describe("an endpoint that ended while another at its address answers questions", func() {
-	It("is ended by the first word of the other", func() {
+// Guards against keeping an old incarnation whose address a new one has taken: answers to status
+// queries, which the new one may give in its place, must not count as its heartbeats.
+var _ = Describe("an endpoint that is gone while another at its address answers status queries", func() {
+	It("is marked gone by the first announcement of the other", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("old", 11))
 			clock.Advance(2 * interval)
@@ -125,7 +120,7 @@
 		})
 	})
 
-	It("isn't forgotten while it answers, though no heartbeat arrives", func() {
+	It("isn't dropped while it answers, though no heartbeat arrives", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			for range 2 * int(forgetAfter/interval) {
--- a/pkg/registry/recall.go
+++ b/pkg/registry/recall.go
@@ -6,9 +6,9 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// Restore takes endpoints that a disk told of, where nothing newer is known, and
-// returns how many. They count as silent until they answer, and are dropped by
-// DropRecalled unless a heartbeat comes.
+// Restore adds endpoints that were read from disk, unless they are known already, and returns
+// how many were added. They are silent until they answer, and DropRestored drops them unless a
+// heartbeat arrives.
 func (t *Table) Restore(list []fleet.Endpoint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,9 +30,8 @@
 	return n
 }
 
-// DropRestored drops the endpoints that were recalled and sent no heartbeat
-// since, and returns how many: they may have ended, or said that they leave,
-// after the disk was written.
+// DropRestored drops the restored endpoints that sent no heartbeat since, and returns how many:
+// they may have crashed or announced that they are leaving after the disk was written.
 func (t *Table) DropRestored() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,7 +46,7 @@
 	return n
 }
 
-// Announced returns the rows of which a heartbeat came since this replica started.
+// Announced returns the entries with a heartbeat received since this replica started.
 func (t *Table) Announced() []fleet.Endpoint {
 	var list []fleet.Endpoint
 	for _, e := range t.All() {
@@ -58,7 +57,7 @@
 	return list
 }
 
-// HasRestored reports whether there are rows of which only the disk told.
+// HasRestored reports whether there are entries known only from disk.
 func (t *Table) HasRestored() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry keeps what endpoints announce of themselves. Each control
-// replica has one table; they hand announcements to each other.
+// Package registry holds what endpoints announce about themselves. Each control replica has
+// one table; the replicas pass announcements on to each other.
 package registry
 
 import (
@@ -13,19 +13,18 @@
 )
 
 const (
-	// silentHeartbeats is after how many missed heartbeats an endpoint counts as
-	// silent: two may be lost with a daemon that is killed between them.
+	// After silentHeartbeats missed heartbeats, Sweep returns an endpoint as late. Two may be
+	// lost with a daemon that is killed between them.
 	silentHeartbeats = 3
-	// forgetAfter is how long a gone or silent incarnation is remembered, so
-	// that a late heartbeat can't bring it back. Heartbeats are seconds late.
+	// forgetAfter is how long an incarnation is kept after the last contact, so that a late
+	// heartbeat, which may be delayed by seconds, can't bring it back.
 	forgetAfter = 60 * time.Second
 )
 
-// Table is the announcements by incarnation. It is safe for use by several
-// goroutines.
+// Table holds the announcements by incarnation. It is safe for use by several goroutines.
 //
-// Invariants: of one incarnation the highest sequence stands; leaving and gone
-// never go back; version rises with each change that entry hosts must learn.
+// Invariants: the announcement with the highest sequence wins for each incarnation; Leaving and
+// Gone are never reset; version rises with each change that entry hosts must learn.
 type Table struct {
 	svc      timer.Service
 	log      *eventlog.Log
@@ -35,12 +34,12 @@
 	entries map[string]*entry
 	version uint64
 	changed chan struct{}
-	// departures are the endpoints that last were told to leave or to have ended, the
-	// newest last.
+	// departures lists the endpoints that were last found to be leaving or gone, the newest
+	// last.
 	departures []departure
 }
 
-// departure is when it became known here that an endpoint leaves or has ended.
+// departure is when this replica learned that an endpoint is leaving or gone.
 type departure struct {
 	id string
 	at time.Time
@@ -49,12 +48,12 @@
 type entry struct {
 	fleet.Endpoint
 	version uint64
-	// answeredAt is when it last answered a question; another incarnation at its address
-	// may have, so that it tells nothing of which one is the newer.
+	// answeredAt is when the endpoint last answered a status query. Another incarnation at its
+	// address may have answered, so it doesn't show which one is newer.
 	answeredAt time.Time
 }
 
-// sinceLastContact returns for how long nothing was heard of an endpoint.
+// sinceLastContact returns the time since the last heartbeat or answer.
 func (ent *entry) sinceLastContact(now time.Time) time.Duration {
 	if ent.answeredAt.After(ent.LastHeartbeat) {
 		return now.Sub(ent.answeredAt)
@@ -62,7 +61,7 @@
 	return now.Sub(ent.LastHeartbeat)
 }
 
-// New returns an empty table of endpoints that announce themselves at interval.
+// New returns an empty table of endpoints that send a heartbeat every interval.
 func New(svc timer.Service, log *eventlog.Log, interval time.Duration) *Table {
 	return &Table{
 		svc:      svc,
@@ -73,8 +72,8 @@
 	}
 }
 
-// Announce takes a heartbeat that was just received, and reports whether it
-// told something that others must learn.
+// Announce applies a heartbeat that was just received, and reports whether it changed
+// anything that others must learn.
 func (t *Table) Announce(e fleet.Endpoint) bool {
 	e.LastHeartbeat = t.svc.Now()
 	t.mu.Lock()
@@ -82,8 +81,8 @@
 	return t.merge(e)
 }
 
-// Merge takes announcements from another replica, and returns those whose
-// news are new here.
+// Merge applies announcements from another replica, and returns how many of them changed
+// anything that others must learn.
 func (t *Table) Merge(list []fleet.Endpoint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,8 +95,8 @@
 	return n
 }
 
-// MarkGone notes that an incarnation has ended, the newest of an endpoint if only its own
-// id is given, and returns its row.
+// MarkGone marks an incarnation gone, the newest of an endpoint if only the endpoint's own id
+// is given, and returns its entry.
 func (t *Table) MarkGone(id string) fleet.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,8 +115,8 @@
 	return t.entries[id].Endpoint
 }
 
-// newest returns the newest incarnation of an endpoint whose own id is given, and any
-// other id as it is.
+// newest returns the newest incarnation of an endpoint whose own id is given, and any other id
+// unchanged.
 func (t *Table) newest(id string) string {
 	if t.entries[id] != nil {
 		return id
@@ -131,8 +130,8 @@
 	return newest
 }
 
-// goneSince reports whether an incarnation that isn't known was last heard of before the
-// endpoint of its id, which didn't tell when it started, said that it ended.
+// goneSince reports whether an unknown incarnation was last heard from before its endpoint,
+// identified by its own id without a start time, was marked gone.
 func (t *Table) goneSince(e *fleet.Endpoint) bool {
 	own, _ := fleet.SplitIncarnation(e.ID)
 	ent := t.entries[own]
@@ -141,7 +140,7 @@
 
 func (t *Table) merge(e fleet.Endpoint) bool {
 	if e.Address == "" {
-		e.ID = t.newest(e.ID) // nothing is told but that it ended
+		e.ID = t.newest(e.ID) // says only that the endpoint is gone
 	}
 	old := t.entries[e.ID]
 	if old == nil && t.isDelayed(&e) {
@@ -163,7 +162,7 @@
 	next := old.Endpoint
 	if e.Sequence > old.Sequence {
 		next = e
-		next.Slowdown = old.Slowdown // heartbeats don't tell these
+		next.Slowdown = old.Slowdown // heartbeats don't include these
 		next.Orders = old.Orders
 		next.Loading = old.Loading && e.Layers == old.Layers
 	}
@@ -184,8 +183,7 @@
 	return t.replace(old, next)
 }
 
-// replace puts what is now known of an endpoint in a row, and reports whether
-// it is news.
+// replace updates an entry, and reports whether others must learn of the change.
 func (t *Table) replace(ent *entry, next fleet.Endpoint) bool {
 	same := sameState(&ent.Endpoint, &next)
 	ent.Endpoint = next
@@ -195,12 +193,11 @@
 	return !same
 }
 
-// isDelayed reports whether a heartbeat of an incarnation that isn't known is of an
-// earlier one than that at its address: a cut may hold one back until its sender
-// has crashed and another has announced itself. Where they tell when they started,
-// that decides. Numbers begin anew with each incarnation, so that else the earlier one's
-// is the higher. If the other is gone itself, the next heartbeat is taken, two intervals
-// later at most.
+// isDelayed reports whether a heartbeat of an unknown incarnation is of an earlier one than
+// that at its address: a network partition may delay it until its sender has crashed and
+// another has announced itself. Start times decide if both have them. Otherwise the higher
+// sequence is the earlier one's, since sequences restart with each incarnation. If the other
+// incarnation is gone itself, a heartbeat is accepted within two intervals.
 func (t *Table) isDelayed(e *fleet.Endpoint) bool {
 	if e.Gone || e.Address == "" {
 		return false
@@ -220,8 +217,9 @@
 	return false
 }
 
-// supersede ends the earlier incarnations at a new one's address: each start
-// of an endpoint is a new one, and an address has one endpoint at a time.
+// supersede marks the earlier incarnations at a new one's address, and of the same endpoint,
+// as gone: each start of an endpoint is a new incarnation, and an address has one endpoint at
+// a time.
 func (t *Table) supersede(e *fleet.Endpoint) {
 	if e.Gone || e.Address == "" {
 		return
@@ -237,8 +235,8 @@
 	}
 }
 
-// sameEndpoint reports whether two incarnations can't both run: they have one address,
-// or are starts of one endpoint, which may come back at another.
+// sameEndpoint reports whether two incarnations can't both be running: they have the same
+// address, or are incarnations of one endpoint, which may come back at another address.
 func sameEndpoint(a, b *fleet.Endpoint) bool {
 	if a.Address == b.Address {
 		return true
@@ -248,14 +246,14 @@
 	return own == otherOwn && startedAt > 0 && otherStartedAt > 0
 }
 
-// addressReuseIntervals is for how many heartbeat intervals an endpoint must not have been heard
-// of before one of another service has its address: addresses are given to other
-// services some seconds after their endpoints ended. An entry that names a service
-// which isn't there mustn't end the endpoint whose address it holds.
+// addressReuseIntervals is for how many heartbeat intervals an endpoint must have sent no
+// heartbeat before an endpoint of another service replaces it at its address: addresses are
+// given to other services some seconds after their endpoints stopped. An announcement for a
+// wrong service mustn't end the endpoint whose address it contains.
 const addressReuseIntervals = 1.5
 
-// replaces reports whether a new incarnation at the address of another shows that the
-// other has ended.
+// replaces reports whether a new incarnation at the address of another shows that the other
+// is gone.
 func (t *Table) replaces(e, other *fleet.Endpoint) bool {
 	silence := e.LastHeartbeat.Sub(other.LastHeartbeat)
 	if e.Service != other.Service && float64(silence) < addressReuseIntervals*float64(t.interval) {
@@ -267,8 +265,7 @@
 	return silence >= 0
 }
 
-// sameState reports whether neither entry hosts nor other replicas need to learn
-// of a change.
+// sameState reports whether a change concerns neither entry hosts nor other replicas.
 func sameState(a, b *fleet.Endpoint) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain && a.Slots == b.Slots &&
 		a.Leaving == b.Leaving && a.Gone == b.Gone && a.Kind == b.Kind && a.Model == b.Model &&
@@ -276,7 +273,8 @@
 		a.Recalled == b.Recalled
 }
 
-// recordChange logs that an endpoint came, leaves or has ended, and remembers the latter.
+// recordChange logs that an endpoint joined, is leaving or is gone, and records the latter two
+// as departures.
 func (t *Table) recordChange(e *fleet.Endpoint) {
 	event := eventlog.EndpointJoined
 	switch {
@@ -296,15 +294,15 @@
 	ent.version = t.version
 }
 
-// bumpVersion numbers a change, and wakes who waits for one.
+// bumpVersion increments the version, and wakes those who wait for a change.
 func (t *Table) bumpVersion() {
 	t.version++
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Sweep forgets old rows, and returns the endpoints that should have sent a
-// heartbeat: they may have sent it to a replica that can't pass it on.
+// Sweep drops old entries, and returns the endpoints whose heartbeats are late: they may have
+// sent them to a replica that can't pass them on.
 func (t *Table) Sweep() []fleet.Endpoint {
 	now := t.svc.Now()
 	t.mu.Lock()
@@ -327,8 +325,8 @@
 	return late
 }
 
-// MarkSilent marks an endpoint silent that doesn't answer; its next heartbeat or
-// answer takes that back.
+// MarkSilent marks an endpoint that doesn't answer as silent; its next heartbeat or answer
+// resets that.
 func (t *Table) MarkSilent(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -342,7 +340,7 @@
 		eventlog.Str("why", "doesn't answer"), eventlog.Ms("age_ms", ent.sinceLastContact(t.svc.Now())))
 }
 
-// Get returns the row of an incarnation.
+// Get returns the entry of an incarnation.
 func (t *Table) Get(id string) (fleet.Endpoint, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -352,7 +350,7 @@
 	return fleet.Endpoint{}, false
 }
 
-// Find returns an incarnation that fits; empty if there is none.
+// Find returns any incarnation that fits; empty if there is none.
 func (t *Table) Find(fits func(id string) bool) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -364,22 +362,21 @@
 	return ""
 }
 
-// Changed returns a channel that is closed with the next change.
+// Changed returns a channel that is closed at the next change.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Version returns the newest version.
+// Version returns the current version.
 func (t *Table) Version() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// ChangesSince returns the rows that changed after version known, and the newest
-// version.
+// ChangesSince returns the entries that changed after version known, and the current version.
 func (t *Table) ChangesSince(known uint64) ([]fleet.Endpoint, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -395,8 +392,8 @@
 	return list, t.version
 }
 
-// LeavingSince returns the rows of endpoints of which it became known since a time that they
-// leave or have ended. Its cost goes with these, and not with all that there are.
+// LeavingSince returns the endpoints that were found to be leaving or gone after the given
+// time, the newest first. Its cost depends on their number, not on the size of the table.
 func (t *Table) LeavingSince(since time.Time) []fleet.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -409,7 +406,7 @@
 	return out
 }
 
-// recordDeparture remembers that an endpoint leaves, and forgets what is old.
+// recordDeparture adds an endpoint to departures, and drops those older than forgetAfter.
 func (t *Table) recordDeparture(id string) {
 	now := t.svc.Now()
 	old := 0
@@ -422,8 +419,8 @@
 	})
 }
 
-// ChangesUpTo returns the rows that changed after version known, if they are no more than
-// most, and the newest version; few says whether they are.
+// ChangesUpTo returns the entries that changed after version known, and the current version.
+// If there are more than limit, it returns none, and complete is false.
 func (t *Table) ChangesUpTo(known uint64, limit int) (list []fleet.Endpoint, version uint64, complete bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -442,14 +439,14 @@
 	return list, t.version, true
 }
 
-// All returns every row, sorted by incarnation.
+// All returns every entry, sorted by incarnation.
 func (t *Table) All() []fleet.Endpoint {
 	list, _ := t.ChangesSince(0)
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// AnnouncedWithin returns the rows whose last heartbeat is younger than age.
+// AnnouncedWithin returns the entries whose last heartbeat is younger than age.
 func (t *Table) AnnouncedWithin(age time.Duration) []fleet.Endpoint {
 	from := t.svc.Now().Add(-age)
 	var list []fleet.Endpoint
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("the table of endpoints", func() {
-	It("keeps the highest sequence, whatever comes late", func() {
+	It("keeps the highest sequence, whatever arrives late", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			e := endpoint("a", 5)
 			e.Layers = fleet.Range{From: 0, To: 8}
@@ -44,7 +44,7 @@
 		})
 	})
 
-	It("never takes back that an endpoint leaves or has ended", func() {
+	It("never resets that an endpoint is leaving or gone", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			e := endpoint("a", 1)
 			e.Leaving = true
@@ -57,7 +57,7 @@
 		})
 	})
 
-	It("keeps an incarnation that ended before it was ever announced", func() {
+	It("keeps an incarnation that was gone before it was ever announced", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			t.MarkGone("late")
 			t.Announce(endpoint("late", 1))
@@ -65,36 +65,36 @@
 		})
 	})
 
-	It("takes no heartbeat of an earlier incarnation that was held back until another came at its address", func() {
+	It("rejects a heartbeat of an earlier incarnation that was delayed until another announced itself at its address", func() {
 		cases := []struct {
 			name     string
-			late     uint64        // sequence of the one that comes late
+			late     uint64        // sequence of the heartbeat that arrives late
 			silent   time.Duration // since the other's last heartbeat
-			takes    bool
+			accepted bool
 			replaced bool
 		}{
-			{name: "held back by a cut", late: 40, silent: interval, takes: false},
-			{name: "a new incarnation after a crash", late: 1, silent: interval, takes: true, replaced: true},
-			{name: "the other is gone itself", late: 40, silent: 2 * interval, takes: true, replaced: true},
+			{name: "delayed by a partition", late: 40, silent: interval, accepted: false},
+			{name: "a new incarnation after a crash", late: 1, silent: interval, accepted: true, replaced: true},
+			{name: "the other is gone itself", late: 40, silent: 2 * interval, accepted: true, replaced: true},
 		}
 		for _, c := range cases {
 			withTable(func(t *Table, clock *timer.Manual) {
 				t.Announce(endpoint("new", 3))
 				clock.Advance(c.silent)
-				Expect(t.Announce(endpoint("old", c.late))).To(Equal(c.takes), c.name)
+				Expect(t.Announce(endpoint("old", c.late))).To(Equal(c.accepted), c.name)
 				byID := map[string]fleet.Endpoint{}
 				for _, e := range t.All() {
 					byID[e.ID] = e
 				}
 				old := byID["old"]
-				Expect(old.Address != "" && old.Usable()).To(Equal(c.takes), c.name)
+				Expect(old.Address != "" && old.Usable()).To(Equal(c.accepted), c.name)
 				another := byID["new"]
 				Expect(another.Usable()).To(Equal(!c.replaced), c.name)
 			})
 		}
 	})
 
-	It("takes what is known to have ended, whoever is at its address", func() {
+	It("accepts that an incarnation is gone, whichever is at its address", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			t.Announce(endpoint("new", 3))
 			gone := endpoint("old", 40)
@@ -104,7 +104,7 @@
 		})
 	})
 
-	It("names the endpoints whose heartbeats are late, without judging them", func() {
+	It("returns the endpoints whose heartbeats are late, without marking them silent", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			clock.Advance(4 * interval)
@@ -113,7 +113,7 @@
 		})
 	})
 
-	It("takes a loss back with the next heartbeat or answer", func() {
+	It("resets silent with the next heartbeat or answer", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			t.MarkSilent("a")
@@ -127,7 +127,7 @@
 		})
 	})
 
-	It("keeps that an endpoint loads over heartbeats that can't tell it", func() {
+	It("keeps that an endpoint is loading over heartbeats, which don't include it", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			e := endpoint("a", 1)
 			t.Announce(e)
@@ -141,7 +141,7 @@
 		})
 	})
 
-	It("takes an endpoint that was ordered to hold other layers for loading at once", func() {
+	It("takes an endpoint that was ordered to hold other layers as loading at once", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			e := endpoint("a", 1)
 			e.Layers = fleet.Range{From: 0, To: 4}
@@ -158,7 +158,7 @@
 		})
 	})
 
-	It("tells which endpoints it learnt of lately that they leave, the newest first", func() {
+	It("lists the endpoints that were lately found to be leaving, the newest first", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			for _, id := range []string{"a", "b", "c"} {
 				e := endpoint(id, 1)
@@ -178,7 +178,7 @@
 			t.Announce(e)
 			clock.Advance(5 * time.Second)
 			e.Sequence = 3
-			t.Announce(e) // a heartbeat of one that leaves is no news
+			t.Announce(e) // a further heartbeat of a leaving endpoint is no departure
 			t.MarkGone("b")
 			Expect(leaving(time.Second)).To(Equal([]string{"b"}))
 			Expect(leaving(10 * time.Second)).To(Equal([]string{"b", "a"}))
@@ -188,7 +188,7 @@
 		})
 	})
 
-	It("tells what changed only where that is little", func() {
+	It("lists changes only up to a limit", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			for _, id := range []string{"a", "b", "c"} {
 				e := endpoint(id, 1)
@@ -196,26 +196,26 @@
 				t.Announce(e)
 			}
 			cases := []struct {
-				known uint64
-				most  int
-				rows  int
-				few   bool
+				known    uint64
+				limit    int
+				rows     int
+				complete bool
 			}{
-				{known: 0, most: 3, rows: 3, few: true},
-				{known: 0, most: 2, rows: 0, few: false},
-				{known: 2, most: 1, rows: 1, few: true},
-				{known: 3, most: 0, rows: 0, few: true},
+				{known: 0, limit: 3, rows: 3, complete: true},
+				{known: 0, limit: 2, rows: 0, complete: false},
+				{known: 2, limit: 1, rows: 1, complete: true},
+				{known: 3, limit: 0, rows: 0, complete: true},
 			}
 			for _, k := range cases {
-				list, version, few := t.ChangesUpTo(k.known, k.most)
+				list, version, complete := t.ChangesUpTo(k.known, k.limit)
 				Expect(list).To(HaveLen(k.rows))
-				Expect(few).To(Equal(k.few))
+				Expect(complete).To(Equal(k.complete))
 				Expect(version).To(BeEquivalentTo(3))
 			}
 		})
 	})
 
-	It("takes recalled endpoints for silent until they answer, and drops those without a heartbeat", func() {
+	It("takes restored endpoints as silent until they answer, and drops those without a heartbeat", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			known := endpoint("known", 1)
 			known.Address = "10.0.0.9:80"
@@ -227,7 +227,7 @@
 			Expect(t.HasRestored()).To(BeTrue())
 			e, _ := t.Get("a")
 			Expect(e.Silent).To(BeTrue())
-			Expect(t.Announced()).To(HaveLen(1), "nothing is passed on that no heartbeat told of")
+			Expect(t.Announced()).To(HaveLen(1), "only entries with a heartbeat are passed on")
 			t.UpdateStatus("a", Status{Layers: fleet.Range{From: 0, To: 4}, Slowdown: 1})
 			t.MarkAnswered("b")
 			for _, id := range []string{"a", "b"} {
@@ -235,8 +235,8 @@
 				Expect(e.Silent).To(BeFalse(), id)
 			}
 			clock.Advance(time.Minute + time.Second)
-			Expect(t.Sweep()).To(BeEmpty(), "recalled ones have no heartbeat that could be late")
-			Expect(t.Announce(endpoint("a", 3))).To(BeTrue(), "other replicas must learn that it is there")
+			Expect(t.Sweep()).To(BeEmpty(), "restored endpoints have no heartbeat that could be late")
+			Expect(t.Announce(endpoint("a", 3))).To(BeTrue(), "other replicas must learn that it is running")
 			Expect(t.DropRestored()).To(Equal(1))
 			_, there := t.Get("a")
 			Expect(there).To(BeTrue())
@@ -245,7 +245,7 @@
 		})
 	})
 
-	It("ends a recalled incarnation at the address of a new one", func() {
+	It("marks a restored incarnation gone when a new one has its address", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			t.Restore([]fleet.Endpoint{endpoint("old", 5)})
 			t.Announce(endpoint("new", 1))
@@ -254,7 +254,7 @@
 		})
 	})
 
-	It("tells what changed since a version, and wakes who waits", func() {
+	It("lists the changes since a version, and wakes those who wait", func() {
 		withTable(func(t *Table, _ *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			_, known := t.ChangesSince(0)
@@ -269,7 +269,7 @@
 		})
 	})
 
-	It("ends the earlier incarnation at the address of a new one", func() {
+	It("marks the earlier incarnation gone when a new one has its address", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("old", 7))
 			t.MarkSilent("old")
@@ -282,7 +282,7 @@
 		})
 	})
 
-	It("forgets what was not heard of for long", func() {
+	It("drops endpoints without contact for long", func() {
 		withTable(func(t *Table, clock *timer.Manual) {
 			t.Announce(endpoint("a", 1))
 			clock.Advance(forgetAfter + time.Second)
@@ -292,15 +292,15 @@
 	})
 })
 
-// model is the plain truth that tables converge to: the highest sequence, and
-// whether any announcement said that the endpoint leaves.
+// model is the state to which tables converge: the highest sequence, and whether any
+// announcement said that the endpoint is leaving.
 type model struct {
 	sequence uint64
 	leaving  bool
 }
 
-// TestMergeAgrees checks that two tables which hear heartbeats in any order, late,
-// twice or only from each other, come to agree with a plain model.
+// TestMergeAgrees checks that two tables which receive heartbeats in any order, late, twice or
+// only from each other, converge to the same state as a simple model.
 func TestMergeAgrees(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		clock := timer.NewManual(time.Unix(1000, 0))
--- a/pkg/registry/status.go
+++ b/pkg/registry/status.go
@@ -7,18 +7,18 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// Status is what an endpoint tells of itself when it is asked.
+// Status is an endpoint's answer to a status query.
 type Status struct {
 	Layers fleet.Range
-	Orders uint64 // taken since its start
-	Busy   bool   // with an order
+	Orders uint64 // accepted since its start
+	Busy   bool   // carrying out an order
 	// Slowdown is how many times as slow as its kind the endpoint is.
 	Slowdown float64
-	// Notice is told with any answer, also with one that is no report.
+	// Notice comes with any answer, also with one that contains no status.
 	Notice fleet.Notice
 }
 
-// UpdateStatus takes what an endpoint answered when it was asked.
+// UpdateStatus applies an endpoint's answer to a status query.
 func (t *Table) UpdateStatus(id string, report Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,8 +39,8 @@
 	t.replace(ent, next)
 }
 
-// MarkLeaving notes that an endpoint said in an answer, to this host or another, that it leaves.
-// Its heartbeats may not tell that, or later.
+// MarkLeaving notes that an endpoint said in an answer, to this host or another, that it is
+// leaving. Its heartbeats may say so later, or not at all.
 func (t *Table) MarkLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,9 +53,9 @@
 	t.markChanged(ent)
 }
 
-// MarkReassigned notes that an endpoint took an order to hold other layers: it has
-// given up those that it held, and loads. taken is how many orders it has taken.
-func (t *Table) MarkReassigned(id string, taken uint64) {
+// MarkReassigned notes that an endpoint accepted an order to hold other layers: it has released
+// those that it held, and is loading. accepted is the number of orders that it has accepted.
+func (t *Table) MarkReassigned(id string, accepted uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ent := t.entries[id]
@@ -65,11 +65,11 @@
 	next := ent.Endpoint
 	next.Layers = fleet.Range{}
 	next.Loading = true
-	next.Orders = taken
+	next.Orders = accepted
 	t.replace(ent, next)
 }
 
-// logLayers tells what an endpoint holds and how it does.
+// logLayers logs the layers that an endpoint holds, whether it is loading, and its slowdown.
 func (t *Table) logLayers(e *fleet.Endpoint) {
 	loading := int64(0)
 	if e.Loading {
@@ -80,18 +80,18 @@
 		eventlog.Int("loading", loading), eventlog.Int("slow_percent", int64(100*e.Slowdown)))
 }
 
-// slowdownStep is how finely slowness is told: a finer one is news all the time.
+// slowdownStep is the resolution of slowdowns: with a finer one they would change all the time.
 const slowdownStep = 0.5
 
-// roundSlowdown rounds to slowStep; what is hardly slow counts as it should be.
-func roundSlowdown(slow float64) float64 {
-	if slow < 1+slowdownStep {
+// roundSlowdown rounds to slowdownStep; a slowdown of less than one step counts as none.
+func roundSlowdown(slowdown float64) float64 {
+	if slowdown < 1+slowdownStep {
 		return 1
 	}
-	return math.Round(slow/slowdownStep) * slowdownStep
+	return math.Round(slowdown/slowdownStep) * slowdownStep
 }
 
-// MarkAnswered notes that an endpoint is there, though it told nothing of itself.
+// MarkAnswered notes that an endpoint answered without a status, so that it isn't silent.
 func (t *Table) MarkAnswered(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
