--- a/pkg/bound/bound.go
+++ b/pkg/bound/bound.go
@@ -1,9 +1,8 @@
-// Package bound computes the most requests a second that a set of engines can
+// Package bound computes an upper bound of the requests per second that a set of engines can
 // serve, by a linear program over their published cost curves.
 //
-// What it leaves out, so that it is an upper bound: links and their delays,
-// the time that a pass waits for its sequences, every host's own cost, and
-// that a batch isn't always full.
+// It leaves out whatever lowers the rate further: links and their delays, the time that a pass
+// waits for its sequences, the hosts' own cost, and that batches aren't always full.
 package bound
 
 import (
@@ -15,7 +14,8 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Engine is one engine's part in the bound. One pass through one layer takes
+// Engine is the cost curve of one engine, which holds the layers from First up to End
+// (exclusive). One pass through one layer takes
 // LayerUS + SequenceUS*sequences + TokenUS*prefilled tokens, in microseconds.
 type Engine struct {
 	First      int
@@ -23,7 +23,7 @@
 	LayerUS    float64
 	SequenceUS float64
 	TokenUS    float64
-	Batch      int // sequences in one pass at most
+	Batch      int // most sequences in one pass
 }
 
 // Work is the average request.
@@ -32,8 +32,8 @@
 	Tokens       float64
 }
 
-// rate returns how many requests a second the engine can serve alone: each
-// costs its share of full passes, its own part of them, and its prefill.
+// rate returns how many requests per second the engine can serve alone. Each request costs its
+// share of full passes, the part of them for its own sequence, and its prefill.
 func (e Engine) rate(w Work) float64 {
 	layers := float64(e.End - e.First)
 	decode := w.Tokens * (e.LayerUS/float64(e.Batch) + e.SequenceUS)
@@ -41,17 +41,17 @@
 	return 1e6 / (layers * (decode + prefill))
 }
 
-// Requests returns the most requests a second through a model of that many
-// layers: the greatest flow from layer 0 to the last, where each engine is an
-// edge between the boundaries of its layers.
+// Requests returns the most requests per second through a model with the given number of
+// layers: the maximum flow from layer 0 to the last, where each engine is an edge between the
+// boundaries of its layers.
 func Requests(layers int, engines []Engine, w Work) (float64, error) {
 	boundaries := boundariesOf(layers, engines)
 	n := len(engines)
 	if n == 0 {
 		return 0, nil
 	}
-	// Variables: a flow and a slack for each engine. Rows: one for each inner
-	// boundary (what comes in goes out), one for each engine's rate.
+	// Variables: a flow and a slack for each engine. Constraints: one for each inner boundary
+	// (inflow equals outflow), one for each engine's rate.
 	inner := len(boundaries) - 2
 	a := mat.NewDense(inner+n, 2*n, nil)
 	b := make([]float64, inner+n)
@@ -77,8 +77,7 @@
 	return math.Max(0, -low), nil
 }
 
-// boundariesOf numbers the layer boundaries in order; 0 comes first and layers
-// last.
+// boundariesOf numbers the layer boundaries in order, starting from 0.
 func boundariesOf(layers int, engines []Engine) map[int]int {
 	set := map[int]int{
 		0:      0,
--- a/pkg/failure/error.go
+++ b/pkg/failure/error.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Error is a failure of one kind, with what is known beyond the table.
+// Error is a failure of one kind. It may override what the table says of its kind.
 type Error struct {
 	kind       Kind
 	detail     string
@@ -16,7 +16,7 @@
 	cause      error
 }
 
-// New returns a failure of kind k with a sentence for the person who reads it.
+// New returns a failure of kind k; the formatted text is for the person who reads the answer.
 func New(k Kind, format string, args ...any) *Error {
 	row := k.Answer()
 	return &Error{
@@ -34,14 +34,14 @@
 	return e
 }
 
-// WithRan returns a copy of e that says ran of the request.
+// WithRan returns a copy of e that overrides whether the request was run.
 func (e *Error) WithRan(ran Ran) *Error {
 	c := *e
 	c.ran = ran
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that asks the caller to wait for d.
+// WithRetryAfter returns a copy of e that asks the caller to retry after d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
@@ -56,32 +56,31 @@
 	return e.kind.String() + ": " + e.detail + ": " + e.cause.Error()
 }
 
-// Unwrap returns what caused e.
+// Unwrap returns the cause of e, or nil.
 func (e *Error) Unwrap() error {
 	return e.cause
 }
 
-// Kind returns the failure's kind.
 func (e *Error) Kind() Kind {
 	return e.kind
 }
 
-// Detail returns the sentence for the person who reads it.
+// Detail returns the text for the person who reads the answer, without the kind and the cause.
 func (e *Error) Detail() string {
 	return e.detail
 }
 
-// Ran returns what is known of whether the request was run.
+// Ran returns whether the request was run, as far as it is known.
 func (e *Error) Ran() Ran {
 	return e.ran
 }
 
-// RetryAfter returns when coming back makes sense; zero means never.
+// RetryAfter returns the time after which to retry; zero means that retrying is useless.
 func (e *Error) RetryAfter() time.Duration {
 	return e.retryAfter
 }
 
-// From returns err as an *Error; one of no kind becomes Internal.
+// From returns the *Error in err's chain; an err without one is wrapped as Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -90,7 +89,6 @@
 	return Wrap(err, Internal, "internal error")
 }
 
-// Is reports whether err is a failure of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.kind == k
--- a/pkg/failure/kind.go
+++ b/pkg/failure/kind.go
@@ -1,6 +1,5 @@
-// Package failure is the closed list of the ways in which larchwinch refuses
-// or fails a request, and the one table from each to the answer a caller or
-// operator gets.
+// Package failure defines the closed list of the ways in which larchwinch refuses or fails a
+// request, and the table that maps each of them to the answer for a caller or operator.
 package failure
 
 import (
@@ -8,10 +7,10 @@
 	"time"
 )
 
-// Kind is one way of failing. The zero Kind is Internal.
+// Kind is a kind of failure. The zero Kind is Internal.
 type Kind int
 
-// The kinds. Answer gives each one's row of the table.
+// The kinds. Answer returns the table's entry of each.
 const (
 	Internal Kind = iota
 	BadRequest
@@ -57,20 +56,18 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Answer is one row of the table: what a failure of a kind looks like from
-// outside.
+// Answer is an entry of the table: how a failure of a kind is answered.
 type Answer struct {
-	// Name is the kind as it stands in an error body.
+	// Name is the kind's name in an error body.
 	Name string
 	// Status is the HTTP status.
 	Status int
-	// Ran is what is said of the request when the failure itself knows no
-	// better.
+	// Ran is the default for failures that don't override it.
 	Ran Ran
-	// RetryAfter is the shortest time after which coming back makes sense;
-	// zero means that the same request will fail again.
+	// RetryAfter is the shortest time after which a retry is useful; zero means that the same
+	// request will fail again.
 	RetryAfter time.Duration
-	// Meaning is one sentence for the error reference.
+	// Meaning is the sentence for the error reference.
 	Meaning string
 }
 
@@ -108,7 +105,7 @@
 	ResumeInvalid:      {Name: "resume_invalid", Status: http.StatusBadRequest, Ran: RanNo, Meaning: "The Last-Event-ID isn't one that this request could have had."},
 }
 
-// Answer returns the kind's row of the table.
+// Answer returns the kind's entry of the table; an unknown kind has that of Internal.
 func (k Kind) Answer() Answer {
 	if k < 0 || k >= numKinds {
 		return table[Internal]
@@ -116,12 +113,11 @@
 	return table[k]
 }
 
-// String returns the kind's name as it stands in an error body.
+// String returns the kind's name in an error body.
 func (k Kind) String() string {
 	return k.Answer().Name
 }
 
-// Kinds returns every kind, in the table's order.
 func Kinds() []Kind {
 	all := make([]Kind, 0, numKinds)
 	for k := Kind(0); k < numKinds; k++ {
@@ -130,7 +126,7 @@
 	return all
 }
 
-// KindNamed returns the kind with that name, and whether there is one.
+// KindNamed returns the kind with the given name, and whether there is one.
 func KindNamed(name string) (Kind, bool) {
 	for _, k := range Kinds() {
 		if k.String() == name {
--- a/pkg/failure/kind_test.go
+++ b/pkg/failure/kind_test.go
@@ -15,8 +15,8 @@
 	RunSpecs(t, "failure")
 }
 
-var _ = Describe("the table", func() {
-	It("has a whole row for every kind, and no name twice", func() {
+var _ = Describe("the table of kinds", func() {
+	It("has a complete entry for every kind, and no name twice", func() {
 		seen := map[string]bool{}
 		for _, k := range failure.Kinds() {
 			row := k.Answer()
@@ -31,14 +31,14 @@
 			Expect(back).To(Equal(k))
 		}
 	})
-	It("says when to come back for every refusal that passes", func() {
+	It("has a retry time for every temporary refusal", func() {
 		for _, k := range failure.Kinds() {
 			if s := k.Answer().Status; s == 429 || s == 503 {
 				Expect(k.Answer().RetryAfter).To(BeNumerically(">", 0), k.String())
 			}
 		}
 	})
-	It("keeps what a failure knows beyond the table through wrapping", func() {
+	It("keeps what a failure overrides when it is wrapped", func() {
 		e := failure.New(failure.Overloaded, "full").WithRetryAfter(3 * time.Second).WithRan(failure.RanYes)
 		f := failure.From(errors.Wrap(e, "around"))
 		Expect(f.Kind()).To(Equal(failure.Overloaded))
--- a/pkg/failure/reference_test.go
+++ b/pkg/failure/reference_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// reference is the page of error kinds, as the table has it.
+// reference returns the page of error kinds, generated from the table.
 func reference() string {
 	var b strings.Builder
 	b.WriteString("# Error kinds\n\nEvery error answer has the shape `{\"error\":{\"kind\",\"message\",\"ran\",\"retry_after_ms\",…}}`.\n" +
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("the reference of error kinds", func() {
-	It("is what the table says", func() {
+	It("matches the table", func() {
 		const file = "../../docs/operate/errors.md"
 		if os.Getenv("UPDATE_DOCS") != "" {
 			Expect(os.WriteFile(file, []byte(reference()), 0o644)).To(Succeed())
--- a/pkg/limits/account.go
+++ b/pkg/limits/account.go
@@ -1,5 +1,5 @@
-// Package limits decides whether a request may run now: the limits of its
-// client account, and the queue in front of the engines.
+// Package limits decides whether a request may run now: by the limits of its client account,
+// and by the admission queue in front of the engines.
 package limits
 
 import (
@@ -13,16 +13,16 @@
 	"golang.org/x/time/rate"
 )
 
-// idleTimeout is after how long without a request an account's state is dropped.
+// idleTimeout is the time without a request after which an account's state is dropped.
 const idleTimeout = 10 * time.Minute
 
-// burstSeconds is how many seconds' worth of a limit may be used at once.
+// burstSeconds is the number of seconds' worth of a limit that may be used at once.
 const burstSeconds = 2
 
-// Accounts holds each client account to its limits on this host. Every host
-// allows an equal share of an account's limits, so the sum over all hosts
-// stays within the limit without a call for each request; an account that
-// sends everything to one host gets that host's share only.
+// Accounts enforces the limits of client accounts on this host. Every host allows an equal
+// share of an account's limits, so that the sum over all hosts stays within the limit without
+// a call for each request. An account that sends everything to one host gets only that host's
+// share.
 type Accounts struct {
 	svc   timer.Service
 	hosts func() int
@@ -40,7 +40,7 @@
 	lastUsed time.Time
 }
 
-// NewAccounts returns limits for one of hosts() entry hosts.
+// NewAccounts returns the limits of one of hosts() entry hosts.
 func NewAccounts(svc timer.Service, hosts func() int) *Accounts {
 	return &Accounts{
 		svc:     svc,
@@ -49,9 +49,9 @@
 	}
 }
 
-// Acquire lets a request of the account that may generate up to tokens begin,
-// or refuses it at once. The caller must call Leave with the tokens that were
-// not used.
+// Acquire admits a request of the account that may generate up to the given number of tokens,
+// or refuses it at once. If it returns nil, the caller must call Release with the number of
+// tokens that weren't generated.
 func (a *Accounts) Acquire(account bundle.Account, tokens int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,16 +61,16 @@
 		return refuse(failure.ConcurrencyLimited, time.Second, "client account %q has %d requests in flight on this host", account.Name, e.running)
 	}
 	if wait := reserve(e.requests, now, 1); wait > 0 {
-		return refuse(failure.RateLimited, wait, "client account %q is over %d requests a second", account.Name, account.RequestsPerSecond)
+		return refuse(failure.RateLimited, wait, "client account %q exceeds its limit of %d requests per second", account.Name, account.RequestsPerSecond)
 	}
 	if wait := reserve(e.tokens, now, tokens); wait > 0 {
-		return refuse(failure.TokensLimited, wait, "client account %q is over %d tokens a second", account.Name, account.TokensPerSecond)
+		return refuse(failure.TokensLimited, wait, "client account %q exceeds its limit of %d tokens per second", account.Name, account.TokensPerSecond)
 	}
 	e.running++
 	return nil
 }
 
-// Release ends what Enter let begin.
+// Release ends a request that Acquire admitted, and returns its unused tokens.
 func (a *Accounts) Release(account bundle.Account, unused int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// Sweep forgets accounts that were not seen for long.
+// Sweep drops accounts without a request for idleTimeout, and returns their names.
 func (a *Accounts) Sweep() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -125,12 +125,12 @@
 	l.SetLimitAt(now, rate.Limit(rps))
 	l.SetBurstAt(now, burst)
 	if isNew {
-		l.AllowN(now, -burst) // a new account begins with its whole burst
+		l.AllowN(now, -burst) // a new account starts with a full burst
 	}
 }
 
-// reserve takes n from the limiter, or returns how long it would take. A
-// request for more than the burst is let through once the burst is whole.
+// reserve takes n tokens from the limiter, or returns how long until it has them. An n beyond
+// the burst counts as the burst, so that it is admitted once the limiter is full.
 func reserve(l *rate.Limiter, now time.Time, n int) time.Duration {
 	n = min(n, l.Burst())
 	if l.AllowN(now, n) {
@@ -144,8 +144,8 @@
 	return max(1, (limit+hosts-1)/hosts)
 }
 
-// refuse says when to come back, spread out so that the returns don't all
-// come at the same moment.
+// refuse returns a failure with the time after which to retry, randomly prolonged so that the
+// retries don't all come at the same moment.
 func refuse(k failure.Kind, wait time.Duration, format string, args ...any) error {
 	const spread = 0.5
 	wait += time.Duration(rand.Float64() * spread * float64(wait))
--- a/pkg/limits/gate.go
+++ b/pkg/limits/gate.go
@@ -10,18 +10,14 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// AdmissionQueue is the queue in front of the engines. It lets as many requests in as
-// the engines have room for. Of those that wait, the highest priority goes
-// first; within one, client accounts share by their weights. Waiting raises a
-// request's priority, so that nothing starves. A request that would wait for
-// longer than the latency budget is refused at once.
+// AdmissionQueue is the queue in front of the engines. It admits as many requests as the
+// engines have capacity for. The waiting request with the highest priority is next; within one
+// priority, client accounts share by their weights. Waiting raises a request's priority, so
+// that none starves. A request that would have to wait for longer than the latency budget is
+// refused at once.
 //
-// The refusal by queue length and the ageing follow the single-node serving
-// layer in the paper by the related-work note of DESIGN.md, which measured
-// both; weights and the measured time in the engines are ours.
-//
-// Invariants: running <= capacity at the moment of each entry; a queued
-// request is either let in, or leaves by its own context, never both.
+// Invariants: running is at most the capacity whenever a request is admitted; a queued request
+// is either admitted or withdrawn when its context ends, never both.
 type AdmissionQueue struct {
 	svc      timer.Service
 	capacity func() int
@@ -30,9 +26,9 @@
 	mu           sync.Mutex
 	running      int
 	queue        []*waiter
-	virtualTimes map[string]float64 // virtual time by account
+	virtualTimes map[string]float64 // by account, for weighted fair queueing
 	virtualNow   float64
-	serviceTime  time.Duration // average time in the engines
+	serviceTime  time.Duration // moving average of the time in the engines
 }
 
 type waiter struct {
@@ -44,15 +40,15 @@
 }
 
 const (
-	// ageStep is how long a request waits to count one priority higher.
+	// ageStep is the waiting time that raises a request's priority by one.
 	ageStep            = 500 * time.Millisecond
-	serviceTimeWeight  = 0.05
+	serviceTimeWeight  = 0.05 // of the newest value in the moving average
 	initialServiceTime = 500 * time.Millisecond
-	// maxVirtualTimes bounds the accounts whose virtual time is remembered.
+	// maxVirtualTimes bounds the accounts whose virtual time is kept.
 	maxVirtualTimes = 10_000
 )
 
-// NewAdmissionQueue returns a gate that lets capacity() requests in.
+// NewAdmissionQueue returns a queue that admits up to capacity() requests at a time.
 func NewAdmissionQueue(svc timer.Service, budget time.Duration, capacity func() int) *AdmissionQueue {
 	return &AdmissionQueue{
 		svc:          svc,
@@ -63,8 +59,8 @@
 	}
 }
 
-// Acquire waits until the request may go to the engines. Each Enter that
-// returns nil must be followed by one Leave.
+// Acquire waits until the request may go to the engines. Each Acquire that returns nil must be
+// followed by one Release.
 func (q *AdmissionQueue) Acquire(ctx context.Context, account bundle.Account, priority int) error {
 	w, err := q.join(account, priority)
 	if w == nil || err != nil {
@@ -76,13 +72,13 @@
 	case <-ctx.Done():
 	}
 	if q.withdraw(w) {
-		return failure.Wrap(ctx.Err(), failure.DeadlineExceeded, "the request's time ran out in the queue").WithRan(failure.RanNo)
+		return failure.Wrap(ctx.Err(), failure.DeadlineExceeded, "the request timed out in the queue").WithRan(failure.RanNo)
 	}
-	return nil // it was let in at the same moment
+	return nil // it was admitted at the same moment
 }
 
-// join lets the request in, queues it, or refuses it. The ticket is nil if
-// there is nothing to wait for.
+// join admits the request, queues it, or refuses it. The waiter is nil if the request was
+// admitted or refused.
 func (q *AdmissionQueue) join(account bundle.Account, priority int) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -93,7 +89,7 @@
 		return nil, nil
 	}
 	if wait := q.expectedWait(capacity, priority); wait > q.budget {
-		return nil, refuse(failure.Overloaded, wait, "%d requests wait; this one would wait for %s, and %s is allowed",
+		return nil, refuse(failure.Overloaded, wait, "%d requests are queued; the expected wait of %s exceeds the latency budget of %s",
 			len(q.queue), wait.Round(time.Millisecond), q.budget)
 	}
 	w := &waiter{
@@ -107,7 +103,7 @@
 	return w, nil
 }
 
-// expectedWait is how long those ahead of a new request take to be let in.
+// expectedWait returns how long a new request of the given priority would wait.
 func (q *AdmissionQueue) expectedWait(capacity, priority int) time.Duration {
 	now := q.svc.Now()
 	ahead := 1
@@ -119,7 +115,7 @@
 	return time.Duration(ahead) * q.serviceTime / time.Duration(max(1, capacity))
 }
 
-// Release ends a request that was let in; held is how long it was in the engines.
+// Release ends a request that was admitted; took is how long it was in the engines.
 func (q *AdmissionQueue) Release(took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -128,14 +124,14 @@
 	q.admit()
 }
 
-// CapacityChanged lets in whom a risen capacity has room for.
+// CapacityChanged admits waiting requests after the capacity may have risen.
 func (q *AdmissionQueue) CapacityChanged() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.admit()
 }
 
-// Counts returns how many requests wait, and how many are let in.
+// Counts returns how many requests wait, and how many were admitted and still run.
 func (q *AdmissionQueue) Counts() (waiting, running int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -154,7 +150,7 @@
 	}
 }
 
-// next returns the place in the queue of who goes next.
+// next returns the index of the waiter to admit next.
 func (q *AdmissionQueue) next() int {
 	now := q.svc.Now()
 	best := 0
@@ -180,12 +176,14 @@
 	return w.priority + int(now.Sub(w.arrived)/ageStep)
 }
 
-// virtualTime returns an account's virtual time; one that was away begins at now.
+// virtualTime returns an account's virtual time. An account that was idle resumes at virtualNow,
+// so that it can't save up its share.
 func (q *AdmissionQueue) virtualTime(account string) float64 {
 	return max(q.virtualTimes[account], q.virtualNow)
 }
 
-// charge moves the account's virtual time on by what one request costs it.
+// charge advances the account's virtual time by the cost of one request, the inverse of its
+// weight.
 func (q *AdmissionQueue) charge(account string, weight int) {
 	start := q.virtualTime(account)
 	q.virtualNow = start
@@ -195,7 +193,7 @@
 	q.virtualTimes[account] = start + 1/float64(max(1, weight))
 }
 
-// withdraw takes a ticket out of the queue, and reports whether it was there.
+// withdraw removes a waiter from the queue, and reports whether it was still queued.
 func (q *AdmissionQueue) withdraw(target *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/limits/limits_test.go
+++ b/pkg/limits/limits_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// letIn counts how many of n requests are let in, each ending at once.
+// countAdmitted returns how many of n requests are admitted, each ending at once.
 func countAdmitted(a *limits.Accounts, acc bundle.Account, n, tokens int) int {
 	in := 0
 	for range n {
@@ -60,17 +60,17 @@
 		}
 		acc := account("a", 1)
 		total := 0
-		for range 100 { // ten seconds of too many requests everywhere
+		for range 100 { // ten seconds of more requests than allowed on every host
 			for _, a := range all {
 				total += countAdmitted(a, acc, 5, 0)
 			}
 			svc.Advance(100 * time.Millisecond)
 		}
-		// The limit, and the burst of two seconds that a new account begins with.
+		// The limit, and the burst of two seconds with which a new account starts.
 		Expect(total).To(BeNumerically("~", 40*10+80, n))
 	})
 
-	It("says when to come back, and then lets the request in", func() {
+	It("returns when to retry, and then admits the request", func() {
 		svc := timer.NewManual(start)
 		a := limits.NewAccounts(svc, hosts(1))
 		acc := account("a", 1)
@@ -82,7 +82,7 @@
 		Expect(a.Acquire(acc, 0)).To(Succeed())
 	})
 
-	It("counts tokens, and gives back those that were not used", func() {
+	It("counts tokens, and returns unused ones", func() {
 		svc := timer.NewManual(start)
 		a := limits.NewAccounts(svc, hosts(1))
 		acc := account("a", 1)
@@ -92,7 +92,7 @@
 		Expect(a.Acquire(acc, 400)).To(Succeed())
 	})
 
-	It("bounds requests in flight, and lets one in when another ends", func() {
+	It("bounds requests in flight, and admits one when another ends", func() {
 		a := limits.NewAccounts(timer.NewManual(start), hosts(2))
 		acc := account("a", 1)
 		for range 4 {
@@ -103,7 +103,7 @@
 		Expect(a.Acquire(acc, 0)).To(Succeed())
 	})
 
-	It("forgets an account that is never seen again", func() {
+	It("drops an account that is never seen again", func() {
 		svc := timer.NewManual(start)
 		a := limits.NewAccounts(svc, hosts(1))
 		countAdmitted(a, account("a", 1), 1, 0)
@@ -113,8 +113,8 @@
 	})
 })
 
-// gateRun has every request wait at a gate and lets them in one by one; it
-// returns the names in the order in which they were let in.
+// queueTest has requests wait in an admission queue, and records their names in the order in
+// which they are admitted.
 type queueTest struct {
 	svc       *timer.Manual
 	admission *limits.AdmissionQueue
@@ -133,7 +133,7 @@
 	return r
 }
 
-// queue adds a waiting request and returns once it waits.
+// enqueue adds a request and returns once it waits.
 func (r *queueTest) enqueue(name string, acc bundle.Account, priority int) {
 	before, _ := r.admission.Counts()
 	r.g.Go(func(ctx context.Context) {
@@ -150,7 +150,7 @@
 	}, 10*time.Second, time.Millisecond).Should(Equal(before + 1))
 }
 
-// admit lets n in, one after the other.
+// admit raises the capacity n times by one, each admitting one request.
 func (r *queueTest) admit(n int) []string {
 	for range n {
 		r.mu.Lock()
@@ -169,8 +169,8 @@
 	return append([]string(nil), r.admitted...)
 }
 
-var _ = Describe("Gate", func() {
-	It("lets the higher priority go first", func() {
+var _ = Describe("AdmissionQueue", func() {
+	It("admits the highest priority first", func() {
 		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
 		r.enqueue("batch", account("a", 1), 1)
@@ -178,7 +178,7 @@
 		Expect(r.admit(2)).To(Equal([]string{"note", "batch"}))
 	})
 
-	It("lets what has waited for long go before what has just come", func() {
+	It("admits a request that has waited for long before a newer one of higher priority", func() {
 		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
 		r.enqueue("batch", account("a", 1), 1)
@@ -205,7 +205,7 @@
 		Expect(small).To(Equal(2), "a quarter of eight")
 	})
 
-	It("refuses at once what would wait for too long, and says when to come back", func() {
+	It("refuses at once a request that would wait for too long, and returns when to retry", func() {
 		r := newQueueTest(time.Second)
 		defer r.g.Stop()
 		r.capacity = 1
@@ -218,7 +218,7 @@
 		Expect(r.admission.Acquire(context.Background(), account("a", 1), 5)).NotTo(Succeed())
 	})
 
-	It("lets a request that gives up leave the queue", func() {
+	It("lets a request whose context ends leave the queue", func() {
 		r := newQueueTest(time.Hour)
 		defer r.g.Stop()
 		ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/rollout/keeper.go
+++ b/pkg/rollout/keeper.go
@@ -1,6 +1,6 @@
-// Package rollout keeps, on an entry host, the set of bundles in force. It
-// takes newer sets from control replicas or from other entry hosts, verifies
-// every signature itself, and never goes back.
+// Package rollout keeps the set of bundles that is active on an entry host. It fetches newer
+// sets from control replicas or from other entry hosts, verifies every signature itself, and
+// never goes back to an older revision.
 package rollout
 
 import (
@@ -18,23 +18,23 @@
 )
 
 const (
-	// longPollWait is for how long a control replica holds a call when nothing
-	// is newer. It bounds the age of a confirmation when nothing changes.
+	// longPollWait is how long a control replica holds a call open while there is nothing
+	// newer. It bounds the age of a confirmation when nothing changes.
 	longPollWait = 4 * time.Second
 	fetchTimeout = longPollWait + 2*time.Second
 	retryPause   = 250 * time.Millisecond
 	peerTimeout  = time.Second
-	// maxInitialConfirmationAge is how old a confirmation may be to make this host sure for
-	// the first time. A host that starts without a disk may have served a
-	// newer set in its last life than an old confirmation speaks of.
+	// maxInitialConfirmationAge is how old a confirmation may be to confirm this host's set for
+	// the first time. A host that starts without a disk may have served a newer set before
+	// its restart than the one that an older confirmation is about.
 	maxInitialConfirmationAge = 10 * time.Second
 )
 
-// Syncer holds the set in force on this host.
+// Syncer holds the active set of this host, and fetches newer ones.
 //
-// Invariants: the revision never falls; a set is installed whole or not at
-// all; confirmedAt is a time at which the installed revision was the newest
-// that a control majority had accepted.
+// Invariants: the revision never falls; a set is installed completely or not at all;
+// confirmedAt is a time at which the installed revision was the newest that a majority of the
+// control replicas had accepted.
 type Syncer struct {
 	host    string
 	control []string
@@ -50,11 +50,10 @@
 	confirmed   bool
 	confirmedAt time.Time
 	changed     chan struct{}
-	nextControl int // the control replica to ask next
+	nextControl int // index of the control replica to ask next
 }
 
-// New returns a keeper that holds no set yet. peers gives the addresses of
-// other entry hosts.
+// New returns a syncer without a set. peers returns the addresses of other entry hosts.
 func New(host string, control []string, peers func() []string, trust *bundle.Trust, svc timer.Service, client *http.Client, set *metrics.Set) *Syncer {
 	empty, _ := bundle.NewSet(0, nil)
 	return &Syncer{
@@ -71,22 +70,22 @@
 	}
 }
 
-// Set returns the set in force.
+// Set returns the active set.
 func (s *Syncer) Set() *bundle.Set {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set
 }
 
-// Changed returns a channel that is closed once a newer set is in force.
+// Changed returns a channel that is closed once a newer set is active.
 func (s *Syncer) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Confirmed reports whether the set was ever confirmed to be the newest since
-// this process started, and how long ago the last time was.
+// Confirmed reports whether the set was confirmed to be the newest since this process started,
+// and how long ago it last was.
 func (s *Syncer) Confirmed() (bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +105,7 @@
 	}
 }
 
-// fetchControl asks one control replica, and reports whether it confirmed.
+// fetchControl asks one control replica, and reports whether it confirmed the set.
 func (s *Syncer) fetchControl(ctx context.Context) bool {
 	s.mu.Lock()
 	address := s.control[s.nextControl%len(s.control)]
@@ -140,8 +139,8 @@
 	return r
 }
 
-// fetchPeers asks the other entry hosts in turn, so that a set gets through
-// where no control replica can be reached.
+// fetchPeers asks the other entry hosts in turn, so that sets are distributed even if no
+// control replica can be reached.
 func (s *Syncer) fetchPeers(ctx context.Context) {
 	for _, address := range s.peers() {
 		if s.fetchPeer(ctx, address) {
@@ -161,15 +160,15 @@
 	return s.apply(reply, sent) == nil && reply.GetConfirmed()
 }
 
-// apply installs what a reply brings and notes what it confirms. sent is when
-// the call was made: the answer is true of some moment after it.
+// apply installs the set in a reply, and records its confirmation. sent is when the call was
+// made: the reply describes some moment after it.
 func (s *Syncer) apply(reply *rpc.FetchReply, sent time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if set := reply.GetSet(); set != nil && set.GetRevision() > s.set.Revision() {
 		if err := s.install(set); err != nil {
 			s.metrics.Counter("rollout_refused").Inc(1)
-			logflags.Error(logflags.Rollout, err, "a set was refused", "revision", set.GetRevision())
+			logflags.Error(logflags.Rollout, err, "bundle set rejected", "revision", set.GetRevision())
 			return err
 		}
 	}
@@ -187,8 +186,7 @@
 	return nil
 }
 
-// install puts a newer set in force: the versions held, with those that
-// changed in their places.
+// install makes a newer set active: the versions held, of which those in the set are replaced.
 func (s *Syncer) install(set *rpc.BundleSet) error {
 	next := map[string]*rpc.BundleVersion{}
 	for name, v := range s.versions {
@@ -217,18 +215,18 @@
 	close(s.changed)
 	s.changed = make(chan struct{})
 	s.metrics.Gauge("revision").Update(int64(set.GetRevision()))
-	logflags.Info(logflags.Rollout, "set in force", "revision", set.GetRevision())
+	logflags.Info(logflags.Rollout, "bundle set active", "revision", set.GetRevision())
 	return nil
 }
 
-// verify checks a version by itself: its digest, its signatures, and that it
-// doesn't go back behind the one held.
+// verify checks a version by itself: its digest, its signatures, and that it isn't older than
+// the one held.
 func (s *Syncer) verify(v *rpc.BundleVersion) error {
 	if bundle.Digest(v.GetContent()) != v.GetDigest() {
-		return errors.Errorf("bundle %q: the text doesn't have the digest it came with", v.GetName())
+		return errors.Errorf("bundle %q: content doesn't match its digest", v.GetName())
 	}
 	if held := s.versions[v.GetName()]; held != nil && v.GetVersion() < held.GetVersion() {
-		return errors.Errorf("bundle %q: version %d came after version %d", v.GetName(), v.GetVersion(), held.GetVersion())
+		return errors.Errorf("bundle %q: version %d is older than version %d, which is active", v.GetName(), v.GetVersion(), held.GetVersion())
 	}
 	return s.trust.Verify(v)
 }
--- a/pkg/rollout/keeper_test.go
+++ b/pkg/rollout/keeper_test.go
@@ -28,7 +28,7 @@
 
 const waitTimeout = 20 * time.Second
 
-// fakeControl answers fetches with what it is told to.
+// fakeControl is a control host that answers fetches with a given reply.
 type fakeControl struct {
 	mu    sync.Mutex
 	reply *rpc.FetchReply
@@ -74,7 +74,7 @@
 	}
 }
 
-// version is a signed version of a bundle, accepted at a revision.
+// version returns a signed version of a bundle, accepted at a revision.
 func (s signer) version(name string, version, revision uint64) *rpc.BundleVersion {
 	parent := ""
 	if version > 1 {
@@ -105,7 +105,7 @@
 	}
 }
 
-// withKeeper runs a keeper that asks one fake control host and some peers.
+// withSyncer runs a syncer that asks one fake control host and some peers.
 func withSyncer(s signer, peers []string, f func(syncer *rollout.Syncer, c *fakeControl)) {
 	c := &fakeControl{}
 	server := httptest.NewServer(rpc.NewRolloutServer(c))
@@ -120,8 +120,8 @@
 	f(syncer, c)
 }
 
-// asked waits until the control host was asked twice more.
-func (f *fakeControl) asked() {
+// waitForCalls waits until two more calls have reached the control host.
+func (f *fakeControl) waitForCalls() {
 	f.mu.Lock()
 	from := f.calls
 	f.mu.Unlock()
@@ -138,13 +138,13 @@
 	}
 }
 
-var _ = Describe("Keeper", func() {
-	It("isn't sure until a control majority confirmed, and says so", func() {
+var _ = Describe("Syncer", func() {
+	It("isn't confirmed until a control majority confirmed the set", func() {
 		s := newSigner()
 		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(false, 4, s.version("a", 1, 4)))
 			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(4)))
-			c.asked()
+			c.waitForCalls()
 			confirmed, _ := syncer.Confirmed()
 			Expect(confirmed).To(BeFalse())
 			c.set(reply(true, 4))
@@ -155,20 +155,20 @@
 		})
 	})
 
-	It("isn't made sure by a confirmation that is an hour old", func() {
+	It("isn't confirmed by a confirmation that is an hour old", func() {
 		s := newSigner()
 		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			old := reply(true, 4, s.version("a", 1, 4))
 			old.ConfirmedAgeMs = 3_600_000
 			c.set(old)
 			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(4)))
-			c.asked()
+			c.waitForCalls()
 			confirmed, _ := syncer.Confirmed()
 			Expect(confirmed).To(BeFalse())
 		})
 	})
 
-	It("never goes back, whoever says so", func() {
+	It("never goes back to an older revision or version", func() {
 		s := newSigner()
 		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 7, s.version("a", 3, 7)))
@@ -177,13 +177,13 @@
 				name  string
 				reply *rpc.FetchReply
 			}{
-				{name: "a replica that was cut off", reply: reply(false, 5, s.version("a", 2, 5))},
-				{name: "one that is sure of it", reply: reply(true, 5, s.version("a", 2, 5))},
+				{name: "a partitioned replica", reply: reply(false, 5, s.version("a", 2, 5))},
+				{name: "a replica that confirms an older set", reply: reply(true, 5, s.version("a", 2, 5))},
 				{name: "an older version under a newer revision", reply: reply(true, 9, s.version("a", 2, 9))},
 			}
 			for _, o := range older {
 				c.set(o.reply)
-				c.asked()
+				c.waitForCalls()
 				Expect(syncer.Set().Revision()).To(Equal(uint64(7)), o.name)
 				v, _ := syncer.Set().Service("a")
 				Expect(v.BodyLimitKB).To(Equal(3), o.name)
@@ -191,7 +191,7 @@
 		})
 	})
 
-	It("takes a set whole or not at all, and only as signed", func() {
+	It("installs a set completely or not at all, and only if its signatures are valid", func() {
 		s := newSigner()
 		stranger := newSigner()
 		changed := s.version("b", 1, 8)
@@ -203,16 +203,16 @@
 			name   string
 			bundle *rpc.BundleVersion
 		}{
-			{name: "a stranger's signature", bundle: stranger.version("b", 1, 8)},
-			{name: "text without its digest", bundle: changed},
-			{name: "text without its signature", bundle: forged},
+			{name: "signature of an unknown key", bundle: stranger.version("b", 1, 8)},
+			{name: "content that doesn't match its digest", bundle: changed},
+			{name: "content that doesn't match its signature", bundle: forged},
 		}
 		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 7, s.version("a", 1, 7)))
 			Eventually(revisionOf(syncer), waitTimeout, time.Millisecond).Should(Equal(uint64(7)))
 			for _, b := range bad {
 				c.set(reply(true, 8, s.version("a", 2, 8), b.bundle))
-				c.asked()
+				c.waitForCalls()
 				Expect(syncer.Set().Revision()).To(Equal(uint64(7)), b.name)
 				v, _ := syncer.Set().Service("a")
 				Expect(v.BodyLimitKB).To(Equal(1), b.name)
@@ -222,7 +222,7 @@
 		})
 	})
 
-	It("takes only what changed, and keeps the rest", func() {
+	It("replaces only what changed, and keeps the rest", func() {
 		s := newSigner()
 		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 2, s.version("a", 1, 1), s.version("b", 1, 2)))
@@ -237,7 +237,7 @@
 		})
 	})
 
-	It("takes a set from a peer when no control host answers, with its age", func() {
+	It("fetches a set from a peer when no control host answers, with the age of its confirmation", func() {
 		s := newSigner()
 		withSyncer(s, nil, func(near *rollout.Syncer, c *fakeControl) {
 			c.set(reply(true, 6, s.version("a", 1, 6)))
@@ -247,8 +247,8 @@
 			}, waitTimeout, time.Millisecond).Should(BeTrue())
 			peer := httptest.NewServer(rpc.NewRolloutServer(near))
 			defer peer.Close()
-			withSyncer(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Syncer, cut *fakeControl) {
-				cut.stop()
+			withSyncer(s, []string{strings.TrimPrefix(peer.URL, "http://")}, func(far *rollout.Syncer, unreachable *fakeControl) {
+				unreachable.stop()
 				Eventually(func() bool {
 					confirmed, _ := far.Confirmed()
 					return confirmed
