--- a/pkg/failure/error.go
+++ b/pkg/failure/error.go
@@ -18,12 +18,12 @@
 
 // New returns a failure of kind k; the formatted text is for the person who reads the answer.
 func New(k Kind, format string, args ...any) *Error {
-	row := k.Answer()
+	entry := k.Answer()
 	return &Error{
 		kind:       k,
 		detail:     fmt.Sprintf(format, args...),
-		ran:        row.Ran,
-		retryAfter: row.RetryAfter,
+		ran:        entry.Ran,
+		retryAfter: entry.RetryAfter,
 	}
 }
 
--- a/pkg/failure/kind_test.go
+++ b/pkg/failure/kind_test.go
@@ -19,14 +19,14 @@
 	It("has a complete entry for every kind, and no name twice", func() {
 		seen := map[string]bool{}
 		for _, k := range failure.Kinds() {
-			row := k.Answer()
-			Expect(row.Name).NotTo(BeEmpty())
-			Expect(seen[row.Name]).To(BeFalse(), row.Name)
-			seen[row.Name] = true
-			Expect(row.Status).To(BeNumerically(">=", 400), row.Name)
-			Expect(row.Ran).To(BeElementOf(failure.RanNo, failure.RanYes, failure.RanUnknown), row.Name)
-			Expect(row.Meaning).To(HaveSuffix("."), row.Name)
-			back, ok := failure.KindNamed(row.Name)
+			entry := k.Answer()
+			Expect(entry.Name).NotTo(BeEmpty())
+			Expect(seen[entry.Name]).To(BeFalse(), entry.Name)
+			seen[entry.Name] = true
+			Expect(entry.Status).To(BeNumerically(">=", 400), entry.Name)
+			Expect(entry.Ran).To(BeElementOf(failure.RanNo, failure.RanYes, failure.RanUnknown), entry.Name)
+			Expect(entry.Meaning).To(HaveSuffix("."), entry.Name)
+			back, ok := failure.KindNamed(entry.Name)
 			Expect(ok).To(BeTrue())
 			Expect(back).To(Equal(k))
 		}
--- a/pkg/permit/book.go
+++ b/pkg/permit/book.go
@@ -73,9 +73,9 @@
 	decayedAt  time.Time
 }
 
-func (rate *requestRate) decay(now time.Time) {
-	rate.rate *= math.Exp(-float64(now.Sub(rate.decayedAt)) / float64(rateWindow))
-	rate.decayedAt = now
+func (r *requestRate) decay(now time.Time) {
+	r.rate *= math.Exp(-float64(now.Sub(r.decayedAt)) / float64(rateWindow))
+	r.decayedAt = now
 }
 
 // heldPermit is one permit that the host holds.
@@ -244,16 +244,16 @@
 		return
 	}
 	now := h.clock.Now()
-	rate := h.requests[service]
-	if rate == nil {
-		rate = &requestRate{
+	r := h.requests[service]
+	if r == nil {
+		r = &requestRate{
 			decayedAt: now,
 		}
-		h.requests[service] = rate
+		h.requests[service] = r
 	}
-	rate.decay(now)
-	rate.rate++
-	rate.unreported++
+	r.decay(now)
+	r.rate++
+	r.unreported++
 }
 
 // HostReport is what a host sends the leader.
@@ -289,20 +289,20 @@
 func (h *Holder) demands(now time.Time) []Demand {
 	wanted := h.wanted(now)
 	var list []Demand
-	for service, rate := range h.requests {
-		rate.decay(now)
-		if rate.unreported == 0 && rate.rate < minExpectedUse {
+	for service, r := range h.requests {
+		r.decay(now)
+		if r.unreported == 0 && r.rate < minExpectedUse {
 			delete(h.requests, service)
 			continue
 		}
 		d := Demand{
 			Service:  service,
-			Requests: rate.unreported,
+			Requests: r.unreported,
 		}
-		if rate.rate*float64(Lifetime)/float64(rateWindow) >= minExpectedUse {
+		if r.rate*float64(Lifetime)/float64(rateWindow) >= minExpectedUse {
 			d.Wanted = wanted[service]
 		}
-		rate.unreported = 0
+		r.unreported = 0
 		list = append(list, d)
 	}
 	return list
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -198,17 +198,17 @@
 			cases := []struct {
 				known    uint64
 				limit    int
-				rows     int
+				entries  int
 				complete bool
 			}{
-				{known: 0, limit: 3, rows: 3, complete: true},
-				{known: 0, limit: 2, rows: 0, complete: false},
-				{known: 2, limit: 1, rows: 1, complete: true},
-				{known: 3, limit: 0, rows: 0, complete: true},
+				{known: 0, limit: 3, entries: 3, complete: true},
+				{known: 0, limit: 2, entries: 0, complete: false},
+				{known: 2, limit: 1, entries: 1, complete: true},
+				{known: 3, limit: 0, entries: 0, complete: true},
 			}
 			for _, k := range cases {
 				list, version, complete := t.ChangesUpTo(k.known, k.limit)
-				Expect(list).To(HaveLen(k.rows))
+				Expect(list).To(HaveLen(k.entries))
 				Expect(complete).To(Equal(k.complete))
 				Expect(version).To(BeEquivalentTo(3))
 			}
--- a/pkg/rest/wire.go
+++ b/pkg/rest/wire.go
@@ -7,9 +7,9 @@
 )
 
 // ToWire encodes backoffs, for the processes of a host to send each other.
-func ToWire(resting map[string]time.Duration) []*rpc.Resting {
-	list := make([]*rpc.Resting, 0, len(resting))
-	for id, remaining := range resting {
+func ToWire(backoffs map[string]time.Duration) []*rpc.Resting {
+	list := make([]*rpc.Resting, 0, len(backoffs))
+	for id, remaining := range backoffs {
 		list = append(list, &rpc.Resting{
 			Endpoint: id,
 			LeftMs:   uint32(remaining.Milliseconds()),
