--- a/pkg/permit/account.go
+++ b/pkg/permit/account.go
@@ -12,7 +12,7 @@
 	burstExtra = 2.5
 	// At most outstandingTime's worth of the limit and outstandingExtra permits may be
 	// outstanding. Together with the bucket size this bounds the calls of any 4 s to
-	// 1.5 times what the limit allows, plus 3.5; plus 5 is permitted.
+	// 1.5 times what the limit allows, plus 3.5 of the 5 that are permitted beyond it.
 	outstandingTime  = 1500 * time.Millisecond
 	outstandingExtra = 1
 	// After a limit was first reported, nothing is granted for grantPause: until then the
--- a/pkg/permit/book.go
+++ b/pkg/permit/book.go
@@ -44,7 +44,7 @@
 	digest     uint64 // of the keys of entries
 	term       uint64 // of the leader whose limits are held, up to version
 	version    uint64
-	unreported map[uint32]LimitReport  // not acknowledged by a leader; the newest of each endpoint
+	unreported map[uint32]LimitReport  // not acknowledged by the leader; the newest of each endpoint
 	requests   map[string]*requestRate // by service
 	nextWanted uint32                  // key at which the next round of wanted endpoints starts
 	unused     Counts                  // permits of term that expired unused, not reported yet
@@ -330,7 +330,7 @@
 	return list
 }
 
-// PendingReports returns the limit reports that no leader has acknowledged yet.
+// PendingReports returns the limit reports that the leader hasn't acknowledged yet.
 func (h *Holder) PendingReports() []LimitReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
