--- a/pkg/limits/account.go
+++ b/pkg/limits/account.go
@@ -61,10 +61,10 @@
 		return refuse(failure.ConcurrencyLimited, time.Second, "client account %q has %d requests in flight on this host", account.Name, e.running)
 	}
 	if wait := reserve(e.requests, now, 1); wait > 0 {
-		return refuse(failure.RateLimited, wait, "client account %q exceeds its limit of %d requests per second", account.Name, account.RequestsPerSecond)
+		return refuse(failure.RateLimited, wait, "client account %q is over %d requests a second", account.Name, account.RequestsPerSecond)
 	}
 	if wait := reserve(e.tokens, now, tokens); wait > 0 {
-		return refuse(failure.TokensLimited, wait, "client account %q exceeds its limit of %d tokens per second", account.Name, account.TokensPerSecond)
+		return refuse(failure.TokensLimited, wait, "client account %q is over %d tokens a second", account.Name, account.TokensPerSecond)
 	}
 	e.running++
 	return nil
--- a/pkg/limits/gate.go
+++ b/pkg/limits/gate.go
@@ -72,7 +72,7 @@
 	case <-ctx.Done():
 	}
 	if q.withdraw(w) {
-		return failure.Wrap(ctx.Err(), failure.DeadlineExceeded, "the request timed out in the queue").WithRan(failure.RanNo)
+		return failure.Wrap(ctx.Err(), failure.DeadlineExceeded, "the request's time ran out in the queue").WithRan(failure.RanNo)
 	}
 	return nil // it was admitted at the same moment
 }
@@ -89,7 +89,7 @@
 		return nil, nil
 	}
 	if wait := q.expectedWait(capacity, priority); wait > q.budget {
-		return nil, refuse(failure.Overloaded, wait, "%d requests are queued; the expected wait of %s exceeds the latency budget of %s",
+		return nil, refuse(failure.Overloaded, wait, "%d requests wait; this one would wait for %s, and %s is allowed",
 			len(q.queue), wait.Round(time.Millisecond), q.budget)
 	}
 	w := &waiter{
