--- a/pkg/fleetcontrol/announce_test.go
+++ b/pkg/fleetcontrol/announce_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func (c *cluster) knows(ip string) func() []fleet.Endpoint {
+func (c *cluster) knownEndpoints(ip string) func() []fleet.Endpoint {
 	return func() []fleet.Endpoint {
 		return c.hosts[ip].server.table.All()
 	}
@@ -30,19 +30,19 @@
 	It("reaches every replica, and a leave does before it is acknowledged", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
-			other := c.other(lead)
+			other := c.otherHost(lead)
 			s := c.hosts[other].server
 			Expect(s.Announce(context.Background(), announcement(false, 1))).To(Succeed())
-			Eventually(c.knows(lead), "5s", "10ms").Should(HaveLen(1))
+			Eventually(c.knownEndpoints(lead), "5s", "10ms").Should(HaveLen(1))
 			Expect(s.Announce(context.Background(), announcement(true, 2))).To(Succeed())
-			Expect(c.knows(lead)()[0].Leaving).To(BeTrue())
+			Expect(c.knownEndpoints(lead)()[0].Leaving).To(BeTrue())
 		})
 	})
 
 	It("of a leave isn't acknowledged by a replica that can tell nobody", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
-			alone := c.other(lead)
+			alone := c.otherHost(lead)
 			for _, ip := range c.ips {
 				if ip != alone {
 					c.stop(ip)
@@ -57,8 +57,8 @@
 	It("of a leave isn't acknowledged by two of five replicas, though one leads: the others may elect another", func() {
 		withCluster(func(c *cluster) {
 			c.losses = 2
-			more := []string{"127.0.1.4", "127.0.1.5"}
-			for _, ip := range more {
+			extra := []string{"127.0.1.4", "127.0.1.5"}
+			for _, ip := range extra {
 				c.start(ip, true)
 			}
 			lead := c.leader()
@@ -66,7 +66,7 @@
 			s := c.hosts[lead].server
 			Expect(s.Announce(context.Background(), announcement(true, 2))).To(Succeed())
 			left := 5
-			for _, ip := range append(append([]string{}, c.ips...), more...) {
+			for _, ip := range append(append([]string{}, c.ips...), extra...) {
 				if ip != lead && left > 2 {
 					c.stop(ip)
 					left--
@@ -130,8 +130,8 @@
 				Host:   &rpc.FleetHost{Name: "h"},
 				WaitMs: 50,
 			}
-			brought := 0
-			take := func() bool {
+			received := 0
+			poll := func() bool {
 				reply, err := lead.Sync(context.Background(), q)
 				if err != nil || !reply.GetConfirmed() {
 					return false
@@ -139,11 +139,11 @@
 				q.Epoch = reply.GetEpoch()
 				q.EndpointsVersion = reply.GetEndpointsVersion()
 				if d := reply.GetDocument(); d != nil {
-					brought++
+					received++
 					q.DocumentVersion = d.GetVersion()
 				}
 				if p := reply.GetPatch(); p != nil {
-					brought++
+					received++
 					Expect(p.GetBase()).To(Equal(q.GetDocumentVersion()))
 					q.DocumentVersion = p.GetVersion()
 				}
@@ -151,19 +151,19 @@
 			}
 			began := time.Now()
 			for v := uint64(1); v <= 20; v++ {
-				c.put(ip, document(v, "a"))
-				take()
+				c.replaceConfig(ip, document(v, "a"))
+				poll()
 			}
-			Eventually(take, "5s").Should(BeTrue())
+			Eventually(poll, "5s").Should(BeTrue())
 			Expect(q.DocumentVersion).To(BeEquivalentTo(20))
-			Expect(brought).To(BeNumerically("<=", 3+int(time.Since(began)/documentPause)))
+			Expect(received).To(BeNumerically("<=", 3+int(time.Since(began)/documentInterval)))
 		})
 	})
 
 	It("isn't confirmed by a replica that doesn't lead", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
-			reply, err := c.hosts[c.other(lead)].server.Sync(context.Background(), &rpc.SyncRequest{
+			reply, err := c.hosts[c.otherHost(lead)].server.Sync(context.Background(), &rpc.SyncRequest{
 				Host: &rpc.FleetHost{Name: "h"},
 			})
 			Expect(err).NotTo(HaveOccurred())
@@ -204,9 +204,9 @@
 	It("that is older or the same is acknowledged and changes nothing; one that is invalid is refused", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
-			c.put(lead, document(9, "a"))
+			c.replaceConfig(lead, document(9, "a"))
 			for _, text := range [][]byte{document(9, "b"), document(4, "c")} {
-				c.put(c.other(lead), text)
+				c.replaceConfig(c.otherHost(lead), text)
 				now, err := c.hosts[lead].server.Read(context.Background())
 				Expect(err).NotTo(HaveOccurred())
 				Expect(now).To(Equal(document(9, "a")))
--- a/pkg/fleetcontrol/documents.go
+++ b/pkg/fleetcontrol/documents.go
@@ -15,8 +15,8 @@
 // decode returns the configuration that stands; it is read once a version.
 // Only lead calls it.
 func (s *Server) decode(doc *rpc.Document) (*fleet.Configuration, error) {
-	if s.standing != nil && s.standing.Version == doc.GetVersion() {
-		return s.standing, nil
+	if s.decodedConfig != nil && s.decodedConfig.Version == doc.GetVersion() {
+		return s.decodedConfig, nil
 	}
 	content, err := fleet.Unpack(doc.GetContent())
 	if err != nil {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.standing = cfg
+	s.decodedConfig = cfg
 	return cfg, nil
 }
 
@@ -133,7 +133,7 @@
 	}
 	node, _ := s.replica.current()
 	if node == nil {
-		return nil, errNoNode
+		return nil, errNotOpen
 	}
 	return node.Propose(ctx, data)
 }
--- a/pkg/fleetcontrol/fixture_test.go
+++ b/pkg/fleetcontrol/fixture_test.go
@@ -27,10 +27,10 @@
 	RunSpecs(t, "fleetcontrol")
 }
 
-// plainDecoder reads a configuration from its Go form in JSON.
-type plainDecoder struct{}
+// jsonDecoder reads a configuration from its Go form in JSON.
+type jsonDecoder struct{}
 
-func (plainDecoder) Decode(content []byte) (*fleet.Configuration, error) {
+func (jsonDecoder) Decode(content []byte) (*fleet.Configuration, error) {
 	c := &fleet.Configuration{}
 	return c, json.Unmarshal(content, c)
 }
@@ -56,17 +56,17 @@
 	return text
 }
 
-// fakeOrders stands in for endpoints: they take no order, and answer questions
+// fakeEndpoints stands in for endpoints: they take no order, and answer questions
 // by report; without it, nothing answers.
-type fakeOrders struct {
+type fakeEndpoints struct {
 	report func(id string) (placement.Report, error)
 }
 
-func (fakeOrders) Place(context.Context, placement.Order, string, uint64) (placement.Outcome, error) {
+func (fakeEndpoints) Place(context.Context, placement.Order, string, uint64) (placement.Outcome, error) {
 	return placement.Unknown, errors.New("no endpoint")
 }
 
-func (o fakeOrders) Report(_ context.Context, id, _ string) (placement.Report, error) {
+func (o fakeEndpoints) Report(_ context.Context, id, _ string) (placement.Report, error) {
 	if o.report == nil {
 		return placement.Report{}, errors.New("no endpoint")
 	}
@@ -75,18 +75,18 @@
 
 // cluster is control hosts on loopback numbers of their own.
 type cluster struct {
-	folder string
-	port   string
-	ips    []string // of the founders
-	losses int
-	beat   time.Duration // between an endpoint's heartbeats
+	folder    string
+	port      string
+	ips       []string // of the founders
+	losses    int
+	heartbeat time.Duration // between an endpoint's heartbeats
 	// diskless is a host that has no data folder.
 	diskless string
 	// seeds, if set, stand in the settings in place of the founders.
 	seeds []string
-	// orders stands in for the endpoints of hosts that are started from now on.
-	orders fakeOrders
-	hosts  map[string]*host
+	// endpoints stands in for the endpoints of hosts that are started from now on.
+	endpoints fakeEndpoints
+	hosts     map[string]*host
 }
 
 type host struct {
@@ -97,11 +97,11 @@
 
 // withCluster runs f on three control hosts that found a system.
 func withCluster(f func(c *cluster)) {
-	withBeat(200*time.Millisecond, f)
+	withHeartbeat(200*time.Millisecond, f)
 }
 
-// withBeat is withCluster with another interval between heartbeats.
-func withBeat(beat time.Duration, f func(c *cluster)) {
+// withHeartbeat is withCluster with another interval between heartbeats.
+func withHeartbeat(heartbeat time.Duration, f func(c *cluster)) {
 	folder, err := os.MkdirTemp("", "fleetcontrol")
 	Expect(err).NotTo(HaveOccurred())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,12 +110,12 @@
 	Expect(err).NotTo(HaveOccurred())
 	Expect(l.Close()).To(Succeed())
 	c := &cluster{
-		folder: folder,
-		port:   port,
-		ips:    []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"},
-		losses: 1,
-		beat:   beat,
-		hosts:  map[string]*host{},
+		folder:    folder,
+		port:      port,
+		ips:       []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"},
+		losses:    1,
+		heartbeat: heartbeat,
+		hosts:     map[string]*host{},
 	}
 	defer func() {
 		for ip := range c.hosts {
@@ -130,7 +130,7 @@
 	f(c)
 }
 
-func (c *cluster) data(ip string) string {
+func (c *cluster) dataFolder(ip string) string {
 	return filepath.Join(c.folder, ip)
 }
 
@@ -139,7 +139,7 @@
 	client := &http.Client{
 		Transport: &http.Transport{},
 	}
-	folder := c.data(ip)
+	folder := c.dataFolder(ip)
 	if ip == c.diskless {
 		folder = ""
 	}
@@ -153,9 +153,9 @@
 		},
 		SeedIPs:         c.seedIPs,
 		ToleratedLosses: c.losses,
-		Heartbeat:       c.beat,
-		Decoder:         plainDecoder{},
-		Orders:          c.orders,
+		Heartbeat:       c.heartbeat,
+		Decoder:         jsonDecoder{},
+		Orders:          c.endpoints,
 		Client:          client,
 		Timer:           timer.NewSystem(),
 		Metrics:         metrics.New(),
@@ -193,7 +193,7 @@
 }
 
 func (c *cluster) wipe(ip string) {
-	Expect(os.RemoveAll(c.data(ip))).To(Succeed())
+	Expect(os.RemoveAll(c.dataFolder(ip))).To(Succeed())
 }
 
 // leader waits until a host leads and returns its number.
@@ -230,7 +230,7 @@
 	return b.String()
 }
 
-func (c *cluster) other(ip string) string {
+func (c *cluster) otherHost(ip string) string {
 	for _, one := range c.ips {
 		if one != ip && c.hosts[one] != nil {
 			return one
@@ -239,8 +239,8 @@
 	return ""
 }
 
-// put sends a configuration until it is taken, as operators do.
-func (c *cluster) put(ip string, content []byte) {
+// replaceConfig sends a configuration until it is taken, as operators do.
+func (c *cluster) replaceConfig(ip string, content []byte) {
 	Eventually(func() error {
 		return c.hosts[ip].server.Replace(context.Background(), content)
 	}, "10s", "50ms").Should(Succeed())
--- a/pkg/fleetcontrol/grow_test.go
+++ b/pkg/fleetcontrol/grow_test.go
@@ -20,7 +20,7 @@
 			Eventually(func() int {
 				return len(c.hosts[c.leader()].server.replica.Members())
 			}, "15s", "50ms").Should(Equal(6))
-			c.put(c.leader(), document(5, "a"))
+			c.replaceConfig(c.leader(), document(5, "a"))
 			all := append(append([]string{}, c.ips...), more...)
 			for _, ip := range all {
 				c.stop(ip)
@@ -70,11 +70,11 @@
 				_, _, leader := c.hosts[ip].server.replica.Leads(context.Background())
 				return leader
 			}, "10s", "20ms").ShouldNot(BeEmpty())
-			c.put(ip, document(4, "a"))
+			c.replaceConfig(ip, document(4, "a"))
 			text, err := c.hosts[ip].server.Read(context.Background())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(text).To(Equal(document(4, "a")))
-			_, err = os.Stat(c.data(ip))
+			_, err = os.Stat(c.dataFolder(ip))
 			Expect(os.IsNotExist(err)).To(BeTrue())
 			Expect(c.hosts[c.leader()].server.replica.Members()).To(HaveLen(3))
 		})
--- a/pkg/fleetcontrol/hosts.go
+++ b/pkg/fleetcontrol/hosts.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// hostGone is after how long without a call an entry host isn't named to
+	// hostTimeout is after how long without a call an entry host isn't named to
 	// callers any more: two calls and a half.
-	hostGone = 1200 * time.Millisecond
-	// documentPause is the least time between two configurations that a host is
+	hostTimeout = 1200 * time.Millisecond
+	// documentInterval is the least time between two configurations that a host is
 	// sent: in a storm of changes most are overtaken before they are read, and one
 	// of many routes is large for every host. With the held call's 400 ms it stays
 	// well under the 2 s in which a change must be in force.
-	documentPause = 500 * time.Millisecond
-	// earlyAnswers is how many held calls a second are answered before their time
+	documentInterval = 500 * time.Millisecond
+	// earlyAnswerRate is how many held calls a second are answered before their time
 	// because there is news. One costs the leader some 0.3 ms of processor time (0.8
 	// ms a host and second at 2.5 calls); so changes without end cost it a third of a
 	// core, however many hosts there are: 10 hosts learn of a change after 10 ms, 300
 	// after 0.3 s.
-	earlyAnswers = 1000
+	earlyAnswerRate = 1000
 )
 
 // hosts is what the leader knows of entry hosts: which are ready, and what
 // they have under way at each endpoint. A new leader learns it anew.
 type hosts struct {
-	mu   sync.Mutex
-	rows map[string]*hostRow
+	mu      sync.Mutex
+	entries map[string]*hostEntry
 	// ready counts the ready hosts, and readyVersion rises whenever they change.
 	ready        int
 	readyVersion uint64
-	totals       totals
+	totals       loadTotals
 }
 
-type hostRow struct {
+type hostEntry struct {
 	info  *rpc.FleetHost
 	at    time.Time
 	loads *rpc.LoadTable
@@ -48,33 +48,33 @@
 
 func newHosts() *hosts {
 	return &hosts{
-		rows:   map[string]*hostRow{},
-		totals: newTotals(),
+		entries: map[string]*hostEntry{},
+		totals:  newLoadTotals(),
 	}
 }
 
-// hear takes what an entry host tells of itself, and reports whether it is the first
+// observe takes what an entry host tells of itself, and reports whether it is the first
 // that this leader hears of it.
-func (h *hosts) hear(now time.Time, q *rpc.SyncRequest) bool {
+func (h *hosts) observe(now time.Time, q *rpc.SyncRequest) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	name := q.GetHost().GetName()
-	row := h.rows[name]
-	first := row == nil
+	entry := h.entries[name]
+	first := entry == nil
 	if first {
-		row = &hostRow{
+		entry = &hostEntry{
 			info: &rpc.FleetHost{},
 		}
-		h.rows[name] = row
+		h.entries[name] = entry
 	}
-	h.noteReady(row.info, q.GetHost())
+	h.updateReady(entry.info, q.GetHost())
 	if q.GetDocumentVersion() == 0 {
-		row.documentAt = time.Time{} // it began anew
+		entry.documentAt = time.Time{} // it began anew
 	}
-	h.totals.replace(row.loads, q.GetLoads())
-	row.info = q.GetHost()
-	row.loads = q.GetLoads()
-	row.at = now
+	h.totals.replace(entry.loads, q.GetLoads())
+	entry.info = q.GetHost()
+	entry.loads = q.GetLoads()
+	entry.at = now
 	return first
 }
 
@@ -82,39 +82,39 @@
 func (h *hosts) touch(now time.Time, name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if row := h.rows[name]; row != nil {
-		row.at = now
+	if entry := h.entries[name]; entry != nil {
+		entry.at = now
 	}
 }
 
-// bury forgets the hosts that were not heard of.
-func (h *hosts) bury(now time.Time) {
+// expire forgets the hosts that were not heard of.
+func (h *hosts) expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for name, row := range h.rows {
-		if now.Sub(row.at) > hostGone {
-			delete(h.rows, name)
-			h.totals.replace(row.loads, nil)
-			h.noteReady(row.info, &rpc.FleetHost{})
+	for name, entry := range h.entries {
+		if now.Sub(entry.at) > hostTimeout {
+			delete(h.entries, name)
+			h.totals.replace(entry.loads, nil)
+			h.updateReady(entry.info, &rpc.FleetHost{})
 		}
 	}
 }
 
-// forget drops everything: this replica doesn't lead.
-func (h *hosts) forget() {
+// reset drops everything: this replica doesn't lead.
+func (h *hosts) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.rows) == 0 {
+	if len(h.entries) == 0 {
 		return
 	}
-	h.rows = map[string]*hostRow{}
-	h.totals = newTotals()
+	h.entries = map[string]*hostEntry{}
+	h.totals = newLoadTotals()
 	h.ready = 0
 	h.readyVersion++
 }
 
-// noteReady counts a host that has become ready, or isn't any more.
-func (h *hosts) noteReady(before, now *rpc.FleetHost) {
+// updateReady counts a host that has become ready, or isn't any more.
+func (h *hosts) updateReady(before, now *rpc.FleetHost) {
 	if before.GetReady() == now.GetReady() && before.GetCallerAddress() == now.GetCallerAddress() {
 		return
 	}
@@ -131,36 +131,36 @@
 func (h *hosts) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.rows)
+	return len(h.entries)
 }
 
-// gather is how long a held call waits for more news before it is answered.
-func (h *hosts) gather() time.Duration {
+// batchDelay is how long a held call waits for more news before it is answered.
+func (h *hosts) batchDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Duration(len(h.rows)) * time.Second / earlyAnswers
+	return time.Duration(len(h.entries)) * time.Second / earlyAnswerRate
 }
 
 // documentDue reports whether a host may be sent a configuration now.
 func (h *hosts) documentDue(now time.Time, name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	row := h.rows[name]
-	return row == nil || now.Sub(row.documentAt) >= documentPause
+	entry := h.entries[name]
+	return entry == nil || now.Sub(entry.documentAt) >= documentInterval
 }
 
-// mayHaveDocument reports whether a host may be sent a configuration now, and
+// allowDocument reports whether a host may be sent a configuration now, and
 // notes that it is.
-func (h *hosts) mayHaveDocument(now time.Time, name string) bool {
+func (h *hosts) allowDocument(now time.Time, name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	row := h.rows[name]
-	if row == nil {
+	entry := h.entries[name]
+	if entry == nil {
 		return true
 	}
-	if now.Sub(row.documentAt) < documentPause {
+	if now.Sub(entry.documentAt) < documentInterval {
 		return false
 	}
-	row.documentAt = now
+	entry.documentAt = now
 	return true
 }
--- a/pkg/fleetcontrol/hosts_test.go
+++ b/pkg/fleetcontrol/hosts_test.go
@@ -13,11 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// call is what an entry host tells of itself, with work under way at each of
+// syncRequest is what an entry host tells of itself, with work under way at each of
 // the endpoints named.
-func call(n int, ready bool, endpoints ...string) *rpc.SyncRequest {
+func syncRequest(n int, ready bool, endpoints ...string) *rpc.SyncRequest {
 	q := &rpc.SyncRequest{
 		Host: &rpc.FleetHost{
 			Name:          fmt.Sprintf("h%d", n),
@@ -40,7 +40,7 @@
 func withHosts(n int, f func(h *hosts)) {
 	h := newHosts()
 	for i := range n {
-		h.hear(start, call(i, true))
+		h.observe(startTime, syncRequest(i, true))
 	}
 	f(h)
 }
@@ -49,7 +49,7 @@
 func samples(h *hosts, n int) [][]string {
 	list := make([][]string, n)
 	for i := range n {
-		list[i], _, _ = h.addresses(start, fmt.Sprintf("h%d", i), 0)
+		list[i], _, _ = h.addresses(startTime, fmt.Sprintf("h%d", i), 0)
 	}
 	return list
 }
@@ -67,18 +67,18 @@
 		}
 		for _, c := range cases {
 			withHosts(c.hosts, func(h *hosts) {
-				named := map[string]int{}
+				counts := map[string]int{}
 				for _, list := range samples(h, c.hosts) {
 					Expect(list).To(HaveLen(c.want))
 					domains := map[byte]int{}
 					for _, a := range list {
-						named[a]++
+						counts[a]++
 						domains[a[3]]++
 					}
 					Expect(domains).To(HaveLen(5))
 				}
-				Expect(named).To(HaveLen(c.hosts), "every host is named to callers")
-				for _, n := range named {
+				Expect(counts).To(HaveLen(c.hosts), "every host is named to callers")
+				for _, n := range counts {
 					Expect(n).To(BeNumerically("~", c.want, 40), "about as often as any other")
 				}
 			})
@@ -89,7 +89,7 @@
 		const n = 300
 		withHosts(n, func(h *hosts) {
 			before := samples(h, n)
-			h.hear(start, call(7, false))
+			h.observe(startTime, syncRequest(7, false))
 			after := samples(h, n)
 			changed := 0
 			for i := range n {
@@ -103,7 +103,7 @@
 			Expect(changed).To(BeNumerically("<", n/3))
 			next := newHosts()
 			for i := n - 1; i >= 0; i-- {
-				next.hear(start, call(i, i != 7))
+				next.observe(startTime, syncRequest(i, i != 7))
 			}
 			Expect(samples(next, n)).To(Equal(after))
 		})
@@ -111,30 +111,30 @@
 
 	It("are sent again after a while only, and not to a host that holds them", func() {
 		withHosts(5, func(h *hosts) {
-			list, digest, ready := h.addresses(start, "h1", 0)
+			list, digest, ready := h.addresses(startTime, "h1", 0)
 			Expect(list).To(HaveLen(5))
 			Expect(ready).To(Equal(5))
-			h.hear(start, call(5, true))
-			same, held, ready := h.addresses(start.Add(samplePause-1), "h1", digest)
+			h.observe(startTime, syncRequest(5, true))
+			same, held, ready := h.addresses(startTime.Add(sampleInterval-1), "h1", digest)
 			Expect(same).To(BeNil())
 			Expect(held).To(Equal(digest))
 			Expect(ready).To(Equal(6))
-			list, digest, _ = h.addresses(start.Add(samplePause), "h1", digest)
+			list, digest, _ = h.addresses(startTime.Add(sampleInterval), "h1", digest)
 			Expect(list).To(HaveLen(6))
-			same, _, _ = h.addresses(start.Add(time.Hour), "h1", digest)
+			same, _, _ = h.addresses(startTime.Add(time.Hour), "h1", digest)
 			Expect(same).To(BeNil())
 		})
 	})
 
 	It("don't hold those that weren't heard of, or that another leader knew", func() {
 		withHosts(5, func(h *hosts) {
-			h.touch(start.Add(hostGone), "h3")
-			h.bury(start.Add(hostGone + 1))
-			list, _, ready := h.addresses(start.Add(time.Hour), "h3", 0)
+			h.touch(startTime.Add(hostTimeout), "h3")
+			h.expire(startTime.Add(hostTimeout + 1))
+			list, _, ready := h.addresses(startTime.Add(time.Hour), "h3", 0)
 			Expect(list).To(Equal([]string{"10.3.0.3:80"}))
 			Expect(ready).To(Equal(1))
-			h.forget()
-			_, _, ready = h.addresses(start, "h3", 0)
+			h.reset()
+			_, _, ready = h.addresses(startTime, "h3", 0)
 			Expect(ready).To(BeZero())
 		})
 	})
@@ -144,21 +144,21 @@
 	It("is the sum of what each told last, whoever comes and goes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			h := newHosts()
-			told := map[string][]string{}
-			heard := map[string]time.Time{}
-			now := start
+			reported := map[string][]string{}
+			lastCall := map[string]time.Time{}
+			now := startTime
 			for range rapid.IntRange(1, 40).Draw(t, "calls") {
-				now = now.Add(hostGone / 4)
+				now = now.Add(hostTimeout / 4)
 				n := rapid.IntRange(0, 5).Draw(t, "host")
 				name := fmt.Sprintf("h%d", n)
-				told[name] = rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.ID[string]).Draw(t, "endpoints")
-				heard[name] = now
-				h.hear(now, call(n, true, told[name]...))
-				h.bury(now)
+				reported[name] = rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.ID[string]).Draw(t, "endpoints")
+				lastCall[name] = now
+				h.observe(now, syncRequest(n, true, reported[name]...))
+				h.expire(now)
 			}
 			want := map[uint32]uint32{}
-			for name, list := range told {
-				if now.Sub(heard[name]) > hostGone {
+			for name, list := range reported {
+				if now.Sub(lastCall[name]) > hostTimeout {
 					continue
 				}
 				for _, id := range list {
@@ -166,7 +166,7 @@
 				}
 			}
 			got := map[uint32]uint32{}
-			all := h.totals.list(now.Add(totalsKeep))
+			all := h.totals.list(now.Add(totalsLifetime))
 			for i, key := range all.GetEndpoints() {
 				got[key] = all.GetRequests()[i]
 				if all.GetTokens()[i] != 350*got[key] {
@@ -191,28 +191,28 @@
 		for _, c := range cases {
 			h := newHosts()
 			for i := range c.endpoints {
-				h.hear(start, call(i%6, true, fmt.Sprint("e", i)))
-				h.rows[fmt.Sprintf("h%d", i%6)].loads = nil // as if it had all of them under way
+				h.observe(startTime, syncRequest(i%6, true, fmt.Sprint("e", i)))
+				h.entries[fmt.Sprintf("h%d", i%6)].loads = nil // as if it had all of them under way
 			}
-			Expect(h.loads(start, "h1")).NotTo(BeNil())
-			Expect(h.loads(start.Add(c.pause*3/4), "h1")).To(BeNil())
-			Expect(h.loads(start.Add(c.pause), "h1").GetEndpoints()).To(HaveLen(c.endpoints))
+			Expect(h.loads(startTime, "h1")).NotTo(BeNil())
+			Expect(h.loads(startTime.Add(c.pause*3/4), "h1")).To(BeNil())
+			Expect(h.loads(startTime.Add(c.pause), "h1").GetEndpoints()).To(HaveLen(c.endpoints))
 		}
 	})
 
 	It("of a host that tells lists of different lengths counts for nothing", func() {
 		h := newHosts()
-		q := call(1, true, "a", "b")
+		q := syncRequest(1, true, "a", "b")
 		q.Loads.Tokens = q.Loads.Tokens[:1]
-		h.hear(start, q)
-		Expect(h.totals.list(start).GetEndpoints()).To(BeEmpty())
+		h.observe(startTime, q)
+		Expect(h.totals.list(startTime).GetEndpoints()).To(BeEmpty())
 	})
 })
 
 var _ = Describe("news", func() {
 	It("gather the longer the more hosts are to be told", func() {
-		withHosts(10, func(h *hosts) { Expect(h.gather()).To(Equal(10 * time.Millisecond)) })
-		withHosts(300, func(h *hosts) { Expect(h.gather()).To(Equal(300 * time.Millisecond)) })
+		withHosts(10, func(h *hosts) { Expect(h.batchDelay()).To(Equal(10 * time.Millisecond)) })
+		withHosts(300, func(h *hosts) { Expect(h.batchDelay()).To(Equal(300 * time.Millisecond)) })
 	})
 })
 
@@ -223,12 +223,12 @@
 	}
 	h := newHosts()
 	for i := range 300 {
-		h.hear(start, call(i, true, endpoints[i%150:i%150+66]...))
+		h.observe(startTime, syncRequest(i, true, endpoints[i%150:i%150+66]...))
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		now := start.Add(time.Duration(i) * time.Second / 750)
-		h.hear(now, call(i%300, true, endpoints[i%150:i%150+66]...))
+		now := startTime.Add(time.Duration(i) * time.Second / 750)
+		h.observe(now, syncRequest(i%300, true, endpoints[i%150:i%150+66]...))
 		h.loads(now, fmt.Sprintf("h%d", i%300))
 		h.addresses(now, fmt.Sprintf("h%d", i%300), 1)
 	}
--- a/pkg/fleetcontrol/identity.go
+++ b/pkg/fleetcontrol/identity.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	identityName = "identity"
+	identityFile = "identity"
 	logFolder    = "log"
 )
 
@@ -23,14 +23,14 @@
 // id lives and dies with the disk, so that a replica that lost its disk can't
 // vote or acknowledge under the name of what it forgot.
 func readIdentity(folder string) (uint64, error) {
-	text, err := os.ReadFile(filepath.Join(folder, identityName))
+	data, err := os.ReadFile(filepath.Join(folder, identityFile))
 	if os.IsNotExist(err) {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, errors.Wrap(err, "read identity")
 	}
-	id, err := strconv.ParseUint(strings.TrimSpace(string(text)), 16, 64)
+	id, err := strconv.ParseUint(strings.TrimSpace(string(data)), 16, 64)
 	if err != nil {
 		return 0, nil // torn by a crash before it was ever used
 	}
@@ -39,12 +39,12 @@
 
 // writeIdentity makes id durable.
 func writeIdentity(folder string, id uint64) error {
-	return writeFile(folder, identityName, []byte(strconv.FormatUint(id, 16)+"\n"))
+	return writeFile(folder, identityFile, []byte(strconv.FormatUint(id, 16)+"\n"))
 }
 
-// founderID is the id of a replica that founds the cluster: every founder can
+// initialMemberID is the id of a replica that founds the cluster: every founder can
 // work out those of the others.
-func founderID(ip string) uint64 {
+func initialMemberID(ip string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte("founder " + ip)) // a hash can't fail
 	return h.Sum64() | 1
@@ -59,12 +59,12 @@
 	return binary.LittleEndian.Uint64(b[:]) | 1, nil
 }
 
-// founders returns the members of a new cluster, one for each IP number.
-func founders(ips []string, port string) *rpc.Members {
+// initialMembers returns the members of a new cluster, one for each IP number.
+func initialMembers(ips []string, port string) *rpc.Members {
 	m := &rpc.Members{}
 	for _, ip := range ips {
 		m.List = append(m.List, &rpc.Member{
-			Id:      founderID(ip),
+			Id:      initialMemberID(ip),
 			Address: net.JoinHostPort(ip, port),
 		})
 	}
--- a/pkg/fleetcontrol/learn_test.go
+++ b/pkg/fleetcontrol/learn_test.go
@@ -18,28 +18,28 @@
 	. "github.com/onsi/gomega"
 )
 
-// otherReplica answers what a replica asks of the endpoints that others know.
-type otherReplica struct {
+// fakeReplica answers what a replica asks of the endpoints that others know.
+type fakeReplica struct {
 	rpc.Fleet
-	heard []fleet.Endpoint
-	asked atomic.Int64
+	announced []fleet.Endpoint
+	requests  atomic.Int64
 }
 
 // Spread implements rpc.Fleet.
-func (o *otherReplica) Spread(context.Context, *rpc.SpreadRequest) (*rpc.SpreadReply, error) {
-	o.asked.Add(1)
+func (o *fakeReplica) Spread(context.Context, *rpc.SpreadRequest) (*rpc.SpreadReply, error) {
+	o.requests.Add(1)
 	return &rpc.SpreadReply{
-		Endpoints: fleet.EndpointsToWire(o.heard, time.Now()),
+		Endpoints: fleet.EndpointsToWire(o.announced, time.Now()),
 	}, nil
 }
 
-// withLearner runs f on a replica that was restarted with a list on its disk, beside
+// withRestartedReplica runs f on a replica that was restarted with a list on its disk, beside
 // others that answer its questions; none leads.
-func withLearner(disk []fleet.Endpoint, others []*otherReplica, f func(ctx context.Context, s *Server)) {
+func withRestartedReplica(saved []fleet.Endpoint, others []*fakeReplica, f func(ctx context.Context, s *Server)) {
 	folder, err := os.MkdirTemp("", "learn")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { Expect(os.RemoveAll(folder)).To(Succeed()) }()
-	Expect(writeEndpoints(folder, disk, time.Now())).To(Succeed())
+	Expect(writeEndpoints(folder, saved, time.Now())).To(Succeed())
 	g := group.New(context.Background())
 	defer g.Stop()
 	var ips []string
@@ -66,7 +66,7 @@
 		Port:      port,
 		SeedIPs:   func() []string { return ips },
 		Heartbeat: time.Second,
-		Orders: fakeOrders{report: func(string) (placement.Report, error) {
+		Orders: fakeEndpoints{report: func(string) (placement.Report, error) {
 			return placement.Report{}, nil
 		}},
 		Client:  &http.Client{},
@@ -76,7 +76,7 @@
 	f(context.Background(), s)
 }
 
-func named(id string) fleet.Endpoint {
+func endpointNamed(id string) fleet.Endpoint {
 	e := announcement(false, 1)
 	e.ID = id
 	e.Address = id + ":80"
@@ -93,43 +93,43 @@
 	}
 
 	It("goes on asking where the first that answers has itself just started", func() {
-		list := []fleet.Endpoint{named("a"), named("b")}
-		others := []*otherReplica{{}, {heard: list}}
-		withLearner(list, others, func(ctx context.Context, s *Server) {
-			s.recall()
-			s.learn(ctx)
+		list := []fleet.Endpoint{endpointNamed("a"), endpointNamed("b")}
+		others := []*fakeReplica{{}, {announced: list}}
+		withRestartedReplica(list, others, func(ctx context.Context, s *Server) {
+			s.restoreEndpoints()
+			s.fetchEndpoints(ctx)
 			Expect(s.table.HasRestored()).To(BeFalse(), "the second has heard of them")
-			s.dropRecalled(ctx)
+			s.dropRestored(ctx)
 			Expect(ids(s)).To(Equal([]string{"a", "b"}))
 		})
 	})
 
 	It("keeps what another has heard of meanwhile, when it drops what its disk told of", func() {
-		list := []fleet.Endpoint{named("a"), named("b"), named("c")}
-		other := &otherReplica{heard: list[:1]}
-		withLearner(list, []*otherReplica{other}, func(ctx context.Context, s *Server) {
-			s.recall()
-			s.learn(ctx)
-			other.heard = list[:2]
-			s.dropRecalled(ctx)
+		list := []fleet.Endpoint{endpointNamed("a"), endpointNamed("b"), endpointNamed("c")}
+		other := &fakeReplica{announced: list[:1]}
+		withRestartedReplica(list, []*fakeReplica{other}, func(ctx context.Context, s *Server) {
+			s.restoreEndpoints()
+			s.fetchEndpoints(ctx)
+			other.announced = list[:2]
+			s.dropRestored(ctx)
 			Expect(ids(s)).To(Equal([]string{"a", "b"}))
 		})
 	})
 
 	It("asks nobody for what it hasn't recalled", func() {
-		other := &otherReplica{heard: []fleet.Endpoint{named("a")}}
-		withLearner(nil, []*otherReplica{other}, func(ctx context.Context, s *Server) {
-			s.dropRecalled(ctx)
-			Expect(other.asked.Load()).To(BeZero())
+		other := &fakeReplica{announced: []fleet.Endpoint{endpointNamed("a")}}
+		withRestartedReplica(nil, []*fakeReplica{other}, func(ctx context.Context, s *Server) {
+			s.dropRestored(ctx)
+			Expect(other.requests.Load()).To(BeZero())
 		})
 	})
 
 	It("ends its asking once all others have answered that they know nothing", func() {
-		others := []*otherReplica{{}, {}}
-		withLearner(nil, others, func(ctx context.Context, s *Server) {
-			s.learn(ctx)
+		others := []*fakeReplica{{}, {}}
+		withRestartedReplica(nil, others, func(ctx context.Context, s *Server) {
+			s.fetchEndpoints(ctx)
 			for _, o := range others {
-				Expect(o.asked.Load()).To(BeEquivalentTo(1))
+				Expect(o.requests.Load()).To(BeEquivalentTo(1))
 			}
 		})
 	})
--- a/pkg/fleetcontrol/limits_test.go
+++ b/pkg/fleetcontrol/limits_test.go
@@ -22,28 +22,28 @@
 func withLimit(perSecond float64, f func(s *Server, clock *timer.Manual)) {
 	withServer(nil, func(s *Server, _ *group.Group) {
 		clock := s.cfg.Timer.(*timer.Manual)
-		s.leadership = &fixedLead{term: limitTerm, machine: state.New(claimWindow.Milliseconds())}
-		s.noteLeading(limitTerm, clock.Now())
-		s.lender.BeginTerm(limitTerm)
-		s.hear(perSecond, clock.Now())
+		s.leadership = &fixedLeadership{term: limitTerm, machine: state.New(claimWindow.Milliseconds())}
+		s.recordLeading(limitTerm, clock.Now())
+		s.granter.BeginTerm(limitTerm)
+		s.observeTestLimit(perSecond, clock.Now())
 		clock.Advance(10 * time.Second)
 		f(s, clock)
 	})
 }
 
-func (s *Server) hear(perSecond float64, at time.Time) {
-	s.lender.Observe([]permit.LimitReport{{Key: permit.EndpointKey("e1"), Service: "s", PerSecond: perSecond, SentAt: at, ReceivedAt: at}})
+func (s *Server) observeTestLimit(perSecond float64, at time.Time) {
+	s.granter.Observe([]permit.LimitReport{{Key: permit.EndpointKey("e1"), Service: "s", PerSecond: perSecond, SentAt: at, ReceivedAt: at}})
 }
 
-// want is a host's call by which it has use for permits to e1.
-func want(requests uint32) *rpc.SyncRequest {
-	q := call(1, true)
+// demandRequest is a host's call by which it has use for permits to e1.
+func demandRequest(requests uint32) *rpc.SyncRequest {
+	q := syncRequest(1, true)
 	q.LimitsTerm = limitTerm
 	q.Demands = []*rpc.Demand{{Service: "s", Requests: requests, Wanted: []uint32{permit.EndpointKey("e1")}}}
 	return q
 }
 
-func borrowing(wait time.Duration) *rpc.BorrowRequest {
+func borrowRequest(wait time.Duration) *rpc.BorrowRequest {
 	return &rpc.BorrowRequest{Host: "h1", Endpoints: []uint32{permit.EndpointKey("e1")}, WaitMs: uint32(wait.Milliseconds())}
 }
 
@@ -51,14 +51,14 @@
 	It("hold the limits that a host lacks, and permits by what it is asked for", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			reply := &rpc.SyncReply{}
-			s.tellLimits(want(4), reply, limitTerm)
+			s.addLimits(demandRequest(4), reply, limitTerm)
 			Expect(reply.GetLimits()[0].GetEndpoint()).To(Equal(permit.EndpointKey("e1")))
 			Expect(reply.GetLimitsTerm()).To(Equal(uint64(limitTerm)))
 			Expect(permit.CountsFromWire(reply.GetPermits())).To(Equal(permit.Counts{permit.EndpointKey("e1"): 4}))
-			q := want(4)
+			q := demandRequest(4)
 			q.LimitsVersion = reply.GetLimitsVersion()
 			again := &rpc.SyncReply{}
-			s.tellLimits(q, again, limitTerm)
+			s.addLimits(q, again, limitTerm)
 			Expect(again.GetLimits()).To(BeEmpty())
 			Expect(again.GetLimitsWhole()).To(BeFalse())
 		})
@@ -66,52 +66,52 @@
 
 	It("count what a host tells, its words and its unused permits", func() {
 		withLimit(8, func(s *Server, clock *timer.Manual) {
-			for s.lender.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
+			for s.granter.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
 			}
 			clock.Advance(2 * permit.Lifetime)
-			s.lender.ChargeProbe(permit.EndpointKey("e1"))
-			q := want(0)
+			s.granter.ChargeProbe(permit.EndpointKey("e1"))
+			q := demandRequest(0)
 			q.Unused = permit.Counts{permit.EndpointKey("e1"): 3}.ToWire()
 			q.LimitWords = []*rpc.LimitWord{{Endpoint: permit.EndpointKey("e2"), Service: "s", PerSecond: 4}}
-			s.hearLimits(q, limitTerm)
-			Expect(s.lender.Size()).To(Equal(2))
+			s.observeLimits(q, limitTerm)
+			Expect(s.granter.Size()).To(Equal(2))
 		})
 	})
 
 	It("lend at once, after a short wait, or tell when there will be one", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
-			reply, err := s.Borrow(context.Background(), borrowing(0))
+			reply, err := s.Borrow(context.Background(), borrowRequest(0))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetConfirmed()).To(BeTrue())
 			Expect(permit.CountsFromWire(reply.GetPermits()).Total()).To(Equal(1))
 		})
 		withLimit(0.5, func(s *Server, clock *timer.Manual) {
-			s.hosts.hear(clock.Now(), call(1, true))
-			s.hosts.hear(clock.Now(), call(2, true))
-			first, _ := s.Borrow(context.Background(), borrowing(0)) // its error is told by Confirmed
+			s.hosts.observe(clock.Now(), syncRequest(1, true))
+			s.hosts.observe(clock.Now(), syncRequest(2, true))
+			first, _ := s.Borrow(context.Background(), borrowRequest(0)) // its error is told by Confirmed
 			Expect(permit.CountsFromWire(first.GetPermits()).Total()).To(Equal(1))
-			reply, err := s.Borrow(context.Background(), borrowing(0))
+			reply, err := s.Borrow(context.Background(), borrowRequest(0))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetPermits()).To(BeNil())
 			Expect(reply.GetDueMs()).To(BeNumerically(">", 0))
 			Expect(reply.GetGapMs()).To(Equal(uint32(4000)), "two hosts share one in 2 s")
 		})
 		withLimit(8, func(s *Server, clock *timer.Manual) {
-			for s.lender.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
+			for s.granter.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
 			}
 			clock.Advance(permit.Lifetime)
-			s.lender.ChargeProbe(permit.EndpointKey("e1"))
+			s.granter.ChargeProbe(permit.EndpointKey("e1"))
 			for { // until the next is due in a moment
-				loan := s.lender.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
-				_, due := s.lender.TryGrant(loan)
-				s.lender.Dequeue(loan)
+				waiter := s.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
+				_, due := s.granter.TryGrant(waiter)
+				s.granter.Dequeue(waiter)
 				if due > 0 {
 					break
 				}
 			}
 			done := make(chan *rpc.BorrowReply, 1)
 			background(func() {
-				reply, _ := s.Borrow(context.Background(), borrowing(mostBorrowHold)) // its error is told by Confirmed
+				reply, _ := s.Borrow(context.Background(), borrowRequest(maxBorrowWait)) // its error is told by Confirmed
 				done <- reply
 			})
 			Eventually(func() bool {
@@ -130,7 +130,7 @@
 	It("are no permits of a replica that doesn't lead", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			s.leadership = s.replica
-			reply, err := s.Borrow(context.Background(), borrowing(0))
+			reply, err := s.Borrow(context.Background(), borrowRequest(0))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetConfirmed()).To(BeFalse())
 			Expect(reply.GetPermits()).To(BeNil())
@@ -139,14 +139,14 @@
 
 	It("come at once where there is a limit that the host doesn't know of", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
-			q := want(1)
+			q := demandRequest(1)
 			q.Epoch = epochOf(limitTerm, false)
-			machine := s.leadership.(*fixedLead).machine
-			Expect(s.news(q, limitTerm, machine)).To(BeTrue())
-			_, version, _ := s.lender.ChangesSince(0, 0, 0)
+			machine := s.leadership.(*fixedLeadership).machine
+			Expect(s.hasChanges(q, limitTerm, machine)).To(BeTrue())
+			_, version, _ := s.granter.ChangesSince(0, 0, 0)
 			q.LimitsVersion = version
 			q.EndpointsVersion = s.table.Version()
-			Expect(s.news(q, limitTerm, machine)).To(BeFalse())
+			Expect(s.hasChanges(q, limitTerm, machine)).To(BeFalse())
 		})
 	})
 })
@@ -162,65 +162,65 @@
 			{0.05, 1},
 		}
 		for _, c := range cases {
-			asked := 0
-			withServer(func(string) (placement.Report, error) { asked++; return placement.Report{}, nil }, func(s *Server, g *group.Group) {
+			probes := 0
+			withServer(func(string) (placement.Report, error) { probes++; return placement.Report{}, nil }, func(s *Server, g *group.Group) {
 				clock := s.cfg.Timer.(*timer.Manual)
-				s.lender.BeginTerm(limitTerm)
-				s.hear(c.limit, clock.Now())
+				s.granter.BeginTerm(limitTerm)
+				s.observeTestLimit(c.limit, clock.Now())
 				s.table.Announce(announcement(false, 1))
 				e, _ := s.table.Get("e1")
 				for range 80 {
-					s.ask(e, surveyInterval, "survey")
+					s.probe(e, probeInterval, "survey")
 					g.Wait()
 					clock.Advance(100 * time.Millisecond)
 				}
-				Expect(asked).To(Equal(c.asked), "%v", c.limit)
+				Expect(probes).To(Equal(c.asked), "%v", c.limit)
 			})
 		}
 	})
 
 	It("take places, questions and orders alike", func() {
-		withConsiderate(&engines{}, func(c *considerate, _ *registry.Table, clock *timer.Manual) {
-			loan := func() time.Duration {
-				n := c.lender.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
-				defer c.lender.Dequeue(n)
-				_, due := c.lender.TryGrant(n)
+		withEndpointClient(&countingEndpoints{}, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
+			waiter := func() time.Duration {
+				n := c.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
+				defer c.granter.Dequeue(n)
+				_, due := c.granter.TryGrant(n)
 				return due
 			}
-			c.lender.BeginTerm(limitTerm)
-			c.hearLimit("e1", fleet.Limit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
+			c.granter.BeginTerm(limitTerm)
+			c.observeLimit("e1", fleet.Limit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
 			clock.Advance(6 * time.Second) // two and a half places
-			callBoth(c)
-			Expect(loan()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
+			probeAndOrder(c)
+			Expect(waiter()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 		})
 	})
 
 	It("hear of limits in every answer, and that one is over", func() {
-		e := &engines{says: fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: 8}}}
-		withConsiderate(e, func(c *considerate, _ *registry.Table, clock *timer.Manual) {
-			c.lender.BeginTerm(limitTerm)
+		e := &countingEndpoints{notice: fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: 8}}}
+		withEndpointClient(e, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
+			c.granter.BeginTerm(limitTerm)
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the test's
-			Expect(c.lender.Size()).To(Equal(1))
-			e.says.Limit = fleet.Limit{}
+			Expect(c.granter.Size()).To(Equal(1))
+			e.notice.Limit = fleet.Limit{}
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 			clock.Advance(5 * time.Second)
-			c.lender.Expire()
-			Expect(c.lender.Size()).To(Equal(1), "what can't be read ends nothing")
-			e.says.Limit = fleet.Limit{Status: fleet.LimitNone}
+			c.granter.Expire()
+			Expect(c.granter.Size()).To(Equal(1), "what can't be read ends nothing")
+			e.notice.Limit = fleet.Limit{Status: fleet.LimitNone}
 			for range 2 {
 				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 				clock.Advance(5 * time.Second)
 			}
-			Expect(c.lender.Size()).To(BeZero())
+			Expect(c.granter.Size()).To(BeZero())
 		})
 	})
 
 	It("leave layers to be copied where an endpoint takes less than its service is asked for", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
-			Expect(s.short("e1")).To(BeFalse())
-			s.tellLimits(want(20), &rpc.SyncReply{}, limitTerm)
-			Expect(s.short("e1")).To(BeTrue())
-			Expect(s.short("e2")).To(BeFalse())
+			Expect(s.belowDemand("e1")).To(BeFalse())
+			s.addLimits(demandRequest(20), &rpc.SyncReply{}, limitTerm)
+			Expect(s.belowDemand("e1")).To(BeTrue())
+			Expect(s.belowDemand("e2")).To(BeFalse())
 		})
 	})
 })
--- a/pkg/fleetcontrol/loads.go
+++ b/pkg/fleetcontrol/loads.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// loadsRate is how many bytes a second of loads a host is told, so that they
+	// loadBytesPerSecond is how many bytes a second of loads a host is told, so that they
 	// don't grow with endpoints times hosts: at eight bytes an endpoint, loads of
 	// 250 endpoints come with every answer, those of 3,200 every 5 s.
-	loadsRate = 5 << 10
-	loadBytes = 8
-	// totalsKeep is how long one list of loads serves all hosts: an eighth of the
+	loadBytesPerSecond = 5 << 10
+	bytesPerLoad       = 8
+	// totalsLifetime is how long one list of loads serves all hosts: an eighth of the
 	// time between two calls of a host.
-	totalsKeep = 50 * time.Millisecond
+	totalsLifetime = 50 * time.Millisecond
 )
 
-// totals is the sum of what all entry hosts have under way at each endpoint. It
+// loadTotals is the sum of what all entry hosts have under way at each endpoint. It
 // follows every call by what changed in it, and every host is sent the same list,
 // from which it takes its own share: a sum for each host and answer would take hosts
 // times endpoints steps.
-type totals struct {
+type loadTotals struct {
 	sums   map[uint32]load
 	table  *rpc.LoadTable
 	madeAt time.Time
@@ -33,19 +33,19 @@
 	tokens   int64
 }
 
-func newTotals() totals {
-	return totals{
+func newLoadTotals() loadTotals {
+	return loadTotals{
 		sums: map[uint32]load{},
 	}
 }
 
 // replace takes a host's loads before off, and adds those that it tells now.
-func (t *totals) replace(before, now *rpc.LoadTable) {
+func (t *loadTotals) replace(before, now *rpc.LoadTable) {
 	t.add(before, -1)
 	t.add(now, 1)
 }
 
-func (t *totals) add(l *rpc.LoadTable, sign int64) {
+func (t *loadTotals) add(l *rpc.LoadTable, sign int64) {
 	if len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
 		return // no entry host sends that
 	}
@@ -62,8 +62,8 @@
 }
 
 // list returns the sums, totalsKeep old at most.
-func (t *totals) list(now time.Time) *rpc.LoadTable {
-	if t.table != nil && now.Sub(t.madeAt) < totalsKeep {
+func (t *loadTotals) list(now time.Time) *rpc.LoadTable {
+	if t.table != nil && now.Sub(t.madeAt) < totalsLifetime {
 		return t.table
 	}
 	keys := make([]uint32, 0, len(t.sums))
@@ -87,14 +87,14 @@
 func (h *hosts) loads(now time.Time, name string) *rpc.LoadTable {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	row := h.rows[name]
-	if row == nil {
+	entry := h.entries[name]
+	if entry == nil {
 		return nil
 	}
-	pause := time.Duration(len(h.totals.sums)*loadBytes) * time.Second / loadsRate
-	if now.Sub(row.loadsAt) < pause {
+	interval := time.Duration(len(h.totals.sums)*bytesPerLoad) * time.Second / loadBytesPerSecond
+	if now.Sub(entry.loadsAt) < interval {
 		return nil
 	}
-	row.loadsAt = now
+	entry.loadsAt = now
 	return h.totals.list(now)
 }
--- a/pkg/fleetcontrol/members.go
+++ b/pkg/fleetcontrol/members.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// silentMember is how long a replica isn't heard of before one that wants
+	// silentMemberTimeout is how long a replica isn't heard of before one that wants
 	// to join takes its place: a few election time-outs.
-	silentMember = 1500 * time.Millisecond
-	// surplusMember is how long one that isn't needed may be silent.
-	surplusMember = 4 * time.Second
+	silentMemberTimeout = 1500 * time.Millisecond
+	// surplusMemberTimeout is how long one that isn't needed may be silent.
+	surplusMemberTimeout = 4 * time.Second
 )
 
-// keepMembership asks to be taken in if this replica isn't a member or hears
+// maintainMembership asks to be taken in if this replica isn't a member or hears
 // nothing, and, as leader, takes out members that are gone.
-func (r *Replica) keepMembership(ctx context.Context) {
+func (r *Replica) maintainMembership(ctx context.Context) {
 	began := r.svc.Now()
 	last := raft.Follower
-	timer.Loop(ctx, r.svc, joinPause, func(now time.Time) {
+	timer.Loop(ctx, r.svc, joinInterval, func(now time.Time) {
 		node, _ := r.current()
 		if node == nil {
 			return
@@ -35,34 +35,34 @@
 			last = st.Role
 			began = now
 		}
-		r.tellSeeds(ctx, st)
+		r.informSeeds(ctx, st)
 		if st.Role == raft.Leader {
-			r.dropSurplus(ctx, node, st, began)
+			r.removeSurplus(ctx, node, st, began)
 			return
 		}
-		if r.lonely(st, now, began) {
-			r.askToJoin(ctx, st)
+		if r.mayBeRemoved(st, now, began) {
+			r.requestJoin(ctx, st)
 		}
 	})
 }
 
-// lonely reports whether this replica may not be a member any more.
-func (r *Replica) lonely(st replica.Status, now, began time.Time) bool {
-	if !holds(st.Members, st.ID) {
+// mayBeRemoved reports whether this replica may not be a member any more.
+func (r *Replica) mayBeRemoved(st replica.Status, now, began time.Time) bool {
+	if !containsMember(st.Members, st.ID) {
 		return true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	newest := began
-	for _, at := range r.heard {
+	for _, at := range r.receivedAt {
 		if at.After(newest) {
 			newest = at
 		}
 	}
-	return now.Sub(newest) > joinAfter
+	return now.Sub(newest) > joinSilence
 }
 
-func holds(members *rpc.Members, id uint64) bool {
+func containsMember(members *rpc.Members, id uint64) bool {
 	for _, m := range members.GetList() {
 		if m.GetId() == id {
 			return true
@@ -71,22 +71,22 @@
 	return false
 }
 
-// askToJoin asks every replica that is known; the leader answers.
-func (r *Replica) askToJoin(ctx context.Context, st replica.Status) {
-	asked := map[string]bool{
+// requestJoin asks every replica that is known; the leader answers.
+func (r *Replica) requestJoin(ctx context.Context, st replica.Status) {
+	queried := map[string]bool{
 		r.address(): true,
 	}
-	list := r.peers()
+	list := r.seedAddresses()
 	for _, m := range st.Members.GetList() {
 		list = append(list, m.GetAddress())
 	}
 	for len(list) > 0 && ctx.Err() == nil {
 		address := list[0]
 		list = list[1:]
-		if address == "" || asked[address] {
+		if address == "" || queried[address] {
 			continue
 		}
-		asked[address] = true
+		queried[address] = true
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		reply, err := rpc.NewFleetProtobufClient("http://"+address, r.client).Join(callCtx, &rpc.JoinRequest{
 			Id:      st.ID,
@@ -96,10 +96,10 @@
 		if err != nil {
 			continue // asked again with the next round
 		}
-		if holds(reply.GetMembers(), st.ID) {
+		if containsMember(reply.GetMembers(), st.ID) {
 			// Taken in, but its log may not tell yet: without the addresses it
 			// couldn't even answer a vote that a majority needs.
-			r.meet(reply.GetMembers())
+			r.setPeerAddresses(reply.GetMembers())
 		}
 		if reply.GetMember() {
 			return
@@ -108,15 +108,15 @@
 	}
 }
 
-// takeIn makes a replica a member, in the place of an earlier one at its
+// handleJoin makes a replica a member, in the place of an earlier one at its
 // address or of one that is silent.
-func (r *Replica) takeIn(ctx context.Context, q *rpc.JoinRequest) (*rpc.JoinReply, error) {
+func (r *Replica) handleJoin(ctx context.Context, q *rpc.JoinRequest) (*rpc.JoinReply, error) {
 	node, _ := r.current()
 	if node == nil && r.folder == "" {
-		return r.learnFrom(q), nil
+		return r.exchangeMembers(q), nil
 	}
 	if node == nil {
-		return nil, errNoNode
+		return nil, errNotOpen
 	}
 	st := node.Status()
 	if q.GetId() == 0 {
@@ -131,24 +131,24 @@
 			Members: st.Members,
 		}, nil
 	}
-	if holds(st.Members, q.GetId()) {
+	if containsMember(st.Members, q.GetId()) {
 		return &rpc.JoinReply{
 			Member:  true,
 			Members: st.Members,
 		}, nil
 	}
 	r.log.Event(eventlog.ReplicaJoining, eventlog.Str("address", q.GetAddress()))
-	if old := r.replaceable(st, q.GetAddress()); old != 0 {
-		if err := r.change(ctx, node, without(st.Members, old)); err != nil {
+	if old := r.replaceableMember(st, q.GetAddress()); old != 0 {
+		if err := r.changeMembers(ctx, node, withoutMember(st.Members, old)); err != nil {
 			return nil, err
 		}
 	}
-	members := without(node.Status().Members, q.GetId())
+	members := withoutMember(node.Status().Members, q.GetId())
 	members.List = append(members.List, &rpc.Member{
 		Id:      q.GetId(),
 		Address: q.GetAddress(),
 	})
-	if err := r.change(ctx, node, members); err != nil {
+	if err := r.changeMembers(ctx, node, members); err != nil {
 		return nil, err
 	}
 	return &rpc.JoinReply{
@@ -157,10 +157,10 @@
 	}, nil
 }
 
-// meet lets a replica whose log is empty answer the others.
-func (r *Replica) meet(members *rpc.Members) {
+// setPeerAddresses lets a replica whose log is empty answer the others.
+func (r *Replica) setPeerAddresses(members *rpc.Members) {
 	node, _ := r.current()
-	if node == nil || holds(node.Status().Members, node.Status().ID) {
+	if node == nil || containsMember(node.Status().Members, node.Status().ID) {
 		return
 	}
 	r.mu.Lock()
@@ -170,9 +170,9 @@
 	}
 }
 
-// replaceable returns the member whose place a replica at address takes: the
+// replaceableMember returns the member whose place a replica at address takes: the
 // one at the same address, or one that is silent, if two others are left.
-func (r *Replica) replaceable(st replica.Status, address string) uint64 {
+func (r *Replica) replaceableMember(st replica.Status, address string) uint64 {
 	for _, m := range st.Members.GetList() {
 		if m.GetAddress() == address {
 			return m.GetId()
@@ -182,31 +182,31 @@
 		return 0
 	}
 	for _, m := range st.Members.GetList() {
-		if m.GetId() != st.ID && r.silentFor(m.GetId(), time.Time{}) > silentMember {
+		if m.GetId() != st.ID && r.silentFor(m.GetId(), time.Time{}) > silentMemberTimeout {
 			return m.GetId()
 		}
 	}
 	return 0
 }
 
-// dropSurplus takes out a silent member if as many are left as the losses
+// removeSurplus takes out a silent member if as many are left as the losses
 // that must be borne ask for.
-func (r *Replica) dropSurplus(ctx context.Context, node *replica.Node, st replica.Status, since time.Time) {
-	if len(st.Members.GetList())-1 < r.least() {
+func (r *Replica) removeSurplus(ctx context.Context, node *replica.Node, st replica.Status, since time.Time) {
+	if len(st.Members.GetList())-1 < r.minMembers() {
 		return
 	}
 	for _, m := range st.Members.GetList() {
-		if m.GetId() == st.ID || r.silentFor(m.GetId(), since) < surplusMember {
+		if m.GetId() == st.ID || r.silentFor(m.GetId(), since) < surplusMemberTimeout {
 			continue
 		}
-		if err := r.change(ctx, node, without(st.Members, m.GetId())); err != nil {
+		if err := r.changeMembers(ctx, node, withoutMember(st.Members, m.GetId())); err != nil {
 			r.log.Event(eventlog.Unexpected, eventlog.Str("what", "a silent replica couldn't be taken out"), eventlog.Err(err))
 		}
 		return
 	}
 }
 
-func (r *Replica) change(ctx context.Context, node *replica.Node, members *rpc.Members) error {
+func (r *Replica) changeMembers(ctx context.Context, node *replica.Node, members *rpc.Members) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := node.ChangeMembers(ctx, members)
@@ -216,8 +216,8 @@
 	return err
 }
 
-// without returns members less the one with that id.
-func without(members *rpc.Members, id uint64) *rpc.Members {
+// withoutMember returns members less the one with that id.
+func withoutMember(members *rpc.Members, id uint64) *rpc.Members {
 	out := &rpc.Members{}
 	for _, m := range members.GetList() {
 		if m.GetId() != id {
@@ -227,8 +227,8 @@
 	return out
 }
 
-// least is how many replicas are kept: a majority is left when as many disks
+// minMembers is how many replicas are kept: a majority is left when as many disks
 // as must be borne are lost.
-func (r *Replica) least() int {
-	return 2*r.losses + 1
+func (r *Replica) minMembers() int {
+	return 2*r.toleratedLosses + 1
 }
--- a/pkg/fleetcontrol/observe.go
+++ b/pkg/fleetcontrol/observe.go
@@ -19,8 +19,8 @@
 func (r *Replica) observe(ctx context.Context) {
 	timer.Loop(ctx, r.svc, observeInterval, func(time.Time) {
 		list := append([]string{r.observed().GetLeader()}, r.Members()...)
-		for _, address := range append(list, r.peers()...) {
-			if address != "" && address != r.address() && r.observeAt(ctx, address) {
+		for _, address := range append(list, r.seedAddresses()...) {
+			if address != "" && address != r.address() && r.queryReplicas(ctx, address) {
 				return
 			}
 		}
@@ -30,9 +30,9 @@
 	})
 }
 
-// observeAt asks one host, and reports whether it knew a leader.
-func (r *Replica) observeAt(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+// queryReplicas asks one host, and reports whether it knew a leader.
+func (r *Replica) queryReplicas(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
 	reply, err := rpc.NewFleetProtobufClient("http://"+address, r.client).Join(ctx, &rpc.JoinRequest{})
 	if err != nil || reply.GetLeader() == "" {
@@ -42,8 +42,8 @@
 	return true
 }
 
-// learnFrom takes what a replica tells, and answers what is known.
-func (r *Replica) learnFrom(q *rpc.JoinRequest) *rpc.JoinReply {
+// exchangeMembers takes what a replica tells, and answers what is known.
+func (r *Replica) exchangeMembers(q *rpc.JoinRequest) *rpc.JoinReply {
 	if len(q.GetMembers().GetList()) > 0 {
 		known := &rpc.JoinReply{
 			Leader:  q.GetLeader(),
@@ -60,20 +60,20 @@
 	return &rpc.JoinReply{}
 }
 
-// tellSeeds tells the hosts that the settings name and that are no replicas
+// informSeeds tells the hosts that the settings name and that are no replicas
 // who the replicas are: after a stop of all, nobody else could.
-func (r *Replica) tellSeeds(ctx context.Context, st replica.Status) {
+func (r *Replica) informSeeds(ctx context.Context, st replica.Status) {
 	members := map[string]bool{
 		r.address(): true,
 	}
 	for _, m := range st.Members.GetList() {
 		members[m.GetAddress()] = true
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
 	g := group.New(ctx)
 	defer g.Wait()
-	for _, address := range r.peers() {
+	for _, address := range r.seedAddresses() {
 		if members[address] || len(st.Members.GetList()) == 0 {
 			continue
 		}
@@ -90,11 +90,11 @@
 func (r *Replica) observed() *rpc.JoinReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen
+	return r.lastObserved
 }
 
 func (r *Replica) setObserved(reply *rpc.JoinReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = reply
+	r.lastObserved = reply
 }
--- a/pkg/fleetcontrol/quarantine_test.go
+++ b/pkg/fleetcontrol/quarantine_test.go
@@ -11,10 +11,10 @@
 	. "github.com/onsi/gomega"
 )
 
-const guilty = 7
+const crashFingerprint = 7
 
-// tell sends ends of one request to whoever leads, until that took them.
-func (c *cluster) tell(name string, ends ...*rpc.EndedSend) *rpc.SyncReply {
+// reportCrashes sends ends of one request to whoever leads, until that took them.
+func (c *cluster) reportCrashes(name string, ends ...*rpc.EndedSend) *rpc.SyncReply {
 	var got *rpc.SyncReply
 	Eventually(func() bool {
 		reply, err := c.hosts[c.leader()].server.Sync(context.Background(), &rpc.SyncRequest{
@@ -27,15 +27,15 @@
 	return got
 }
 
-// end is an end of an endpoint under the guilty request.
-func end(endpoint uint32) *rpc.EndedSend {
-	return &rpc.EndedSend{Fingerprint: guilty, Endpoint: endpoint, Early: true, AfterMs: 100}
+// crashOf is an end of an endpoint under the guilty request.
+func crashOf(endpoint uint32) *rpc.EndedSend {
+	return &rpc.EndedSend{Fingerprint: crashFingerprint, Endpoint: endpoint, Early: true, AfterMs: 100}
 }
 
-// holds reports whether the leader tells that the guilty request is held.
-func (c *cluster) holds() bool {
-	for _, s := range c.tell("asker").GetSuspects() {
-		if s.GetFingerprint() == guilty && s.GetHeldMs() > 0 {
+// quarantined reports whether the leader tells that the guilty request is held.
+func (c *cluster) quarantined() bool {
+	for _, s := range c.reportCrashes("asker").GetSuspects() {
+		if s.GetFingerprint() == crashFingerprint && s.GetHeldMs() > 0 {
 			return true
 		}
 	}
@@ -45,42 +45,42 @@
 var _ = Describe("a request under which endpoints end", func() {
 	It("is held for all hosts once several have told of three ends, and after the loss of a leader and of a disk", func() {
 		withCluster(func(c *cluster) {
-			c.tell("a", end(1))
-			c.tell("b", end(2), end(1))
-			Consistently(c.holds, "500ms", "100ms").Should(BeFalse())
-			c.tell("c", end(3))
-			Eventually(c.holds, "1s", "50ms").Should(BeTrue(), "well within the time of contact")
-			lost := c.leader()
-			c.stop(lost)
-			Eventually(c.holds, "5s", "50ms").Should(BeTrue())
-			c.wipe(lost)
-			c.start(lost, false)
-			Eventually(c.holds, "5s", "50ms").Should(BeTrue())
+			c.reportCrashes("a", crashOf(1))
+			c.reportCrashes("b", crashOf(2), crashOf(1))
+			Consistently(c.quarantined, "500ms", "100ms").Should(BeFalse())
+			c.reportCrashes("c", crashOf(3))
+			Eventually(c.quarantined, "1s", "50ms").Should(BeTrue(), "well within the time of contact")
+			oldLeader := c.leader()
+			c.stop(oldLeader)
+			Eventually(c.quarantined, "5s", "50ms").Should(BeTrue())
+			c.wipe(oldLeader)
+			c.start(oldLeader, false)
+			Eventually(c.quarantined, "5s", "50ms").Should(BeTrue())
 		})
 	})
 
 	It("is found by a leader that comes new, from what hosts tell it again", func() {
 		withCluster(func(c *cluster) {
-			host := quarantine.NewEnforcer(timer.NewSystem())
-			host.RecordCrash(quarantine.Crash{Fingerprint: guilty, Endpoint: 1, BeforeResponse: true})
-			host.RecordCrash(quarantine.Crash{Fingerprint: guilty, Endpoint: 2, BeforeResponse: true})
-			tellAll := func() {
-				term := uint64(c.tell("a").GetEpoch() / 2)
-				ends, _ := host.Unreported(term)
+			enforcer := quarantine.NewEnforcer(timer.NewSystem())
+			enforcer.RecordCrash(quarantine.Crash{Fingerprint: crashFingerprint, Endpoint: 1, BeforeResponse: true})
+			enforcer.RecordCrash(quarantine.Crash{Fingerprint: crashFingerprint, Endpoint: 2, BeforeResponse: true})
+			reportAll := func() {
+				term := uint64(c.reportCrashes("a").GetEpoch() / 2)
+				ends, _ := enforcer.Unreported(term)
 				var list []*rpc.EndedSend
 				for _, e := range ends {
-					list = append(list, end(e.Endpoint))
+					list = append(list, crashOf(e.Endpoint))
 				}
-				c.tell("a", list...)
-				host.Acknowledge(term, ends, 0)
+				c.reportCrashes("a", list...)
+				enforcer.Acknowledge(term, ends, 0)
 			}
-			tellAll()
-			lost := c.leader()
-			c.stop(lost)
-			c.tell("b", end(3))
-			Consistently(c.holds, "500ms", "100ms").Should(BeFalse())
-			tellAll()
-			Eventually(c.holds, "2s", "50ms").Should(BeTrue())
+			reportAll()
+			oldLeader := c.leader()
+			c.stop(oldLeader)
+			c.reportCrashes("b", crashOf(3))
+			Consistently(c.quarantined, "500ms", "100ms").Should(BeFalse())
+			reportAll()
+			Eventually(c.quarantined, "2s", "50ms").Should(BeTrue())
 		})
 	})
 
@@ -91,15 +91,15 @@
 				found int
 			}{{3, 1}, {4, 0}} {
 				s := lead(3)
-				leads := s.leadership.(*fixedLead)
-				machine := leads.machine
-				s.hearEnds(&rpc.SyncRequest{Ended: []*rpc.EndedSend{end(1), end(2)}}, machine, 3)
-				leads.machine = nil // in the same term hosts don't tell again
-				s.judgeOnce(context.Background())
-				leads.machine = machine
-				leads.term = c.term
-				s.hearEnds(&rpc.SyncRequest{Ended: []*rpc.EndedSend{end(3)}}, machine, c.term)
-				found := s.court.suspects.Detect(func(quarantine.Fingerprint) bool { return false })
+				leadership := s.leadership.(*fixedLeadership)
+				machine := leadership.machine
+				s.observeCrashes(&rpc.SyncRequest{Ended: []*rpc.EndedSend{crashOf(1), crashOf(2)}}, machine, 3)
+				leadership.machine = nil // in the same term hosts don't tell again
+				s.updateQuarantine(context.Background())
+				leadership.machine = machine
+				leadership.term = c.term
+				s.observeCrashes(&rpc.SyncRequest{Ended: []*rpc.EndedSend{crashOf(3)}}, machine, c.term)
+				found := s.coordinator.detector.Detect(func(quarantine.Fingerprint) bool { return false })
 				Expect(found).To(HaveLen(c.found))
 			}
 		})
@@ -107,8 +107,8 @@
 
 	It("is held for ten minutes", func() {
 		withCluster(func(c *cluster) {
-			c.tell("a", end(1), end(2), end(3))
-			Eventually(c.holds, "2s", "50ms").Should(BeTrue())
+			c.reportCrashes("a", crashOf(1), crashOf(2), crashOf(3))
+			Eventually(c.quarantined, "2s", "50ms").Should(BeTrue())
 			_, machine := c.hosts[c.leader()].server.replica.current()
 			Expect(machine.Quarantine()).To(HaveLen(1))
 			left := time.Until(time.UnixMilli(machine.Quarantine()[0].UntilMS))
--- a/pkg/fleetcontrol/recall.go
+++ b/pkg/fleetcontrol/recall.go
@@ -24,38 +24,38 @@
 // don't all go to the few that came first.
 
 const (
-	recallName = "endpoints"
-	// recallPause is the least time between two writes: two syncs of 5 ms each
+	endpointsFile = "endpoints"
+	// endpointsWriteInterval is the least time between two writes: two syncs of 5 ms each
 	// on the users' disks, which the log needs too. An endpoint that leaves must
 	// be off the list soon.
-	recallPause = 200 * time.Millisecond
-	// recallBeats is how many heartbeat intervals after the start a recalled
+	endpointsWriteInterval = 200 * time.Millisecond
+	// restoreHeartbeats is how many heartbeat intervals after the start a recalled
 	// endpoint may take for its first heartbeat.
-	recallBeats = 3
-	// recallSpread is by how many intervals that differs between replicas.
-	recallSpread = 1.5
-	sumBytes     = 4
+	restoreHeartbeats = 3
+	// restoreJitter is by how many intervals that differs between replicas.
+	restoreJitter = 1.5
+	checksumBytes = 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errTorn says that a crash cut a file short, or mixed it with an older one.
-var errTorn = errors.New("the list of endpoints is torn")
+// errChecksum says that a crash cut a file short, or mixed it with an older one.
+var errChecksum = errors.New("the list of endpoints is torn")
 
 // readEndpoints returns the list that the folder holds; none if it has no file.
 func readEndpoints(folder string, now time.Time) ([]fleet.Endpoint, error) {
-	text, err := os.ReadFile(filepath.Join(folder, recallName))
+	data, err := os.ReadFile(filepath.Join(folder, endpointsFile))
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, errors.Wrap(err, "read endpoints")
 	}
-	if len(text) < sumBytes || binary.LittleEndian.Uint32(text) != crc32.Checksum(text[sumBytes:], castagnoli) {
-		return nil, errTorn
+	if len(data) < checksumBytes || binary.LittleEndian.Uint32(data) != crc32.Checksum(data[checksumBytes:], castagnoli) {
+		return nil, errChecksum
 	}
 	list := &rpc.SpreadRequest{}
-	if err := proto.Unmarshal(text[sumBytes:], list); err != nil {
+	if err := proto.Unmarshal(data[checksumBytes:], list); err != nil {
 		return nil, errors.Wrap(err, "decode endpoints")
 	}
 	return fleet.EndpointsFromWire(list.GetEndpoints(), now), nil
@@ -70,12 +70,12 @@
 		return errors.Wrap(err, "encode endpoints")
 	}
 	sum := crc32.Checksum(body, castagnoli)
-	return writeFile(folder, recallName, append(binary.LittleEndian.AppendUint32(nil, sum), body...))
+	return writeFile(folder, endpointsFile, append(binary.LittleEndian.AppendUint32(nil, sum), body...))
 }
 
-// recall takes the endpoints that the disk tells of, and asks each whether it
+// restoreEndpoints takes the endpoints that the disk tells of, and asks each whether it
 // is still there.
-func (s *Server) recall() {
+func (s *Server) restoreEndpoints() {
 	if s.cfg.Folder == "" {
 		return
 	}
@@ -87,46 +87,46 @@
 	n := s.table.Restore(list)
 	s.cfg.Log.Event(eventlog.Reloaded, eventlog.Str("what", "endpoints"), eventlog.Str("from", "disk"), eventlog.Int("count", int64(n)))
 	for _, e := range list {
-		s.ask(e, 0, "recalled")
+		s.probe(e, 0, "recalled")
 	}
 }
 
-// recallTime is how long recalled endpoints may take for their first heartbeats. It
+// restoreTimeout is how long recalled endpoints may take for their first heartbeats. It
 // differs from replica to replica, so that they don't all ask the leader for whole
 // lists at once: 0.4 MB or so at 3,000 endpoints.
-func (s *Server) recallTime() time.Duration {
-	return time.Duration((recallBeats + recallSpread*rand.Float64()) * float64(s.cfg.Heartbeat))
+func (s *Server) restoreTimeout() time.Duration {
+	return time.Duration((restoreHeartbeats + restoreJitter*rand.Float64()) * float64(s.cfg.Heartbeat))
 }
 
-// dropRecalled forgets what no heartbeat has borne out, here or at another replica:
+// dropRestored forgets what no heartbeat has borne out, here or at another replica:
 // an endpoint sends its heartbeats to one of them, and that one spreads only news. The
 // leader is told of all, and is asked first. Who recalled nothing asks nobody.
-func (s *Server) dropRecalled(ctx context.Context) {
+func (s *Server) dropRestored(ctx context.Context) {
 	_, _, leader := s.replica.Leads(ctx)
-	for _, address := range append([]string{leader}, s.others()...) {
+	for _, address := range append([]string{leader}, s.otherReplicas()...) {
 		if !s.table.HasRestored() {
 			return
 		}
 		if address == "" || address == s.replica.address() {
 			continue
 		}
-		if _, err := s.learnFrom(ctx, address); err != nil {
+		if _, err := s.fetchEndpointsFrom(ctx, address); err != nil {
 			s.cfg.Metrics.Counter("spread_failures").Inc(1) // the next is asked
 		}
 	}
-	s.forgetRecalled()
+	s.dropUnconfirmed()
 }
 
-// forgetRecalled forgets what no heartbeat that this replica knows of has borne out.
-func (s *Server) forgetRecalled() {
+// dropUnconfirmed forgets what no heartbeat that this replica knows of has borne out.
+func (s *Server) dropUnconfirmed() {
 	if n := s.table.DropRestored(); n > 0 {
 		s.cfg.Log.Event(eventlog.Reloaded, eventlog.Str("what", "endpoints without a heartbeat dropped"), eventlog.Int("count", int64(n)))
 	}
 }
 
-// keepEndpoints writes the list whenever an endpoint has come or gone. What
+// saveEndpoints writes the list whenever an endpoint has come or gone. What
 // they hold needs no write: they are asked.
-func (s *Server) keepEndpoints(ctx context.Context) {
+func (s *Server) saveEndpoints(ctx context.Context) {
 	if s.cfg.Folder == "" {
 		return
 	}
@@ -135,17 +135,17 @@
 	for ctx.Err() == nil {
 		changed := s.table.Changed()
 		list := usable(s.table.All())
-		if names := idsOf(list); names != written {
+		if ids := joinIDs(list); ids != written {
 			err := writeEndpoints(s.cfg.Folder, list, s.cfg.Timer.Now())
 			if err != nil && !failing {
 				s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the list of endpoints can't be saved; the older one stays"), eventlog.Err(err))
 			}
 			failing = err != nil
 			if !failing {
-				written = names
+				written = ids
 			}
 		}
-		if timer.Sleep(ctx, s.cfg.Timer, recallPause) != nil {
+		if timer.Sleep(ctx, s.cfg.Timer, endpointsWriteInterval) != nil {
 			return
 		}
 		select {
@@ -155,8 +155,8 @@
 	}
 }
 
-// idsOf names the endpoints of a sorted list.
-func idsOf(list []fleet.Endpoint) string {
+// joinIDs names the endpoints of a sorted list.
+func joinIDs(list []fleet.Endpoint) string {
 	var b strings.Builder
 	for _, e := range list {
 		b.WriteString(e.ID)
--- a/pkg/fleetcontrol/recall_test.go
+++ b/pkg/fleetcontrol/recall_test.go
@@ -15,9 +15,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sees asks a control host for the whole list of endpoints, as an entry host
+// listEndpoints asks a control host for the whole list of endpoints, as an entry host
 // does; it returns nothing while the host doesn't lead.
-func (c *cluster) sees(ip string) *rpc.SyncReply {
+func (c *cluster) listEndpoints(ip string) *rpc.SyncReply {
 	h := c.hosts[ip]
 	if h == nil {
 		return &rpc.SyncReply{}
@@ -51,7 +51,7 @@
 
 	It("endpoints that answer are known before their heartbeats, others are not", func() {
 		withCluster(func(c *cluster) {
-			c.orders = fakeOrders{report: func(id string) (placement.Report, error) {
+			c.endpoints = fakeEndpoints{report: func(id string) (placement.Report, error) {
 				if id != "engine" {
 					return placement.Report{}, errors.New("connection refused")
 				}
@@ -70,7 +70,7 @@
 			}
 			for _, ip := range c.ips {
 				Eventually(func() int {
-					list, err := readEndpoints(c.data(ip), time.Now())
+					list, err := readEndpoints(c.dataFolder(ip), time.Now())
 					Expect(err).NotTo(HaveOccurred())
 					return len(list)
 				}, "5s", "10ms").Should(Equal(2), "the one that leaves isn't kept")
@@ -79,7 +79,7 @@
 			lead := c.leader()
 			Eventually(func() []string {
 				var seen []string
-				for _, e := range c.sees(lead).GetEndpoints() {
+				for _, e := range c.listEndpoints(lead).GetEndpoints() {
 					if !e.GetSilent() {
 						seen = append(seen, e.GetId())
 						Expect(e.GetEndLayer()).To(BeEquivalentTo(9))
@@ -87,8 +87,8 @@
 				}
 				return seen
 			}, "2s", "5ms").Should(Equal([]string{"engine"}))
-			Eventually(func() bool { return c.sees(lead).GetSettled() }, "5s", "20ms").Should(BeTrue())
-			Expect(c.sees(lead).GetEndpoints()).To(BeEmpty(), "no heartbeat came")
+			Eventually(func() bool { return c.listEndpoints(lead).GetSettled() }, "5s", "20ms").Should(BeTrue())
+			Expect(c.listEndpoints(lead).GetEndpoints()).To(BeEmpty(), "no heartbeat came")
 		})
 	})
 
@@ -100,12 +100,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(list).To(BeEmpty())
 		Expect(writeEndpoints(folder, []fleet.Endpoint{announcement(false, 1)}, time.Now())).To(Succeed())
-		text, err := os.ReadFile(filepath.Join(folder, recallName))
+		text, err := os.ReadFile(filepath.Join(folder, endpointsFile))
 		Expect(err).NotTo(HaveOccurred())
 		for cut := range text {
-			Expect(os.WriteFile(filepath.Join(folder, recallName), text[:cut], 0o600)).To(Succeed())
+			Expect(os.WriteFile(filepath.Join(folder, endpointsFile), text[:cut], 0o600)).To(Succeed())
 			_, err = readEndpoints(folder, time.Now())
-			Expect(err).To(MatchError(errTorn))
+			Expect(err).To(MatchError(errChecksum))
 		}
 	})
 })
--- a/pkg/fleetcontrol/rejoin_test.go
+++ b/pkg/fleetcontrol/rejoin_test.go
@@ -12,8 +12,8 @@
 	It("joins under a new id, learns everything, and knows who leads", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
-			c.put(lead, document(3, "a"))
-			wiped := c.other(lead)
+			c.replaceConfig(lead, document(3, "a"))
+			wiped := c.otherHost(lead)
 			c.stop(wiped)
 			c.wipe(wiped)
 			c.start(wiped, false)
@@ -31,7 +31,7 @@
 	It("doesn't make a majority that forgets, when all others were stopped too", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
-			c.put(lead, document(3, "a"))
+			c.replaceConfig(lead, document(3, "a"))
 			for _, ip := range c.ips {
 				c.stop(ip)
 			}
--- a/pkg/fleetcontrol/replica.go
+++ b/pkg/fleetcontrol/replica.go
@@ -24,13 +24,13 @@
 	// sync of 5 ms and the hosts' pauses, and short since no entry host takes
 	// requests with keys before a leader has confirmed them.
 	raftTick = 30 * time.Millisecond
-	// reopenPause is how long a replica whose storage failed waits before it
+	// reopenDelay is how long a replica whose storage failed waits before it
 	// opens the folder again.
-	reopenPause = 500 * time.Millisecond
-	// joinAfter is how long a replica hears nothing before it asks whether it
+	reopenDelay = 500 * time.Millisecond
+	// joinSilence is how long a replica hears nothing before it asks whether it
 	// still is one: longer than an election takes.
-	joinAfter = 2 * time.Second
-	joinPause = 500 * time.Millisecond
+	joinSilence  = 2 * time.Second
+	joinInterval = 500 * time.Millisecond
 	// claimWindow isn't used by deployments with whole configurations; the
 	// state machine wants one.
 	claimWindow = 10 * time.Minute
@@ -48,27 +48,27 @@
 // Replica is one replica of the log that outlives failures of its storage: it
 // is opened again, and if its disk was replaced it joins under a new id.
 type Replica struct {
-	folder   string
-	ip       string
-	port     string
-	founding Bootstrap
-	losses   int
-	peers    func() []string
-	client   *http.Client
-	svc      timer.Service
-	log      *eventlog.Log
+	folder          string
+	ip              string
+	port            string
+	bootstrap       Bootstrap
+	toleratedLosses int
+	seedAddresses   func() []string
+	client          *http.Client
+	svc             timer.Service
+	log             *eventlog.Log
 
 	mu      sync.Mutex
 	node    *replica.Node
 	machine *state.Machine
 	// transport is the node's.
-	transport replica.Transport
-	id        uint64
-	heard     map[uint64]time.Time
-	sure      uint64 // term in which a read barrier has passed
-	born      time.Time
-	// seen is what a host without a disk was told of the replicas.
-	seen *rpc.JoinReply
+	transport    replica.Transport
+	id           uint64
+	receivedAt   map[uint64]time.Time
+	caughtUpTerm uint64 // term in which a read barrier has passed
+	installedAt  time.Time
+	// lastObserved is what a host without a disk was told of the replicas.
+	lastObserved *rpc.JoinReply
 }
 
 // Run keeps a node running until ctx ends.
@@ -92,23 +92,23 @@
 			r.log.Event(eventlog.StorageFailed, eventlog.Err(err))
 		}
 		failing = true
-		if timer.Sleep(ctx, r.svc, reopenPause) != nil {
+		if timer.Sleep(ctx, r.svc, reopenDelay) != nil {
 			return
 		}
 	}
 }
 
-// identify returns the id, and the founders if this replica is one of them and
+// loadIdentity returns the id, and the founders if this replica is one of them and
 // starts for the first time.
-func (r *Replica) identify() (uint64, *rpc.Members, error) {
+func (r *Replica) loadIdentity() (uint64, *rpc.Members, error) {
 	id, err := readIdentity(r.folder)
 	if err != nil {
 		return 0, nil, err
 	}
-	found := r.founding.FirstStart && r.founds()
+	isInitial := r.bootstrap.FirstStart && r.isInitialMember()
 	if id == 0 {
-		if found {
-			id = founderID(r.ip)
+		if isInitial {
+			id = initialMemberID(r.ip)
 		} else if id, err = newID(); err != nil {
 			return 0, nil, err
 		}
@@ -116,14 +116,14 @@
 			return 0, nil, err
 		}
 	}
-	if found && id == founderID(r.ip) {
-		return id, founders(r.founding.IPs, r.port), nil
+	if isInitial && id == initialMemberID(r.ip) {
+		return id, initialMembers(r.bootstrap.IPs, r.port), nil
 	}
 	return id, nil, nil
 }
 
-func (r *Replica) founds() bool {
-	for _, ip := range r.founding.IPs {
+func (r *Replica) isInitialMember() bool {
+	for _, ip := range r.bootstrap.IPs {
 		if ip == r.ip {
 			return true
 		}
@@ -132,7 +132,7 @@
 }
 
 func (r *Replica) runOnce(ctx context.Context, opened func()) error {
-	id, members, err := r.identify()
+	id, members, err := r.loadIdentity()
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 	opened()
 	r.install(node, machine, transport, id)
 	defer r.install(nil, nil, nil, 0)
-	g.Go(r.keepMembership)
+	g.Go(r.maintainMembership)
 	return node.Run(ctx)
 }
 
@@ -177,9 +177,9 @@
 	r.machine = machine
 	r.transport = transport
 	r.id = id
-	r.heard = map[uint64]time.Time{}
-	r.sure = 0
-	r.born = r.svc.Now()
+	r.receivedAt = map[uint64]time.Time{}
+	r.caughtUpTerm = 0
+	r.installedAt = r.svc.Now()
 }
 
 // current returns the running node and its state; nil while storage fails.
@@ -195,16 +195,16 @@
 	r.mu.Lock()
 	node := r.node
 	now := r.svc.Now()
-	kept := make([]*rpc.RaftMessage, 0, len(batch.GetMessages()))
+	addressed := make([]*rpc.RaftMessage, 0, len(batch.GetMessages()))
 	for _, m := range batch.GetMessages() {
 		if m.GetTo() == r.id {
-			r.heard[m.GetFrom()] = now
-			kept = append(kept, m)
+			r.receivedAt[m.GetFrom()] = now
+			addressed = append(addressed, m)
 		}
 	}
 	r.mu.Unlock()
-	if node != nil && len(kept) > 0 {
-		node.Deliver(kept)
+	if node != nil && len(addressed) > 0 {
+		node.Deliver(addressed)
 	}
 }
 
@@ -220,11 +220,11 @@
 	if st.Role != raft.Leader {
 		return nil, 0, st.Leader.GetAddress()
 	}
-	if !r.isSure(st.Term) {
+	if !r.isCaughtUp(st.Term) {
 		if err := node.ReadBarrier(ctx); err != nil {
 			return nil, 0, ""
 		}
-		r.setSure(st.Term)
+		r.setCaughtUp(st.Term)
 	}
 	if !node.HoldsLease() || node.Status().Term != st.Term {
 		return nil, 0, ""
@@ -232,16 +232,16 @@
 	return machine, st.Term, ""
 }
 
-func (r *Replica) isSure(term uint64) bool {
+func (r *Replica) isCaughtUp(term uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sure == term
+	return r.caughtUpTerm == term
 }
 
-func (r *Replica) setSure(term uint64) {
+func (r *Replica) setCaughtUp(term uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sure = term
+	r.caughtUpTerm = term
 }
 
 // Members returns the addresses of the replicas.
@@ -266,8 +266,8 @@
 func (r *Replica) silentFor(id uint64, since time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.heard[id]
-	for _, floor := range []time.Time{since, r.born} {
+	at := r.receivedAt[id]
+	for _, floor := range []time.Time{since, r.installedAt} {
 		if at.Before(floor) {
 			at = floor
 		}
@@ -275,5 +275,5 @@
 	return r.svc.Now().Sub(at)
 }
 
-// errNoNode is returned while storage fails.
-var errNoNode = errors.New("the replica's storage is being opened again")
+// errNotOpen is returned while storage fails.
+var errNotOpen = errors.New("the replica's storage is being opened again")
--- a/pkg/fleetcontrol/sample.go
+++ b/pkg/fleetcontrol/sample.go
@@ -12,10 +12,10 @@
 	// sampleSize is how many hosts an entry host can name to callers: as many as
 	// callers take. Where there are no more, all are named.
 	sampleSize = 64
-	// samplePause is the least time between two samples that a host is sent, so
+	// sampleInterval is the least time between two samples that a host is sent, so
 	// that hosts which come and go one by one don't cost a list each. Callers keep
 	// an answer for seconds anyway, and leave out addresses that fail them.
-	samplePause = 500 * time.Millisecond
+	sampleInterval = 500 * time.Millisecond
 )
 
 // sample is the ready hosts that one entry host names to callers. Which ones is
@@ -28,17 +28,17 @@
 	digest    uint64
 }
 
-// draw returns the sample of one host out of those that are ready.
-func (h *hosts) draw(name string) sample {
+// selectSample returns the sample of one host out of those that are ready.
+func (h *hosts) selectSample(name string) sample {
 	type ranked struct {
 		address string
 		rank    uint64
 	}
 	var list []ranked
-	for other, row := range h.rows {
-		if row.info.GetReady() {
+	for other, entry := range h.entries {
+		if entry.info.GetReady() {
 			list = append(list, ranked{
-				address: row.info.GetCallerAddress(),
+				address: entry.info.GetCallerAddress(),
 				rank:    xxhash.Sum64String(name + " " + other),
 			})
 		}
@@ -50,8 +50,8 @@
 	s := sample{
 		version: h.readyVersion,
 	}
-	for _, one := range list {
-		s.addresses = append(s.addresses, one.address)
+	for _, candidate := range list {
+		s.addresses = append(s.addresses, candidate.address)
 	}
 	sort.Strings(s.addresses)
 	s.digest = fleet.AddressesDigest(s.addresses)
@@ -63,16 +63,16 @@
 func (h *hosts) addresses(now time.Time, name string, held uint64) (list []string, digest uint64, ready int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	row := h.rows[name]
-	if row == nil || held != 0 && now.Sub(row.addressesAt) < samplePause {
+	entry := h.entries[name]
+	if entry == nil || held != 0 && now.Sub(entry.addressesAt) < sampleInterval {
 		return nil, held, h.ready
 	}
-	if row.sample.version != h.readyVersion {
-		row.sample = h.draw(name)
+	if entry.sample.version != h.readyVersion {
+		entry.sample = h.selectSample(name)
 	}
-	if row.sample.digest == held {
+	if entry.sample.digest == held {
 		return nil, held, h.ready
 	}
-	row.addressesAt = now
-	return row.sample.addresses, row.sample.digest, h.ready
+	entry.addressesAt = now
+	return entry.sample.addresses, entry.sample.digest, h.ready
 }
--- a/pkg/fleetcontrol/server.go
+++ b/pkg/fleetcontrol/server.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// spreadInterval is how often a replica tells the leader whom it heard of.
-	spreadInterval = 500 * time.Millisecond
-	judgeInterval  = 300 * time.Millisecond
-	// leaveTimeout bounds how long the acknowledgement of a leave waits for
+	// propagateInterval is how often a replica tells the leader whom it heard of.
+	propagateInterval = 500 * time.Millisecond
+	leadInterval      = 300 * time.Millisecond
+	// replicaCallTimeout bounds how long the acknowledgement of a leave waits for
 	// another replica; endpoints wait a second.
-	leaveTimeout = 400 * time.Millisecond
+	replicaCallTimeout = 400 * time.Millisecond
 	// proposeTimeout is under the second after which operators try elsewhere.
 	proposeTimeout = 900 * time.Millisecond
-	// settleBeats is how many heartbeat intervals a leader waits before it
+	// settleHeartbeats is how many heartbeat intervals a leader waits before it
 	// takes the list of endpoints for whole.
-	settleBeats = 2
+	settleHeartbeats = 2
 )
 
 // Decoder reads and checks a configuration as the operator sends it.
@@ -62,21 +62,21 @@
 	cfg     Config
 	replica *Replica
 	// leadership is the replica's, as hosts' calls see it.
-	leadership leadership
-	table      *registry.Table
-	hosts      *hosts
-	listing    *listing
-	history    *fleet.History
-	spreads    spreader
-	orders     *considerate
-	keeper     *placement.Controller
-	group      *group.Group
-
-	survey *survey
-	court  *court
-	lender *permit.Granter
-	// standing is the configuration that lead read last.
-	standing *fleet.Configuration
+	leadership     leadership
+	table          *registry.Table
+	hosts          *hosts
+	endpointList   *endpointList
+	history        *fleet.History
+	propagator     propagator
+	endpointClient *endpointClient
+	controller     *placement.Controller
+	group          *group.Group
+
+	probes      *probeSchedule
+	coordinator *quarantineCoordinator
+	granter     *permit.Granter
+	// decodedConfig is the configuration that lead read last.
+	decodedConfig *fleet.Configuration
 
 	mu      sync.Mutex
 	leading leading
@@ -90,8 +90,8 @@
 	settled bool
 }
 
-// noteLeading remembers when a term's lead was first seen.
-func (s *Server) noteLeading(term uint64, now time.Time) time.Time {
+// recordLeading remembers when a term's lead was first seen.
+func (s *Server) recordLeading(term uint64, now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leading.term != term {
@@ -111,12 +111,12 @@
 	return s.leading.term == term && s.leading.settled
 }
 
-// settle notes that, and drops what only the disk told of.
-func (s *Server) settle(term uint64) {
+// markSettled notes that, and drops what only the disk told of.
+func (s *Server) markSettled(term uint64) {
 	if s.settled(term) {
 		return
 	}
-	s.forgetRecalled()
+	s.dropUnconfirmed()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leading.term == term {
@@ -127,31 +127,31 @@
 // New returns a control host; its goroutines run in g.
 func New(cfg Config, g *group.Group) *Server {
 	s := &Server{
-		cfg:     cfg,
-		table:   registry.New(cfg.Timer, cfg.Log, cfg.Heartbeat),
-		hosts:   newHosts(),
-		history: fleet.NewHistory(),
-		listing: newListing(cfg.Log),
-		group:   g,
-		survey:  newSurvey(),
-		court:   newCourt(cfg.Timer),
-		lender:  permit.NewGranter(cfg.Timer),
+		cfg:          cfg,
+		table:        registry.New(cfg.Timer, cfg.Log, cfg.Heartbeat),
+		hosts:        newHosts(),
+		history:      fleet.NewHistory(),
+		endpointList: newEndpointList(cfg.Log),
+		group:        g,
+		probes:       newProbeSchedule(),
+		coordinator:  newQuarantineCoordinator(cfg.Timer),
+		granter:      permit.NewGranter(cfg.Timer),
 	}
 	s.replica = &Replica{
-		folder:   cfg.Folder,
-		ip:       cfg.IP,
-		port:     cfg.Port,
-		founding: cfg.Bootstrap,
-		losses:   cfg.ToleratedLosses,
-		peers:    s.seedAddresses,
-		client:   cfg.Client,
-		svc:      cfg.Timer,
-		log:      cfg.Log,
-		heard:    map[uint64]time.Time{},
+		folder:          cfg.Folder,
+		ip:              cfg.IP,
+		port:            cfg.Port,
+		bootstrap:       cfg.Bootstrap,
+		toleratedLosses: cfg.ToleratedLosses,
+		seedAddresses:   s.seedAddresses,
+		client:          cfg.Client,
+		svc:             cfg.Timer,
+		log:             cfg.Log,
+		receivedAt:      map[uint64]time.Time{},
 	}
 	s.leadership = s.replica
-	s.orders = newConsiderate(cfg.Orders, s.table, s.lender, cfg.Timer, cfg.Log)
-	s.keeper = placement.NewController(s.orders, s.table, s.short, cfg.Heartbeat, cfg.Timer, cfg.Log, g)
+	s.endpointClient = newEndpointClient(cfg.Orders, s.table, s.granter, cfg.Timer, cfg.Log)
+	s.controller = placement.NewController(s.endpointClient, s.table, s.belowDemand, cfg.Heartbeat, cfg.Timer, cfg.Log, g)
 	return s
 }
 
@@ -167,17 +167,17 @@
 func (s *Server) Run(ctx context.Context) error {
 	g := group.New(ctx)
 	defer g.Stop()
-	s.recall()
-	g.Go(s.keepEndpoints)
+	s.restoreEndpoints()
+	g.Go(s.saveEndpoints)
 	g.Go(func(ctx context.Context) {
-		if timer.Sleep(ctx, s.cfg.Timer, s.recallTime()) == nil {
-			s.dropRecalled(ctx)
+		if timer.Sleep(ctx, s.cfg.Timer, s.restoreTimeout()) == nil {
+			s.dropRestored(ctx)
 		}
 	})
-	g.Go(s.learn)
-	g.Go(s.spreadHeard)
+	g.Go(s.fetchEndpoints)
+	g.Go(s.propagateAnnounced)
 	g.Go(s.lead)
-	g.Go(s.judge)
+	g.Go(s.runQuarantine)
 	s.replica.Run(ctx)
 	return nil
 }
@@ -200,28 +200,28 @@
 
 // Join implements rpc.Fleet.
 func (s *Server) Join(ctx context.Context, q *rpc.JoinRequest) (*rpc.JoinReply, error) {
-	return s.replica.takeIn(ctx, q)
+	return s.replica.handleJoin(ctx, q)
 }
 
 // lead does what only the leader does.
 func (s *Server) lead(ctx context.Context) {
-	timer.Loop(ctx, s.cfg.Timer, judgeInterval, func(now time.Time) {
-		s.noteStanding()
+	timer.Loop(ctx, s.cfg.Timer, leadInterval, func(now time.Time) {
+		s.recordCommitted()
 		machine, term, _ := s.replica.Leads(ctx)
 		if machine == nil {
-			s.noteLeading(0, now)
-			s.hosts.forget()
-			s.keeper.Reset()
+			s.recordLeading(0, now)
+			s.hosts.reset()
+			s.controller.Reset()
 			return
 		}
-		since := s.noteLeading(term, now)
-		s.hosts.bury(now)
-		s.noteLimits(s.lender.Expire())
-		if now.Sub(since) < settleBeats*s.cfg.Heartbeat {
+		since := s.recordLeading(term, now)
+		s.hosts.expire(now)
+		s.logLimitChanges(s.granter.Expire())
+		if now.Sub(since) < settleHeartbeats*s.cfg.Heartbeat {
 			return
 		}
-		s.settle(term)
-		s.askAll(s.table.Sweep())
+		s.markSettled(term)
+		s.probeAll(s.table.Sweep())
 		doc := machine.Document()
 		if doc == nil {
 			return
@@ -231,7 +231,7 @@
 			s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration that stands can't be read"), eventlog.Err(err))
 			return
 		}
-		s.keeper.Reconcile(ctx, cfg, func() bool {
+		s.controller.Reconcile(ctx, cfg, func() bool {
 			m, t, _ := s.replica.Leads(ctx)
 			return m != nil && t == term
 		})
--- a/pkg/fleetcontrol/size_test.go
+++ b/pkg/fleetcontrol/size_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// heldCall is how long hosts' calls are held, so how often they come.
-const heldCall = 400 * time.Millisecond
+// callInterval is how long hosts' calls are held, so how often they come.
+const callInterval = 400 * time.Millisecond
 
 const (
 	manyHosts     = 300
@@ -32,7 +32,7 @@
 }
 
 type entryHost struct {
-	q         *rpc.SyncRequest
+	request   *rpc.SyncRequest
 	endpoints map[string]fleet.Endpoint
 }
 
@@ -40,51 +40,51 @@
 	e := &entryHosts{}
 	for i := range n {
 		host := &entryHost{
-			q:         call(i, true),
+			request:   syncRequest(i, true),
 			endpoints: map[string]fleet.Endpoint{},
 		}
-		host.q.DocumentVersion = 0
-		host.q.AskOthers = true
+		host.request.DocumentVersion = 0
+		host.request.AskOthers = true
 		for k := range 68 { // endpoints with work of one host
-			host.q.Loads.Endpoints = append(host.q.Loads.Endpoints, fleet.LoadKey(engineName((i+k)%manyEndpoints)))
-			host.q.Loads.Requests = append(host.q.Loads.Requests, 3)
-			host.q.Loads.Tokens = append(host.q.Loads.Tokens, 2100)
+			host.request.Loads.Endpoints = append(host.request.Loads.Endpoints, fleet.LoadKey(engineName((i+k)%manyEndpoints)))
+			host.request.Loads.Requests = append(host.request.Loads.Requests, 3)
+			host.request.Loads.Tokens = append(host.request.Loads.Tokens, 2100)
 		}
 		e.list = append(e.list, host)
 	}
 	return e
 }
 
-// call lets some hosts make one call each to a leader.
-func (e *entryHosts) call(s *Server, hosts ...*entryHost) {
+// syncAll lets some hosts make one call each to a leader.
+func (e *entryHosts) syncAll(s *Server, hosts ...*entryHost) {
 	for _, h := range hosts {
-		reply, err := s.Sync(context.Background(), h.q)
+		reply, err := s.Sync(context.Background(), h.request)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.GetConfirmed()).To(BeTrue())
 		e.bytes += proto.Size(reply) - proto.Size(reply.GetLoads())
 		Expect(proto.Size(reply.GetLoads())).To(BeNumerically("<", 2<<10))
-		h.take(reply)
+		h.apply(reply)
 	}
 }
 
-func (h *entryHost) take(reply *rpc.SyncReply) {
-	list := fleet.EndpointsFromWire(reply.GetEndpoints(), start)
+func (h *entryHost) apply(reply *rpc.SyncReply) {
+	list := fleet.EndpointsFromWire(reply.GetEndpoints(), startTime)
 	if reply.GetWhole() {
 		text, err := fleet.Unpack(reply.GetPackedEndpoints())
 		Expect(err).NotTo(HaveOccurred())
 		all := &rpc.SpreadRequest{}
 		Expect(proto.Unmarshal(text, all)).To(Succeed())
-		list = fleet.EndpointsFromWire(all.GetEndpoints(), start)
+		list = fleet.EndpointsFromWire(all.GetEndpoints(), startTime)
 		h.endpoints = map[string]fleet.Endpoint{}
 	}
 	for _, one := range list {
 		h.endpoints[one.ID] = one
 	}
-	h.q.EndpointsDigest = h.digest()
-	h.q.Epoch = reply.GetEpoch()
-	h.q.EndpointsVersion = reply.GetEndpointsVersion()
-	h.q.AddressesDigest = reply.GetAddressesDigest()
-	h.q.DocumentVersion = max(h.q.GetDocumentVersion(), reply.GetDocument().GetVersion(), reply.GetPatch().GetVersion())
+	h.request.EndpointsDigest = h.digest()
+	h.request.Epoch = reply.GetEpoch()
+	h.request.EndpointsVersion = reply.GetEndpointsVersion()
+	h.request.AddressesDigest = reply.GetAddressesDigest()
+	h.request.DocumentVersion = max(h.request.GetDocumentVersion(), reply.GetDocument().GetVersion(), reply.GetPatch().GetVersion())
 }
 
 func (h *entryHost) digest() uint64 {
@@ -95,34 +95,34 @@
 	return fleet.EndpointsDigest(list)
 }
 
-// each returns the bytes of the answers since the last call, for each host.
-func (e *entryHosts) each() int {
+// takeBytesPerHost returns the bytes of the answers since the last call, for each host.
+func (e *entryHosts) takeBytesPerHost() int {
 	n := e.bytes / len(e.list)
 	e.bytes = 0
 	return n
 }
 
-// fixedLead leads for good: what a leader tells hosts is looked at here, and not who
+// fixedLeadership leads for good: what a leader tells hosts is looked at here, and not who
 // leads, which would depend on how busy the machine is.
-type fixedLead struct {
+type fixedLeadership struct {
 	term    uint64
 	machine *state.Machine
 }
 
 // Leads implements leadership.
-func (l *fixedLead) Leads(context.Context) (*state.Machine, uint64, string) {
+func (l *fixedLeadership) Leads(context.Context) (*state.Machine, uint64, string) {
 	return l.machine, l.term, ""
 }
 
 // Members implements leadership.
-func (l *fixedLead) Members() []string {
+func (l *fixedLeadership) Members() []string {
 	return []string{"127.0.1.1:7300", "127.0.1.2:7300", "127.0.1.3:7300"}
 }
 
 // withLeaders runs f with a function that makes leaders of terms, on a clock that
 // moves only as f says.
 func withLeaders(f func(lead func(term uint64) *Server, clock *timer.Manual)) {
-	clock := timer.NewManual(start)
+	clock := timer.NewManual(startTime)
 	g := group.New(context.Background())
 	defer g.Stop()
 	f(func(term uint64) *Server {
@@ -131,16 +131,16 @@
 			Port:      "7300",
 			SeedIPs:   func() []string { return nil },
 			Heartbeat: time.Second,
-			Orders:    fakeOrders{},
+			Orders:    fakeEndpoints{},
 			Timer:     clock,
 			Metrics:   metrics.New(),
 		}, g)
-		s.leadership = &fixedLead{
+		s.leadership = &fixedLeadership{
 			term:    term,
 			machine: state.New(claimWindow.Milliseconds()),
 		}
-		s.noteLeading(term, clock.Now())
-		s.settle(term)
+		s.recordLeading(term, clock.Now())
+		s.markSettled(term)
 		return s
 	}, clock)
 }
@@ -149,7 +149,7 @@
 	return fmt.Sprintf("i-%08x", uint32(i)*2654435761)
 }
 
-func engine(i int, sequence uint64, layers fleet.Range) fleet.Endpoint {
+func engineEndpoint(i int, sequence uint64, layers fleet.Range) fleet.Endpoint {
 	return fleet.Endpoint{
 		ID:       engineName(i),
 		Service:  "models",
@@ -167,10 +167,10 @@
 		withLeaders(func(leader func(term uint64) *Server, clock *timer.Manual) {
 			lead := leader(1)
 			for i := range manyHosts {
-				lead.hosts.hear(clock.Now(), call(i+1, true))
+				lead.hosts.observe(clock.Now(), syncRequest(i+1, true))
 			}
 			ask := func(name string) chan bool {
-				q := call(0, false)
+				q := syncRequest(0, false)
 				q.Host.Name = name
 				q.WaitMs = 400
 				done := make(chan bool, 1)
@@ -181,10 +181,10 @@
 				return done
 			}
 			Eventually(ask("new"), "5s").Should(Receive(BeTrue()))
-			again := ask("new")
-			Consistently(again, "50ms").ShouldNot(Receive())
-			clock.Advance(heldCall)
-			Eventually(again, "5s").Should(Receive(BeTrue()))
+			repeated := ask("new")
+			Consistently(repeated, "50ms").ShouldNot(Receive())
+			clock.Advance(callInterval)
+			Eventually(repeated, "5s").Should(Receive(BeTrue()))
 		})
 	})
 })
@@ -194,42 +194,42 @@
 		withLeaders(func(leader func(term uint64) *Server, clock *timer.Manual) {
 			lead := leader(1)
 			announce := func(s *Server, i int, sequence uint64) {
-				s.table.Announce(engine(i, sequence, fleet.Range{From: int(sequence) % 70, To: int(sequence)%70 + 8}))
+				s.table.Announce(engineEndpoint(i, sequence, fleet.Range{From: int(sequence) % 70, To: int(sequence)%70 + 8}))
 			}
-			told := make([]uint64, manyEndpoints) // sequences
-			beat := func(s *Server) {             // a heartbeat of each endpoint, so that none is late
+			sequences := make([]uint64, manyEndpoints) // sequences
+			heartbeats := func(s *Server) {            // a heartbeat of each endpoint, so that none is late
 				for i := range manyEndpoints {
-					announce(s, i, max(1, told[i]))
+					announce(s, i, max(1, sequences[i]))
 				}
 			}
-			beat(lead)
+			heartbeats(lead)
 			all := newEntryHosts(manyHosts)
 			round := func(s *Server) { // every endpoint's heartbeat, and every host's call
-				clock.Advance(heldCall)
-				beat(s)
-				all.call(s, all.list...)
+				clock.Advance(callInterval)
+				heartbeats(s)
+				all.syncAll(s, all.list...)
 			}
 
 			By("joining: one whole list and one sample each, however many come after")
 			for i, h := range all.list {
-				beat(lead)
-				all.call(lead, h)
-				all.call(lead, all.list[max(0, i-3):i]...)
+				heartbeats(lead)
+				all.syncAll(lead, h)
+				all.syncAll(lead, all.list[max(0, i-3):i]...)
 			}
-			Expect(all.each()).To(BeNumerically("<", 20<<10))
+			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 20<<10))
 
 			round(lead)
-			all.each()
+			all.takeBytesPerHost()
 			round(lead)
-			Expect(all.each()).To(BeNumerically("<", 600), "a confirmation, and a sample now and then")
+			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 600), "a confirmation, and a sample now and then")
 
 			By("endpoints that change: their own rows")
 			const changes = 20
 			for n := range changes {
-				told[n] = uint64(n + 2)
+				sequences[n] = uint64(n + 2)
 				round(lead)
 			}
-			Expect(all.each() / changes).To(BeNumerically("<", 700))
+			Expect(all.takeBytesPerHost() / changes).To(BeNumerically("<", 700))
 			for _, h := range all.list {
 				Expect(h.endpoints).To(HaveLen(manyEndpoints))
 				Expect(h.digest()).To(Equal(all.list[0].digest()))
@@ -237,27 +237,27 @@
 
 			By("hosts that come and go: a sample now and then")
 			for n := range changes {
-				all.list[n].q.Host.Ready = false
+				all.list[n].request.Host.Ready = false
 				round(lead)
 			}
-			Expect(all.each() / changes).To(BeNumerically("<", 700))
+			Expect(all.takeBytesPerHost() / changes).To(BeNumerically("<", 700))
 
 			By("a new leader that holds the same: nothing")
 			next := leader(2)
-			beat(next)
-			before := all.list[0].q.GetEpoch()
+			heartbeats(next)
+			before := all.list[0].request.GetEpoch()
 			round(next)
-			Expect(all.list[0].q.GetEpoch()).NotTo(Equal(before))
-			Expect(all.each()).To(BeNumerically("<", 1500))
+			Expect(all.list[0].request.GetEpoch()).NotTo(Equal(before))
+			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 1500))
 
 			By("a new leader that holds another set: one list each")
-			told[3] = 99
+			sequences[3] = 99
 			for _, h := range all.list {
-				h.q.Epoch = before
+				h.request.Epoch = before
 			}
 			round(next)
 			round(next) // a list may be listKeep old; the next call brings what it lacked
-			Expect(all.each()).To(BeNumerically("<", 12<<10))
+			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 12<<10))
 			for _, h := range all.list {
 				Expect(h.endpoints[engineName(3)].Sequence).To(BeEquivalentTo(99))
 			}
--- a/pkg/fleetcontrol/spreader.go
+++ b/pkg/fleetcontrol/spreader.go
@@ -9,58 +9,58 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// spreadGather is how long announcements gather before they are spread together:
+// propagationDelay is how long announcements gather before they are spread together:
 // 3,000 endpoints that announce themselves in a second would make as many calls to
 // each replica. An endpoint that leaves waits as long for its acknowledgement.
-const spreadGather = 10 * time.Millisecond
+const propagationDelay = 10 * time.Millisecond
 
-// spreader spreads announcements to the other replicas, many with one call.
-type spreader struct {
+// propagator spreads announcements to the other replicas, many with one call.
+type propagator struct {
 	mu      sync.Mutex
 	pending []fleet.Endpoint
-	// done is closed once the batch that pending is of was spread.
-	done *spreading
+	// batch is closed once the batch that pending is of was spread.
+	batch *propagationBatch
 }
 
-// spreading is one batch on its way.
-type spreading struct {
-	over   chan struct{}
-	others int   // replicas that there were to tell
-	told   int64 // of them
+// propagationBatch is one batch on its way.
+type propagationBatch struct {
+	done         chan struct{}
+	others       int   // replicas that there were to tell
+	acknowledged int64 // of them
 }
 
-// spreadSoon spreads an announcement with those that come shortly after, and
+// propagateBatched spreads an announcement with those that come shortly after, and
 // returns how many other replicas there were and how many took it. Both are 0 if
 // ctx ended before.
-func (s *Server) spreadSoon(ctx context.Context, e fleet.Endpoint) (others int, told int64) {
-	s.spreads.mu.Lock()
-	s.spreads.pending = append(s.spreads.pending, e)
-	batch := s.spreads.done
+func (s *Server) propagateBatched(ctx context.Context, e fleet.Endpoint) (others int, told int64) {
+	s.propagator.mu.Lock()
+	s.propagator.pending = append(s.propagator.pending, e)
+	batch := s.propagator.batch
 	if batch == nil {
-		batch = &spreading{
-			over: make(chan struct{}),
+		batch = &propagationBatch{
+			done: make(chan struct{}),
 		}
-		s.spreads.done = batch
-		s.group.Go(s.spreadBatch)
+		s.propagator.batch = batch
+		s.group.Go(s.sendBatch)
 	}
-	s.spreads.mu.Unlock()
+	s.propagator.mu.Unlock()
 	select {
-	case <-batch.over:
-		return batch.others, batch.told
+	case <-batch.done:
+		return batch.others, batch.acknowledged
 	case <-ctx.Done():
 		return 0, 0
 	}
 }
 
-// spreadBatch spreads what has gathered by the time it ends gathering.
-func (s *Server) spreadBatch(ctx context.Context) {
-	_ = timer.Sleep(ctx, s.cfg.Timer, spreadGather) // at the process's end it is spread at once
-	s.spreads.mu.Lock()
-	list, batch := s.spreads.pending, s.spreads.done
-	s.spreads.pending, s.spreads.done = nil, nil
-	s.spreads.mu.Unlock()
-	others := s.others()
+// sendBatch spreads what has gathered by the time it ends gathering.
+func (s *Server) sendBatch(ctx context.Context) {
+	_ = timer.Sleep(ctx, s.cfg.Timer, propagationDelay) // at the process's end it is spread at once
+	s.propagator.mu.Lock()
+	list, batch := s.propagator.pending, s.propagator.batch
+	s.propagator.pending, s.propagator.batch = nil, nil
+	s.propagator.mu.Unlock()
+	others := s.otherReplicas()
 	batch.others = len(others)
-	batch.told = s.spread(ctx, others, list)
-	close(batch.over)
+	batch.acknowledged = s.sendAnnouncements(ctx, others, list)
+	close(batch.done)
 }
--- a/pkg/fleetcontrol/standing_test.go
+++ b/pkg/fleetcontrol/standing_test.go
@@ -52,14 +52,14 @@
 				}, "5s", "20ms").Should(BeTrue())
 				return got
 			}
-			c.put(ip, largeConfiguration(7))
+			c.replaceConfig(ip, largeConfiguration(7))
 			withheld := ask(&rpc.SyncRequest{Host: &rpc.FleetHost{Name: "a"}, AskOthers: true})
 			Expect(withheld.GetNewest()).To(BeEquivalentTo(7))
 			Expect(withheld.GetDocument()).To(BeNil())
 			Expect(withheld.GetPatch()).To(BeNil())
 			Expect(ask(&rpc.SyncRequest{Host: &rpc.FleetHost{Name: "b"}}).GetDocument()).NotTo(BeNil(), "others failed it")
 
-			other := c.hosts[c.other(ip)].server
+			other := c.hosts[c.otherHost(ip)].server
 			var first *rpc.StandingReply
 			Eventually(func() uint64 {
 				reply, err := other.Standing(context.Background(), &rpc.StandingRequest{})
@@ -75,7 +75,7 @@
 				_, _, err := other.history.Since(1, 7)
 				return err
 			}).Should(Succeed())
-			c.put(ip, largeConfiguration(9))
+			c.replaceConfig(ip, largeConfiguration(9))
 			patched := ask(&rpc.SyncRequest{Host: &rpc.FleetHost{Name: "c"}, DocumentVersion: 7, AskOthers: true})
 			Expect(patched.GetPatch().GetBase()).To(BeEquivalentTo(7))
 			Expect(len(patched.GetPatch().GetPatch())).To(BeNumerically("<", 500))
@@ -93,7 +93,7 @@
 	It("is patched from by every replica, whichever leads next", func() {
 		withCluster(func(c *cluster) {
 			ip := c.leader()
-			c.put(ip, largeConfiguration(7))
+			c.replaceConfig(ip, largeConfiguration(7))
 			for _, one := range c.ips {
 				s := c.hosts[one].server
 				Eventually(func() uint64 {
@@ -101,8 +101,8 @@
 					return machine.Document().GetVersion()
 				}, "5s", "10ms").Should(BeEquivalentTo(7))
 			}
-			time.Sleep(2 * judgeInterval) // each notes what stands once a judgeInterval
-			c.put(ip, largeConfiguration(9))
+			time.Sleep(2 * leadInterval) // each notes what stands once a judgeInterval
+			c.replaceConfig(ip, largeConfiguration(9))
 			for _, one := range c.ips {
 				s := c.hosts[one].server
 				Eventually(func() uint64 {
--- a/pkg/fleetcontrol/survey_test.go
+++ b/pkg/fleetcontrol/survey_test.go
@@ -21,7 +21,7 @@
 	f(New(Config{
 		SeedIPs:   func() []string { return nil },
 		Heartbeat: time.Second,
-		Orders:    fakeOrders{report: report},
+		Orders:    fakeEndpoints{report: report},
 		Timer:     timer.NewManual(time.Unix(1000, 0)),
 		Metrics:   metrics.New(),
 	}, g), g)
@@ -39,7 +39,7 @@
 		for _, c := range cases {
 			withServer(func(string) (placement.Report, error) { return placement.Report{}, c.err }, func(s *Server, g *group.Group) {
 				s.table.Announce(announcement(false, 1))
-				s.doubt([]string{"e1"})
+				s.probeSuspected([]string{"e1"})
 				g.Wait()
 				e, _ := s.table.Get("e1")
 				Expect(e.Silent).To(Equal(c.lost), c.err.Error())
--- a/pkg/fleetcontrol/sync.go
+++ b/pkg/fleetcontrol/sync.go
@@ -11,8 +11,8 @@
 	"github.com/twitchtv/twirp"
 )
 
-// maxHold bounds how long a call without news is held.
-const maxHold = time.Second
+// maxLongPoll bounds how long a call without news is held.
+const maxLongPoll = time.Second
 
 // leadership tells whether this replica leads, and who the replicas are.
 type leadership interface {
@@ -36,16 +36,16 @@
 			Leader: leader,
 		}, nil
 	}
-	first := s.hosts.hear(began, q)
-	s.hearWords(q)
-	s.doubt(q.GetSuspects())
-	s.hearEnds(q, machine, term)
-	s.hearLimits(q, term)
-	wait := min(maxHold, time.Duration(q.GetWaitMs())*time.Millisecond)
+	first := s.hosts.observe(began, q)
+	s.observeNotices(q)
+	s.probeSuspected(q.GetSuspects())
+	s.observeCrashes(q, machine, term)
+	s.observeLimits(q, term)
+	wait := min(maxLongPoll, time.Duration(q.GetWaitMs())*time.Millisecond)
 	if first && q.GetEpoch() == 0 {
 		wait = 0 // it serves nobody yet
 	}
-	if s.awaitNews(ctx, q, term, machine, wait) != nil {
+	if s.awaitChanges(ctx, q, term, machine, wait) != nil {
 		return nil, ctx.Err()
 	}
 	now := s.cfg.Timer.Now()
@@ -53,26 +53,26 @@
 	return s.confirm(ctx, s.syncReply(q, term, machine, now), term, began), nil
 }
 
-// awaitNews returns once there is news for a host and it has had time to gather,
+// awaitChanges returns once there is news for a host and it has had time to gather,
 // or wait is over; an error if ctx ended before. A host that knows nothing yet
 // doesn't wait for news.
-func (s *Server) awaitNews(ctx context.Context, q *rpc.SyncRequest, term uint64, machine *state.Machine, wait time.Duration) error {
-	gather := s.hosts.gather()
+func (s *Server) awaitChanges(ctx context.Context, q *rpc.SyncRequest, term uint64, machine *state.Machine, wait time.Duration) error {
+	delay := s.hosts.batchDelay()
 	if q.GetEpoch() == 0 || q.GetDocumentVersion() == 0 && machine.Document() != nil {
-		return timer.Sleep(ctx, s.cfg.Timer, min(gather, wait))
+		return timer.Sleep(ctx, s.cfg.Timer, min(delay, wait))
 	}
 	end := s.cfg.Timer.After(wait)
-	if gather >= wait {
-		return await(ctx, end)
+	if delay >= wait {
+		return waitUntil(ctx, end)
 	}
-	if err := timer.Sleep(ctx, s.cfg.Timer, gather); err != nil {
+	if err := timer.Sleep(ctx, s.cfg.Timer, delay); err != nil {
 		return err
 	}
 	for {
 		endpoints := s.table.Changed()
 		document := machine.Changed()
-		limits := s.lender.Changed()
-		if s.news(q, term, machine) {
+		limits := s.granter.Changed()
+		if s.hasChanges(q, term, machine) {
 			return nil
 		}
 		select {
@@ -87,8 +87,8 @@
 	}
 }
 
-// await returns at end, or with an error once ctx has ended.
-func await(ctx context.Context, end <-chan time.Time) error {
+// waitUntil returns at end, or with an error once ctx has ended.
+func waitUntil(ctx context.Context, end <-chan time.Time) error {
 	select {
 	case <-end:
 		return nil
@@ -97,20 +97,20 @@
 	}
 }
 
-// news reports whether a host lacks anything that can't wait until its call ends.
-func (s *Server) news(q *rpc.SyncRequest, term uint64, machine *state.Machine) bool {
+// hasChanges reports whether a host lacks anything that can't wait until its call ends.
+func (s *Server) hasChanges(q *rpc.SyncRequest, term uint64, machine *state.Machine) bool {
 	return s.table.Version() != q.GetEndpointsVersion() ||
 		epochOf(term, s.settled(term)) != q.GetEpoch() ||
-		s.court.current(machine).digest != q.GetSuspectsDigest() ||
-		!s.lender.UpToDate(q.GetLimitsTerm(), q.GetLimitsVersion()) ||
+		s.coordinator.current(machine).digest != q.GetSuspectsDigest() ||
+		!s.granter.UpToDate(q.GetLimitsTerm(), q.GetLimitsVersion()) ||
 		machine.Document().GetVersion() > q.GetDocumentVersion() &&
 			s.hosts.documentDue(s.cfg.Timer.Now(), q.GetHost().GetName())
 }
 
 // confirm completes a reply if this replica still leads in the same term.
 func (s *Server) confirm(ctx context.Context, reply *rpc.SyncReply, term uint64, began time.Time) *rpc.SyncReply {
-	machine, now, leader := s.leadership.Leads(ctx)
-	if machine == nil || now != term {
+	machine, currentTerm, leader := s.leadership.Leads(ctx)
+	if machine == nil || currentTerm != term {
 		return &rpc.SyncReply{
 			Leader: leader,
 		}
@@ -129,48 +129,48 @@
 		Settled:  settled,
 		Loads:    s.hosts.loads(now, name),
 	}
-	s.tellEndpoints(q, reply, now)
-	s.tellAddresses(q, reply, term, now)
-	s.tellSuspects(q, reply, machine)
-	s.tellRests(q, reply)
-	s.tellLimits(q, reply, term)
+	s.addEndpoints(q, reply, now)
+	s.addAddresses(q, reply, term, now)
+	s.addDecisions(q, reply, machine)
+	s.addBackoffs(q, reply)
+	s.addLimits(q, reply, term)
 	doc := machine.Document()
 	reply.Newest = doc.GetVersion()
-	if doc.GetVersion() > q.GetDocumentVersion() && s.hosts.mayHaveDocument(now, name) {
-		s.tellDocument(q, reply, doc)
+	if doc.GetVersion() > q.GetDocumentVersion() && s.hosts.allowDocument(now, name) {
+		s.addDocument(q, reply, doc)
 	}
 	return reply
 }
 
-// leaveKeep is how long ago an endpoint may have said that it leaves of which hosts
+// leaveReportPeriod is how long ago an endpoint may have said that it leaves of which hosts
 // are told ahead of the list: these come to every host in less.
-const leaveKeep = 10 * time.Second
+const leaveReportPeriod = 10 * time.Second
 
-// tellEndpoints adds the endpoints that a host lacks: those that changed since
+// addEndpoints adds the endpoints that a host lacks: those that changed since
 // its last call, or all of them if it holds another set and followed another
 // epoch until now. Of the same set it is only told the version. Where there is no room
 // for all of them it is told of those that leave: to send nothing there is due within
 // seconds, and lists of 3,000 endpoints to 300 hosts take three.
-func (s *Server) tellEndpoints(q *rpc.SyncRequest, reply *rpc.SyncReply, now time.Time) {
-	least := uint64(0)
+func (s *Server) addEndpoints(q *rpc.SyncRequest, reply *rpc.SyncReply, now time.Time) {
+	minVersion := uint64(0)
 	if q.GetEpoch() == reply.GetEpoch() {
-		list, version, few := s.table.ChangesUpTo(q.GetEndpointsVersion(), manyRows)
+		list, version, few := s.table.ChangesUpTo(q.GetEndpointsVersion(), maxChangedEntries)
 		if few {
 			reply.Endpoints = fleet.EndpointsToWire(list, now)
 			reply.EndpointsVersion = version
 			return
 		}
-		least = q.GetEndpointsVersion()
+		minVersion = q.GetEndpointsVersion()
 	}
-	all := s.listing.of(s.table, now, least)
+	all := s.endpointList.get(s.table, now, minVersion)
 	if all.digest == q.GetEndpointsDigest() {
 		reply.EndpointsVersion = all.version
 		return
 	}
-	if !s.listing.room(now, all) {
+	if !s.endpointList.allow(now, all) {
 		reply.Epoch = q.GetEpoch()
 		reply.EndpointsVersion = q.GetEndpointsVersion()
-		reply.Endpoints = fleet.EndpointsToWire(s.table.LeavingSince(now.Add(-leaveKeep)), now)
+		reply.Endpoints = fleet.EndpointsToWire(s.table.LeavingSince(now.Add(-leaveReportPeriod)), now)
 		return
 	}
 	reply.EndpointsVersion = all.version
@@ -178,11 +178,11 @@
 	reply.PackedEndpoints = all.packed
 }
 
-// tellAddresses adds the hosts that callers may be told of, once this leader has
+// addAddresses adds the hosts that callers may be told of, once this leader has
 // heard of all that there are; until then a host names those that it holds.
-func (s *Server) tellAddresses(q *rpc.SyncRequest, reply *rpc.SyncReply, term uint64, now time.Time) {
+func (s *Server) addAddresses(q *rpc.SyncRequest, reply *rpc.SyncReply, term uint64, now time.Time) {
 	reply.AddressesDigest = q.GetAddressesDigest()
-	if q.GetAddressesDigest() != 0 && !s.heardAll(term, now) {
+	if q.GetAddressesDigest() != 0 && !s.hostsKnown(term, now) {
 		return
 	}
 	list, digest, ready := s.hosts.addresses(now, q.GetHost().GetName(), q.GetAddressesDigest())
@@ -191,11 +191,11 @@
 	reply.Hosts = uint32(ready)
 }
 
-// heardAll reports whether every entry host had time to call this leader.
-func (s *Server) heardAll(term uint64, now time.Time) bool {
+// hostsKnown reports whether every entry host had time to call this leader.
+func (s *Server) hostsKnown(term uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leading.term == term && now.Sub(s.leading.since) > hostGone
+	return s.leading.term == term && now.Sub(s.leading.since) > hostTimeout
 }
 
 // epochOf numbers the lists of endpoints that hosts are sent whole: one when a
--- a/pkg/fleetcontrol/words_test.go
+++ b/pkg/fleetcontrol/words_test.go
@@ -16,36 +16,36 @@
 	. "github.com/onsi/gomega"
 )
 
-// engines counts calls, and answers them with a word.
-type engines struct {
+// countingEndpoints counts calls, and answers them with a word.
+type countingEndpoints struct {
 	reports, orders int
-	says            fleet.Notice
+	notice          fleet.Notice
 	err             error
 }
 
-func (e *engines) Place(context.Context, placement.Order, string, uint64) (placement.Outcome, error) {
+func (e *countingEndpoints) Place(context.Context, placement.Order, string, uint64) (placement.Outcome, error) {
 	e.orders++
-	if e.says.Backoff > 0 {
-		return placement.Rejected, &fleet.RejectedError{Status: 503, Notice: e.says}
+	if e.notice.Backoff > 0 {
+		return placement.Rejected, &fleet.RejectedError{Status: 503, Notice: e.notice}
 	}
 	return placement.Accepted, nil
 }
 
-func (e *engines) Report(context.Context, string, string) (placement.Report, error) {
+func (e *countingEndpoints) Report(context.Context, string, string) (placement.Report, error) {
 	e.reports++
-	return placement.Report{Notice: e.says}, e.err
+	return placement.Report{Notice: e.notice}, e.err
 }
 
-// withConsiderate runs f on calls to an endpoint e1 that the table holds.
-func withConsiderate(e *engines, f func(c *considerate, table *registry.Table, clock *timer.Manual)) {
+// withEndpointClient runs f on calls to an endpoint e1 that the table holds.
+func withEndpointClient(e *countingEndpoints, f func(c *endpointClient, table *registry.Table, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	table := registry.New(clock, nil, time.Second)
 	table.Announce(announcement(false, 1))
-	f(newConsiderate(e, table, permit.NewGranter(clock), clock, nil), table, clock)
+	f(newEndpointClient(e, table, permit.NewGranter(clock), clock, nil), table, clock)
 }
 
-// callBoth asks an endpoint and gives it an order.
-func callBoth(c *considerate) {
+// probeAndOrder asks an endpoint and gives it an order.
+func probeAndOrder(c *endpointClient) {
 	_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80")                        // its outcome is counted
 	_, _ = c.Place(context.Background(), placement.Order{ID: "e1"}, "127.0.2.1:80", 0) // the same
 }
@@ -55,32 +55,32 @@
 	It("aren't made, whether a question, an order or the entry process of the machine was told so", func() {
 		cases := []struct {
 			name string
-			tell func(c *considerate, e *engines)
+			tell func(c *endpointClient, e *countingEndpoints)
 		}{
-			{name: "a question", tell: func(c *considerate, e *engines) {
-				e.says, e.err = fleet.Notice{Backoff: rested}, errors.New("status 503")
+			{name: "a question", tell: func(c *endpointClient, e *countingEndpoints) {
+				e.notice, e.err = fleet.Notice{Backoff: rested}, errors.New("status 503")
 				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the test's
 			}},
-			{name: "an order", tell: func(c *considerate, e *engines) {
-				e.says = fleet.Notice{Backoff: rested}
+			{name: "an order", tell: func(c *endpointClient, e *countingEndpoints) {
+				e.notice = fleet.Notice{Backoff: rested}
 				_, _ = c.Place(context.Background(), placement.Order{ID: "e1"}, "127.0.2.1:80", 0) // the test's
 			}},
-			{name: "the entry process", tell: func(c *considerate, _ *engines) {
-				c.told.Merge("e1", rested)
+			{name: "the entry process", tell: func(c *endpointClient, _ *countingEndpoints) {
+				c.entryBackoffs.Merge("e1", rested)
 			}},
 		}
 		for _, one := range cases {
-			e := &engines{}
-			withConsiderate(e, func(c *considerate, _ *registry.Table, clock *timer.Manual) {
+			e := &countingEndpoints{}
+			withEndpointClient(e, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
 				one.tell(c, e)
-				*e = engines{}
+				*e = countingEndpoints{}
 				for range 3 {
-					callBoth(c)
+					probeAndOrder(c)
 					clock.Advance(rested / 4)
 				}
 				Expect(e.reports+e.orders).To(BeZero(), one.name)
 				clock.Advance(rested / 4)
-				callBoth(c)
+				probeAndOrder(c)
 				Expect(e.reports).To(Equal(1), one.name)
 				Expect(e.orders).To(Equal(1), one.name)
 			})
@@ -88,27 +88,27 @@
 	})
 
 	It("leave an endpoint for there that turned a question away", func() {
-		rests := func(string) (placement.Report, error) {
+		backsOff := func(string) (placement.Report, error) {
 			return placement.Report{Notice: fleet.Notice{Backoff: rested}}, errors.New("report: status 503")
 		}
-		asked := 0
-		withServer(func(id string) (placement.Report, error) { asked++; return rests(id) }, func(s *Server, g *group.Group) {
+		probes := 0
+		withServer(func(id string) (placement.Report, error) { probes++; return backsOff(id) }, func(s *Server, g *group.Group) {
 			s.table.Announce(announcement(false, 1))
 			for range 3 {
-				s.doubt([]string{"e1"})
+				s.probeSuspected([]string{"e1"})
 				g.Wait()
-				s.cfg.Timer.(*timer.Manual).Advance(probeAgain)
+				s.cfg.Timer.(*timer.Manual).Advance(suspectProbeInterval)
 			}
 			e, _ := s.table.Get("e1")
 			Expect(e.Silent).To(BeFalse())
-			Expect(asked).To(Equal(1))
+			Expect(probes).To(Equal(1))
 		})
 	})
 
 	It("are told of between the processes of one machine, and to no other", func() {
 		withServer(nil, func(s *Server, _ *group.Group) {
 			s.cfg.IP = "10.0.0.1"
-			s.orders.hear("e2", fleet.Notice{Backoff: rested})
+			s.endpointClient.observe("e2", fleet.Notice{Backoff: rested})
 			cases := []struct {
 				address string
 				same    bool
@@ -122,14 +122,14 @@
 					Host:    &rpc.FleetHost{Name: "h", CallerAddress: c.address},
 					Resting: []*rpc.Resting{{Endpoint: "e1" + c.address, LeftMs: 2000}},
 				}
-				s.hearWords(q)
-				Expect(s.orders.rests("e1"+c.address)).To(Equal(c.same), c.address)
+				s.observeNotices(q)
+				Expect(s.endpointClient.inBackoff("e1"+c.address)).To(Equal(c.same), c.address)
 				reply := &rpc.SyncReply{}
-				s.tellRests(q, reply)
+				s.addBackoffs(q, reply)
 				Expect(len(reply.GetResting())).To(Equal(map[bool]int{true: 1}[c.same]), c.address)
 			}
 			reply := &rpc.SyncReply{}
-			s.tellRests(&rpc.SyncRequest{Host: &rpc.FleetHost{CallerAddress: "10.0.0.1:80"}}, reply)
+			s.addBackoffs(&rpc.SyncRequest{Host: &rpc.FleetHost{CallerAddress: "10.0.0.1:80"}}, reply)
 			Expect(reply.GetResting()[0].GetEndpoint()).To(Equal("e2"), "what was told here isn't told back")
 		})
 	})
@@ -138,8 +138,8 @@
 var _ = Describe("a leave that an endpoint tells in answers", func() {
 	It("reaches the table from questions, with a report or without, and from hosts", func() {
 		for _, err := range []error{nil, placement.ErrNoReport, errors.New("report: status 500")} {
-			withConsiderate(&engines{says: fleet.Notice{Leaving: true}, err: err}, func(c *considerate, table *registry.Table, _ *timer.Manual) {
-				callBoth(c)
+			withEndpointClient(&countingEndpoints{notice: fleet.Notice{Leaving: true}, err: err}, func(c *endpointClient, table *registry.Table, _ *timer.Manual) {
+				probeAndOrder(c)
 				e, _ := table.Get("e1")
 				Expect(e.Leaving).To(BeTrue())
 			})
@@ -148,27 +148,27 @@
 
 	It("is told to every host, by a new leader as well, though heartbeats say otherwise", func() {
 		withCluster(func(c *cluster) {
-			lost := c.leader()
-			heard := c.other(lost)
-			for n, ip := range []string{lost, heard} {
+			oldLeader := c.leader()
+			other := c.otherHost(oldLeader)
+			for n, ip := range []string{oldLeader, other} {
 				Eventually(func() error {
 					return c.hosts[ip].server.Announce(context.Background(), announcement(false, uint64(10*n+1)))
 				}, "5s", "50ms").Should(Succeed())
 				Eventually(func() bool {
-					return c.told("a").Leaving
+					return c.reportLeaving("a").Leaving
 				}, "5s", "50ms").Should(BeTrue())
 				Expect(c.hosts[ip].server.Announce(context.Background(), announcement(false, uint64(10*n+2)))).To(Succeed())
-				Expect(c.told("b").Leaving).To(BeTrue(), "a heartbeat doesn't take it back")
+				Expect(c.reportLeaving("b").Leaving).To(BeTrue(), "a heartbeat doesn't take it back")
 				if n == 0 {
-					c.stop(lost)
+					c.stop(oldLeader)
 				}
 			}
 		})
 	})
 })
 
-// told has a host tell whoever leads that e1 leaves, and returns what that one knows of it.
-func (c *cluster) told(name string) fleet.Endpoint {
+// reportLeaving has a host tell whoever leads that e1 leaves, and returns what that one knows of it.
+func (c *cluster) reportLeaving(name string) fleet.Endpoint {
 	s := c.hosts[c.leader()].server
 	_, err := s.Sync(context.Background(), &rpc.SyncRequest{
 		Host:    &rpc.FleetHost{Name: name},
