--- a/pkg/fleetcontrol/announce.go
+++ b/pkg/fleetcontrol/announce.go
@@ -13,14 +13,15 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// ErrNoMajority says that a leave is known to too few control replicas.
-var ErrNoMajority = errors.New("no majority of the control replicas could be told")
+// ErrNoMajority is returned if too few control replicas acknowledged a leave announcement.
+var ErrNoMajority = errors.New("leave announcement not acknowledged by a majority of the control replicas")
 
-// Announce takes an endpoint's heartbeat. That an endpoint leaves is
-// acknowledged only once a majority of the replicas knows it: whichever leads next
-// was elected by one that does, and is told within spreadInterval. To lead isn't
-// enough, nor to have told one: a minority may be cut off, and the hosts that follow
-// the others' leader would send to the endpoint for as long as that lasts.
+// Announce records an endpoint's heartbeat. A leave announcement is acknowledged only
+// once a majority of the replicas has it: any later leader was elected by a majority,
+// so one of its voters has the announcement and sends it to the leader within
+// propagateInterval. It is not enough that this replica leads, or that one other has
+// the announcement: this side may be a minority that is cut off, and the hosts that
+// follow the other side's leader would go on sending to the endpoint.
 func (s *Server) Announce(ctx context.Context, e fleet.Endpoint) error {
 	isNew := s.table.Announce(e)
 	if e.Leaving {
@@ -29,20 +30,21 @@
 	if isNew {
 		s.group.Go(func(ctx context.Context) {
 			if err := s.propagate(ctx, e); err != nil {
-				s.cfg.Metrics.Counter("spread_alone").Inc(1) // the regular round mends it
+				s.cfg.Metrics.Counter("spread_alone").Inc(1) // sent again by propagateAnnounced
 			}
 		})
 	}
 	return nil
 }
 
-// Deregister takes an endpoint's last word.
+// Deregister records that an endpoint is gone for good.
 func (s *Server) Deregister(ctx context.Context, id string) error {
 	return s.propagate(ctx, s.table.MarkGone(id))
 }
 
-// propagate tells the other replicas of one endpoint at once, and waits for
-// the answers, but not for long. It fails if no majority knows it then.
+// propagate sends an endpoint to the other replicas without waiting for the next
+// regular round. It fails unless a majority of the replicas, this one included, has it
+// before the calls time out.
 func (s *Server) propagate(ctx context.Context, e fleet.Endpoint) error {
 	e.LastHeartbeat = s.cfg.Timer.Now()
 	others, acknowledged := s.propagateBatched(ctx, e)
@@ -52,8 +54,8 @@
 	return nil
 }
 
-// otherReplicas returns the addresses of the other replicas; those of the settings
-// while the log doesn't tell.
+// otherReplicas returns the addresses of the other replicas; the seeds' addresses
+// while the log doesn't name the members.
 func (s *Server) otherReplicas() []string {
 	var list []string
 	addresses := s.replica.Members()
@@ -68,7 +70,8 @@
 	return list
 }
 
-// sendAnnouncements sends announcements to other replicas, and returns how many took them.
+// sendAnnouncements sends announcements to other replicas, and returns how many
+// acknowledged them.
 func (s *Server) sendAnnouncements(ctx context.Context, to []string, list []fleet.Endpoint) int64 {
 	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
@@ -81,7 +84,7 @@
 		s.cfg.Metrics.Counter("spread_calls").Inc(1)
 		g.Go(func(ctx context.Context) {
 			if _, err := rpc.NewFleetProtobufClient("http://"+address, s.cfg.Client).Spread(ctx, q); err != nil {
-				s.cfg.Metrics.Counter("spread_failures").Inc(1) // the regular round mends it
+				s.cfg.Metrics.Counter("spread_failures").Inc(1) // sent again by propagateAnnounced
 				return
 			}
 			acknowledged.Add(1)
@@ -102,7 +105,7 @@
 	return reply, nil
 }
 
-// nonEmptyAnnouncements leaves out rows that tell nothing but an id.
+// nonEmptyAnnouncements drops entries that carry nothing but an id.
 func nonEmptyAnnouncements(list []*rpc.Announcement, now time.Time) []fleet.Endpoint {
 	var out []fleet.Endpoint
 	for _, e := range fleet.EndpointsFromWire(list, now) {
@@ -113,7 +116,8 @@
 	return out
 }
 
-// propagateAnnounced tells the leader regularly whom this replica heard of.
+// propagateAnnounced regularly sends the leader the announcements that this replica
+// received.
 func (s *Server) propagateAnnounced(ctx context.Context) {
 	timer.Loop(ctx, s.cfg.Timer, propagateInterval, func(time.Time) {
 		_, _, leader := s.replica.Leads(ctx)
@@ -126,9 +130,9 @@
 	})
 }
 
-// fetchEndpoints asks the other replicas for all they know, so that one that was restarted
-// doesn't begin without a list. One that has just started itself has heard of nothing,
-// and doesn't end the asking, unless all are so.
+// fetchEndpoints asks the other replicas for the endpoints that they know, so that a
+// replica doesn't restart with an empty list. An empty answer doesn't end the retries,
+// as that replica may have just started too, unless all others answer so.
 func (s *Server) fetchEndpoints(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.fetchEndpointsOnce(ctx) {
@@ -140,8 +144,8 @@
 	}
 }
 
-// fetchEndpointsOnce asks one replica after the other, and reports whether one had heard of
-// endpoints, or all have answered that they haven't.
+// fetchEndpointsOnce asks one replica after the other. It reports whether one knew
+// endpoints, or all answered that they know none.
 func (s *Server) fetchEndpointsOnce(ctx context.Context) bool {
 	queried := map[string]bool{
 		s.replica.address(): true,
@@ -161,8 +165,8 @@
 	return all
 }
 
-// fetchEndpointsFrom takes what another replica has heard of, and returns how many endpoints
-// these are.
+// fetchEndpointsFrom merges the endpoints that another replica has received
+// announcements of, and returns how many it sent.
 func (s *Server) fetchEndpointsFrom(ctx context.Context, address string) (count int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
@@ -170,7 +174,7 @@
 		Whole: true,
 	})
 	if err != nil {
-		return 0, errors.Wrap(err, "learn endpoints")
+		return 0, errors.Wrap(err, "fetch endpoints")
 	}
 	if n := s.table.Merge(nonEmptyAnnouncements(reply.GetEndpoints(), s.cfg.Timer.Now())); n > 0 {
 		s.cfg.Log.Event(eventlog.Reloaded, eventlog.Str("what", "endpoints"), eventlog.Str("from", address), eventlog.Int("count", int64(n)))
--- a/pkg/fleetcontrol/documents.go
+++ b/pkg/fleetcontrol/documents.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// decode returns the configuration that stands; it is read once a version.
-// Only lead calls it.
+// decode returns the decoded configuration, and caches it by version. Only lead may
+// call it, as the cache is not locked.
 func (s *Server) decode(doc *rpc.Document) (*fleet.Configuration, error) {
 	if s.decodedConfig != nil && s.decodedConfig.Version == doc.GetVersion() {
 		return s.decodedConfig, nil
@@ -30,8 +30,8 @@
 	return cfg, nil
 }
 
-// Read returns the newest configuration as the operator sent it; an error if
-// that can't be told.
+// Read returns the newest committed configuration as the operator sent it. It fails if
+// the leader can't confirm which is the newest.
 func (s *Server) Read(ctx context.Context) ([]byte, error) {
 	doc, err := s.Newest(ctx, &rpc.Empty{})
 	if err != nil {
@@ -43,11 +43,12 @@
 	return fleet.Unpack(doc.GetContent())
 }
 
-// ErrNoConfiguration says that no configuration was ever accepted.
-var ErrNoConfiguration = errors.New("no configuration was accepted yet")
+// ErrNoConfiguration is returned while no configuration has ever been accepted.
+var ErrNoConfiguration = errors.New("no configuration has been accepted yet")
 
-// Replace puts a whole configuration in force, and returns once a majority
-// holds it, or a newer one. Its error is an *InvalidError if it was refused.
+// Replace replaces the configuration as a whole. It returns once a majority of the
+// replicas holds it or a newer one. The error is an *InvalidError if the configuration
+// is invalid.
 func (s *Server) Replace(ctx context.Context, content []byte) error {
 	cfg, err := s.cfg.Decoder.Decode(content)
 	if err == nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// InvalidError says why a configuration was refused.
+// InvalidError says why a configuration is invalid.
 type InvalidError struct {
 	cause error
 }
@@ -91,14 +92,15 @@
 	return "invalid configuration: " + e.cause.Error()
 }
 
-// Unwrap returns the breach.
+// Unwrap returns the cause.
 func (e *InvalidError) Unwrap() error {
 	return e.cause
 }
 
 type forwardedKey struct{}
 
-// Submit implements rpc.Fleet: the leader replicates, others pass on once.
+// Submit implements rpc.Fleet. The leader replicates the document; other replicas
+// forward the call to it, once.
 func (s *Server) Submit(ctx context.Context, d *rpc.Document) (*rpc.DocumentReply, error) {
 	machine, _, leader := s.replica.Leads(ctx)
 	if machine == nil {
@@ -125,7 +127,7 @@
 	return reply.GetDocument(), nil
 }
 
-// propose puts a command into the log, and returns its encoded answer.
+// propose appends a command to the log, and returns its encoded result once applied.
 func (s *Server) propose(ctx context.Context, c *rpc.Command) ([]byte, error) {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -146,12 +148,14 @@
 	return rpc.NewFleetProtobufClient("http://"+leader, s.cfg.Client).Submit(ctx, d)
 }
 
-// ErrNoLeader says that no leader of the control replicas is known here.
+// ErrNoLeader is returned if this replica knows no leader to forward a call to, or
+// can't confirm that it leads itself.
 var ErrNoLeader = errors.New("no leader of the control replicas is known")
 
 const forwardedHeader = "Larchwinch-Forwarded"
 
-// forward returns the context of a call that is passed on to the leader, once.
+// forward returns the context for forwarding a call to the leader. It fails for a call
+// that was forwarded before.
 func (s *Server) forward(ctx context.Context, leader string) (context.Context, error) {
 	if leader == "" || leader == s.replica.address() || ctx.Value(forwardedKey{}) != nil {
 		return nil, ErrNoLeader
@@ -161,7 +165,7 @@
 	return twirp.WithHTTPRequestHeaders(ctx, h)
 }
 
-// Forwarded marks the calls that were passed on already.
+// Forwarded returns a handler that marks the calls that another replica forwarded.
 func Forwarded(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(forwardedHeader) != "" {
@@ -171,8 +175,8 @@
 	})
 }
 
-// Newest implements rpc.Fleet: it returns the configuration that a majority
-// holds, or an error if that can't be told.
+// Newest implements rpc.Fleet. It returns the newest committed configuration, empty if
+// there is none, and fails if the leader can't confirm that.
 func (s *Server) Newest(ctx context.Context, _ *rpc.Empty) (*rpc.Document, error) {
 	machine, _, leader := s.replica.Leads(ctx)
 	if machine == nil {
--- a/pkg/fleetcontrol/file.go
+++ b/pkg/fleetcontrol/file.go
@@ -7,11 +7,12 @@
 	"github.com/go-faster/errors"
 )
 
-// writeFile gives a file of the data folder a new content. After a crash the
-// file holds the old content or the new one, and the new one once it returned.
+// writeFile replaces the content of a file in the data folder atomically: after a crash
+// the file holds either the old content or the new one. The new content is durable once
+// writeFile has returned nil.
 func writeFile(folder, name string, content []byte) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return errors.Wrap(err, "make data folder")
+		return errors.Wrap(err, "create data folder")
 	}
 	path := filepath.Join(folder, name)
 	f, err := os.Create(path + ".tmp")
@@ -34,7 +35,7 @@
 	return syncFolder(folder)
 }
 
-// syncFolder makes the names in a folder durable.
+// syncFolder makes file names in a folder durable.
 func syncFolder(folder string) error {
 	d, err := os.Open(folder)
 	if err != nil {
--- a/pkg/fleetcontrol/hosts.go
+++ b/pkg/fleetcontrol/hosts.go
@@ -8,28 +8,26 @@
 )
 
 const (
-	// hostTimeout is after how long without a call an entry host isn't named to
-	// callers any more: two calls and a half.
+	// hostTimeout is how long after its last call an entry host is no longer named to
+	// callers: two and a half polls.
 	hostTimeout = 1200 * time.Millisecond
 	// documentInterval is the least time between two configurations that a host is
-	// sent: in a storm of changes most are overtaken before they are read, and one
-	// of many routes is large for every host. With the held call's 400 ms it stays
-	// well under the 2 s in which a change must be in force.
+	// sent. In a burst of changes most would be outdated on arrival, and one of many
+	// routes is large for every host. With a long poll of 400 ms it stays well below
+	// the 2 s within which a change must be active.
 	documentInterval = 500 * time.Millisecond
-	// earlyAnswerRate is how many held calls a second are answered before their time
-	// because there is news. One costs the leader some 0.3 ms of processor time (0.8
-	// ms a host and second at 2.5 calls); so changes without end cost it a third of a
-	// core, however many hosts there are: 10 hosts learn of a change after 10 ms, 300
-	// after 0.3 s.
+	// earlyAnswerRate bounds the long polls per second that are ended early by changes,
+	// and so the leader's processor time during endless changes, however many hosts
+	// there are. Ten hosts receive a change after 10 ms, and 300 after 0.3 s.
 	earlyAnswerRate = 1000
 )
 
-// hosts is what the leader knows of entry hosts: which are ready, and what
-// they have under way at each endpoint. A new leader learns it anew.
+// hosts holds the leader's knowledge of the entry hosts: which are ready, and their
+// load in flight at each endpoint. A new leader builds it anew from their calls.
 type hosts struct {
 	mu      sync.Mutex
 	entries map[string]*hostEntry
-	// ready counts the ready hosts, and readyVersion rises whenever they change.
+	// ready is the number of ready hosts; readyVersion increases whenever they change.
 	ready        int
 	readyVersion uint64
 	totals       loadTotals
@@ -39,7 +37,7 @@
 	info  *rpc.FleetHost
 	at    time.Time
 	loads *rpc.LoadTable
-	// documentAt, loadsAt and addressesAt are when it was last sent these.
+	// documentAt, loadsAt and addressesAt are when the host was last sent these.
 	documentAt  time.Time
 	loadsAt     time.Time
 	addressesAt time.Time
@@ -53,8 +51,8 @@
 	}
 }
 
-// observe takes what an entry host tells of itself, and reports whether it is the first
-// that this leader hears of it.
+// observe records a call of an entry host, and reports whether it is the first one to
+// this leader.
 func (h *hosts) observe(now time.Time, q *rpc.SyncRequest) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,7 +67,7 @@
 	}
 	h.updateReady(entry.info, q.GetHost())
 	if q.GetDocumentVersion() == 0 {
-		entry.documentAt = time.Time{} // it began anew
+		entry.documentAt = time.Time{} // the host has restarted
 	}
 	h.totals.replace(entry.loads, q.GetLoads())
 	entry.info = q.GetHost()
@@ -78,7 +76,7 @@
 	return first
 }
 
-// touch keeps a host whose call is still held from being forgotten.
+// touch keeps a host from expiring after its call was held open.
 func (h *hosts) touch(now time.Time, name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,7 +85,7 @@
 	}
 }
 
-// expire forgets the hosts that were not heard of.
+// expire removes the hosts that have not called for hostTimeout.
 func (h *hosts) expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,7 +98,7 @@
 	}
 }
 
-// reset drops everything: this replica doesn't lead.
+// reset removes all hosts, since this replica doesn't lead.
 func (h *hosts) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,7 +111,8 @@
 	h.readyVersion++
 }
 
-// updateReady counts a host that has become ready, or isn't any more.
+// updateReady updates the count of ready hosts, and its version if the host's
+// readiness or address has changed.
 func (h *hosts) updateReady(before, now *rpc.FleetHost) {
 	if before.GetReady() == now.GetReady() && before.GetCallerAddress() == now.GetCallerAddress() {
 		return
@@ -127,14 +126,14 @@
 	}
 }
 
-// count returns how many hosts call.
+// count returns the number of entry hosts.
 func (h *hosts) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.entries)
 }
 
-// batchDelay is how long a held call waits for more news before it is answered.
+// batchDelay returns how long a long poll collects changes before it is answered.
 func (h *hosts) batchDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,8 +148,8 @@
 	return entry == nil || now.Sub(entry.documentAt) >= documentInterval
 }
 
-// allowDocument reports whether a host may be sent a configuration now, and
-// notes that it is.
+// allowDocument reports whether a host may be sent a configuration now, and if so
+// records that it is.
 func (h *hosts) allowDocument(now time.Time, name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/fleetcontrol/limits.go
+++ b/pkg/fleetcontrol/limits.go
@@ -12,17 +12,18 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// maxBorrowWait bounds how long a call for permits is held.
+// maxBorrowWait bounds how long a request for permits waits.
 const maxBorrowWait = 300 * time.Millisecond
 
-// observeLimits takes what a host tells of limits, and the permits that it didn't use.
+// observeLimits applies the limit reports of a host, and takes back the permits that
+// it didn't use.
 func (s *Server) observeLimits(q *rpc.SyncRequest, term uint64) {
 	s.granter.BeginTerm(term)
 	s.logLimitChanges(s.granter.Observe(permit.LimitReportsFromWire(q.GetLimitWords(), s.cfg.Timer.Now())))
 	s.granter.ReturnUnused(q.GetLimitsTerm(), permit.CountsFromWire(q.GetUnused()))
 }
 
-// logLimitChanges logs limits that are new, or over.
+// logLimitChanges logs limits that are new or were removed.
 func (s *Server) logLimitChanges(changes []permit.LimitChange) {
 	for _, c := range changes {
 		status := "named"
@@ -34,7 +35,8 @@
 	}
 }
 
-// endpointName returns the endpoint that has a key, or the key if it isn't known.
+// endpointName returns the id of the endpoint with the key, or the key in hexadecimal
+// if no such endpoint is known.
 func (s *Server) endpointName(key uint32) string {
 	if id := s.table.Find(func(id string) bool { return permit.EndpointKey(id) == key }); id != "" {
 		return id
@@ -42,8 +44,8 @@
 	return strconv.FormatUint(uint64(key), 16)
 }
 
-// addLimits adds the limits that a host lacks, and lends it permits by what it was asked
-// for.
+// addLimits adds the limits that the host lacks, and grants it permits according to
+// the demand that it reports.
 func (s *Server) addLimits(q *rpc.SyncRequest, reply *rpc.SyncReply, term uint64) {
 	list, version, full := s.granter.ChangesSince(q.GetLimitsTerm(), q.GetLimitsVersion(), q.GetLimitsDigest())
 	reply.LimitsTerm = term
@@ -60,8 +62,8 @@
 	s.cfg.Metrics.Counter("permits_lent").Inc(int64(granted.Total()))
 }
 
-// Borrow implements rpc.Fleet. It waits for permits as long as the caller may, if they
-// come in that time.
+// Borrow implements rpc.Fleet. It grants permits at once, or waits for them if they
+// become available within the caller's wait time.
 func (s *Server) Borrow(ctx context.Context, q *rpc.BorrowRequest) (*rpc.BorrowReply, error) {
 	began := s.cfg.Timer.Now()
 	machine, term, leader := s.leadership.Leads(ctx)
@@ -91,7 +93,8 @@
 	return reply, nil
 }
 
-// grantPermits lends what a call asks for, or tells when that is due.
+// grantPermits grants the permits that a call asks for, or reports when they become
+// available.
 func (s *Server) grantPermits(ctx context.Context, q *rpc.BorrowRequest, reply *rpc.BorrowReply, began time.Time) error {
 	waiter := s.granter.Enqueue(q.GetEndpoints(), q.GetEach(), int(q.GetPriority()))
 	defer s.granter.Dequeue(waiter)
@@ -115,7 +118,7 @@
 	}
 }
 
-// observeLimit takes what an endpoint's answer to this leader says of its limit.
+// observeLimit applies the rate limit in an endpoint's answer to this process.
 func (c *endpointClient) observeLimit(id string, l fleet.Limit, sentAt time.Time) {
 	report := permit.LimitReport{
 		Key:        permit.EndpointKey(id),
@@ -138,7 +141,7 @@
 	}
 }
 
-// belowDemand reports whether an endpoint has a limit under what its service is asked for.
+// belowDemand reports whether an endpoint's rate limit is below the demand on its service.
 func (s *Server) belowDemand(id string) bool {
 	return s.granter.BelowDemand(permit.EndpointKey(id))
 }
--- a/pkg/fleetcontrol/listing.go
+++ b/pkg/fleetcontrol/listing.go
@@ -12,9 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// endpointList keeps the whole list of endpoints as hosts are sent it: packed, which
-// makes 13 KB of 216 endpoints 3 KB, and made once a version of the table, however
-// many hosts want it.
+// endpointList caches the full list of endpoints in its compressed form, which takes
+// 3 KB instead of 13 KB for 216 endpoints. It is made once for all hosts.
 type endpointList struct {
 	log *eventlog.Log
 
@@ -24,18 +23,18 @@
 }
 
 const (
-	// maxChangedEntries is how many changed endpoints are sent as the packed list of all
-	// instead of row by row: a row takes 60 bytes, in the list 14.
+	// maxChangedEntries is how many changed endpoints are sent one by one; if more have
+	// changed, the full list is sent. An entry takes 60 bytes alone and 14 in the list.
 	maxChangedEntries = 64
-	// listLifetime is how long one list serves, though endpoints change meanwhile: what
-	// changed since comes with the next call. When 3,000 endpoints announce
-	// themselves or load, a list for each call would be made 700 times a second.
+	// listLifetime is how long a list is reused although endpoints change: the next call
+	// brings the later changes. When 3,000 endpoints announce themselves or load, a list
+	// for each call would have to be made 700 times a second.
 	listLifetime = 200 * time.Millisecond
-	// listRate bounds the bytes a second of lists that the leader sends, a third of
-	// the link of 100 Mbit/s that the users' control hosts have; a list that finds
-	// no room comes with a later call, and the host goes on with what it holds.
+	// listRate is the bandwidth allowance for lists in bytes per second, a third of a
+	// control host's link of 100 Mbit/s. A list that exceeds it is sent with a later
+	// call, and until then the host uses what it holds.
 	listRate = 4 << 20
-	// listBurst is how many bytes may be sent at once; one list always may.
+	// listBurst is how many bytes may be sent at once. A larger list counts as this much.
 	listBurst = 1 << 20
 )
 
@@ -46,7 +45,7 @@
 	}
 }
 
-// allow reports whether a list may be sent now, and counts it.
+// allow reports whether the bandwidth allowance permits a list now, and charges it.
 func (l *endpointList) allow(now time.Time, list packedList) bool {
 	return l.rate.AllowN(now, min(len(list.packed), listBurst))
 }
@@ -58,8 +57,8 @@
 	madeAt  time.Time
 }
 
-// get returns the list of the table as it stands, or as it stood listKeep ago, but
-// not before version least: a host must not learn less than it knows.
+// get returns the list of the current table, or one that is at most listLifetime old
+// and not older than minVersion, as a host must not go back behind what it knows.
 func (l *endpointList) get(table *registry.Table, now time.Time, minVersion uint64) packedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/fleetcontrol/loads.go
+++ b/pkg/fleetcontrol/loads.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// loadBytesPerSecond is how many bytes a second of loads a host is told, so that they
-	// don't grow with endpoints times hosts: at eight bytes an endpoint, loads of
-	// 250 endpoints come with every answer, those of 3,200 every 5 s.
+	// loadBytesPerSecond bounds the loads that one host is sent per second, so that the
+	// leader's traffic doesn't grow with endpoints times hosts: the loads of 250
+	// endpoints come with every answer, those of 3,200 every 5 s.
 	loadBytesPerSecond = 5 << 10
 	bytesPerLoad       = 8
-	// totalsLifetime is how long one list of loads serves all hosts: an eighth of the
-	// time between two calls of a host.
+	// totalsLifetime is how long one list of loads is sent to all hosts: an eighth of
+	// the time between two calls of a host.
 	totalsLifetime = 50 * time.Millisecond
 )
 
-// loadTotals is the sum of what all entry hosts have under way at each endpoint. It
-// follows every call by what changed in it, and every host is sent the same list,
-// from which it takes its own share: a sum for each host and answer would take hosts
-// times endpoints steps.
+// loadTotals is the sum of the loads that all entry hosts have in flight at each
+// endpoint. Each call updates it by its difference to the one before. Every host is sent
+// the same list and subtracts its own load: a sum for each host and answer would take
+// hosts times endpoints steps.
 type loadTotals struct {
 	sums   map[uint32]load
 	table  *rpc.LoadTable
@@ -39,7 +39,7 @@
 	}
 }
 
-// replace takes a host's loads before off, and adds those that it tells now.
+// replace subtracts a host's earlier loads, and adds its current ones.
 func (t *loadTotals) replace(before, now *rpc.LoadTable) {
 	t.add(before, -1)
 	t.add(now, 1)
@@ -47,7 +47,7 @@
 
 func (t *loadTotals) add(l *rpc.LoadTable, sign int64) {
 	if len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
-		return // no entry host sends that
+		return // invalid; no entry host sends that
 	}
 	for i, key := range l.GetEndpoints() {
 		sum := t.sums[key]
@@ -61,7 +61,7 @@
 	}
 }
 
-// list returns the sums, totalsKeep old at most.
+// list returns the sums. They are at most totalsLifetime old.
 func (t *loadTotals) list(now time.Time) *rpc.LoadTable {
 	if t.table != nil && now.Sub(t.madeAt) < totalsLifetime {
 		return t.table
@@ -82,8 +82,8 @@
 	return t.table
 }
 
-// loads returns what all hosts have under way, if it is time to tell a host, and
-// notes that it is told. The caller must not change the list.
+// loads returns the loads of all hosts if the host is due for them, and records that it
+// is sent them. The caller must not change the list.
 func (h *hosts) loads(now time.Time, name string) *rpc.LoadTable {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/fleetcontrol/members.go
+++ b/pkg/fleetcontrol/members.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// silentMemberTimeout is how long a replica isn't heard of before one that wants
-	// to join takes its place: a few election time-outs.
+	// silentMemberTimeout is how long the leader receives nothing from a member before
+	// a replica that wants to join may replace it: a few election timeouts.
 	silentMemberTimeout = 1500 * time.Millisecond
-	// surplusMemberTimeout is how long one that isn't needed may be silent.
+	// surplusMemberTimeout is the same for members beyond minMembers, which are removed.
 	surplusMemberTimeout = 4 * time.Second
 )
 
-// maintainMembership asks to be taken in if this replica isn't a member or hears
-// nothing, and, as leader, takes out members that are gone.
+// maintainMembership asks the others to add this replica if it isn't a member or
+// receives nothing from other members. As leader it removes silent surplus members.
 func (r *Replica) maintainMembership(ctx context.Context) {
 	began := r.svc.Now()
 	last := raft.Follower
@@ -46,7 +46,8 @@
 	})
 }
 
-// mayBeRemoved reports whether this replica may not be a member any more.
+// mayBeRemoved reports whether this replica may no longer be a member: the log doesn't
+// name it, or it has received nothing from the others for joinSilence.
 func (r *Replica) mayBeRemoved(st replica.Status, now, began time.Time) bool {
 	if !containsMember(st.Members, st.ID) {
 		return true
@@ -71,7 +72,8 @@
 	return false
 }
 
-// requestJoin asks every replica that is known; the leader answers.
+// requestJoin asks every known control host to add this replica, the reported leader
+// first, until one answers that it is a member.
 func (r *Replica) requestJoin(ctx context.Context, st replica.Status) {
 	queried := map[string]bool{
 		r.address(): true,
@@ -94,11 +96,11 @@
 		})
 		cancel()
 		if err != nil {
-			continue // asked again with the next round
+			continue // retried in the next round
 		}
 		if containsMember(reply.GetMembers(), st.ID) {
-			// Taken in, but its log may not tell yet: without the addresses it
-			// couldn't even answer a vote that a majority needs.
+			// This replica is a member now, but its log may not say so yet. Without the
+			// addresses it couldn't even answer a vote request that a majority needs.
 			r.setPeerAddresses(reply.GetMembers())
 		}
 		if reply.GetMember() {
@@ -108,8 +110,10 @@
 	}
 }
 
-// handleJoin makes a replica a member, in the place of an earlier one at its
-// address or of one that is silent.
+// handleJoin answers a join request. The leader adds the caller as a member, in place
+// of an earlier replica at the same address or of a silent one. Other replicas, and
+// any for a caller without an id, only return the members and the leader's address. A
+// host without a disk stores the members that the caller sends.
 func (r *Replica) handleJoin(ctx context.Context, q *rpc.JoinRequest) (*rpc.JoinReply, error) {
 	node, _ := r.current()
 	if node == nil && r.folder == "" {
@@ -157,7 +161,7 @@
 	}, nil
 }
 
-// setPeerAddresses lets a replica whose log is empty answer the others.
+// setPeerAddresses lets a replica whose log is still empty answer the other members.
 func (r *Replica) setPeerAddresses(members *rpc.Members) {
 	node, _ := r.current()
 	if node == nil || containsMember(node.Status().Members, node.Status().ID) {
@@ -170,8 +174,8 @@
 	}
 }
 
-// replaceableMember returns the member whose place a replica at address takes: the
-// one at the same address, or one that is silent, if two others are left.
+// replaceableMember returns the member that a replica at address replaces: the one at
+// the same address, or a silent one if at least two others remain; 0 if there is none.
 func (r *Replica) replaceableMember(st replica.Status, address string) uint64 {
 	for _, m := range st.Members.GetList() {
 		if m.GetAddress() == address {
@@ -189,8 +193,7 @@
 	return 0
 }
 
-// removeSurplus takes out a silent member if as many are left as the losses
-// that must be borne ask for.
+// removeSurplus removes a silent member if at least minMembers remain.
 func (r *Replica) removeSurplus(ctx context.Context, node *replica.Node, st replica.Status, since time.Time) {
 	if len(st.Members.GetList())-1 < r.minMembers() {
 		return
@@ -216,7 +219,7 @@
 	return err
 }
 
-// withoutMember returns members less the one with that id.
+// withoutMember returns the members without the one that has the id.
 func withoutMember(members *rpc.Members, id uint64) *rpc.Members {
 	out := &rpc.Members{}
 	for _, m := range members.GetList() {
@@ -227,8 +230,8 @@
 	return out
 }
 
-// minMembers is how many replicas are kept: a majority is left when as many disks
-// as must be borne are lost.
+// minMembers is the number of replicas to keep, so that a majority survives the
+// tolerated disk losses.
 func (r *Replica) minMembers() int {
 	return 2*r.toleratedLosses + 1
 }
--- a/pkg/fleetcontrol/observe.go
+++ b/pkg/fleetcontrol/observe.go
@@ -10,12 +10,12 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// observeInterval is how often a control host without a disk asks who the
-// replicas are and who leads.
+// observeInterval is how often a control host without a disk asks for the replicas and
+// the leader.
 const observeInterval = 300 * time.Millisecond
 
-// observe keeps track of the replicas on a host that has no disk, and so is
-// none: it passes on what it is sent.
+// observe keeps track of the replicas and the leader on a host without a disk, which
+// is no replica itself and forwards calls to the leader.
 func (r *Replica) observe(ctx context.Context) {
 	timer.Loop(ctx, r.svc, observeInterval, func(time.Time) {
 		list := append([]string{r.observed().GetLeader()}, r.Members()...)
@@ -30,7 +30,7 @@
 	})
 }
 
-// queryReplicas asks one host, and reports whether it knew a leader.
+// queryReplicas asks one host for the replicas, and reports whether it knew a leader.
 func (r *Replica) queryReplicas(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
@@ -42,7 +42,8 @@
 	return true
 }
 
-// exchangeMembers takes what a replica tells, and answers what is known.
+// exchangeMembers stores the members that a replica sent, if any, and returns those
+// that are known.
 func (r *Replica) exchangeMembers(q *rpc.JoinRequest) *rpc.JoinReply {
 	if len(q.GetMembers().GetList()) > 0 {
 		known := &rpc.JoinReply{
@@ -60,8 +61,8 @@
 	return &rpc.JoinReply{}
 }
 
-// informSeeds tells the hosts that the settings name and that are no replicas
-// who the replicas are: after a stop of all, nobody else could.
+// informSeeds sends the members to the seed hosts that are no replicas. After a stop of
+// all hosts, those could not learn them otherwise.
 func (r *Replica) informSeeds(ctx context.Context, st replica.Status) {
 	members := map[string]bool{
 		r.address(): true,
@@ -78,7 +79,7 @@
 			continue
 		}
 		g.Go(func(ctx context.Context) {
-			// One that can't be reached is told again with the next round.
+			// A call that fails is retried in the next round.
 			_, _ = rpc.NewFleetProtobufClient("http://"+address, r.client).Join(ctx, &rpc.JoinRequest{
 				Leader:  st.Leader.GetAddress(),
 				Members: st.Members,
--- a/pkg/fleetcontrol/quarantine.go
+++ b/pkg/fleetcontrol/quarantine.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	// quarantineInterval is how often the leader judges the ends that hosts told of.
-	// With a host's call, which is held for 0.4 s, and the log's two syncs, every host
-	// knows within a second of the third end; an endpoint more may end until then.
+	// quarantineInterval is how often the leader evaluates the reported crashes. With
+	// long polls of 0.4 s and two syncs of the log, every host has the decision within
+	// a second of the third crash. Until then the request may crash one more endpoint.
 	quarantineInterval = 200 * time.Millisecond
-	// decisionsLifetime is how long one list of verdicts serves though nothing was decided:
-	// what is held is let go that much later, and what is watched told so. In a crowd of
-	// ends that changes all the time, and each change answers every held call.
+	// decisionsLifetime is how long one list of decisions is reused while the log's
+	// quarantine doesn't change. It bounds how late hosts learn of expired quarantines
+	// and newly watched requests. During a burst of crashes the list changes all the
+	// time, and each change would end every long poll.
 	decisionsLifetime = time.Second
 )
 
-// quarantineCoordinator is what the leader knows of requests under which endpoints ended: ends that
-// hosts told of, which a new leader learns anew, and verdicts as hosts are told them.
-// Those that hold stand in the log.
+// quarantineCoordinator holds the leader's knowledge of requests under which endpoints
+// crashed: the crashes that hosts reported, which they report again to a new leader,
+// and the decisions as sent to hosts. Quarantined requests are kept in the log.
 type quarantineCoordinator struct {
 	svc      timer.Service
 	detector *quarantine.Detector
 
 	mu        sync.Mutex
-	term      uint64 // in which this replica was told
+	term      uint64 // in which the crashes were reported
 	served    []quarantine.Fingerprint
 	decisions decisionList
 }
 
-// decisionList is what hosts are told, made once for all of them.
+// decisionList is the list that hosts are sent, computed once for all of them.
 type decisionList struct {
 	list    []decision
 	digest  uint64
@@ -48,7 +49,7 @@
 	madeAt  time.Time
 }
 
-// decision is one request; untilMS is 0 if it is only watched.
+// decision is about one request; untilMS is 0 if it is only watched.
 type decision struct {
 	fingerprint uint64
 	untilMS     int64
@@ -61,7 +62,7 @@
 	}
 }
 
-// observe takes what an entry host tells.
+// observe records the crashes and the served requests that an entry host reports.
 func (c *quarantineCoordinator) observe(q *rpc.SyncRequest, quarantined func(f quarantine.Fingerprint) bool) {
 	for _, e := range q.GetEnded() {
 		f := quarantine.Fingerprint(e.GetFingerprint())
@@ -83,7 +84,7 @@
 	}
 }
 
-// takeServed returns the watched requests that were served since the last time.
+// takeServed returns the watched requests that were served since the last call.
 func (c *quarantineCoordinator) takeServed() []quarantine.Fingerprint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,9 +93,9 @@
 	return list
 }
 
-// beginTerm forgets everything where this replica leads in another term than before: hosts
-// tell it again then. One that had no lease for a moment goes on with what it knows,
-// which nobody tells it a second time.
+// beginTerm drops everything if the term differs from the one before: hosts then report
+// again. A leader that only lost its lease for a moment keeps what it has, since hosts
+// don't report that twice in one term.
 func (c *quarantineCoordinator) beginTerm(term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +107,7 @@
 	c.detector.Reset()
 }
 
-// current returns the verdicts that hosts are told.
+// current returns the decisions that hosts are sent.
 func (c *quarantineCoordinator) current(machine *state.Machine) decisionList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +126,8 @@
 	return c.decisions
 }
 
-// makeList returns what is held, and watched: by its ends, or as it was held before.
+// makeList returns the requests that are quarantined, and those that are watched:
+// because of crashes, or because their quarantine has expired.
 func (c *quarantineCoordinator) makeList(machine *state.Machine) []decision {
 	var list []decision
 	wall := c.svc.Wall().UnixMilli()
@@ -150,7 +152,7 @@
 	return list
 }
 
-// digestOf returns a number that equal lists share; an empty list has 0.
+// digestOf returns a digest of the list; that of an empty list is 0.
 func digestOf(list []decision) uint64 {
 	if len(list) == 0 {
 		return 0
@@ -163,7 +165,7 @@
 	return xxhash.Sum64(buf)
 }
 
-// observeCrashes takes what a host tells of ends.
+// observeCrashes records the crashes and served requests that a host reports.
 func (s *Server) observeCrashes(q *rpc.SyncRequest, machine *state.Machine, term uint64) {
 	s.coordinator.beginTerm(term)
 	if len(q.GetEnded()) == 0 && len(q.GetServed()) == 0 {
@@ -173,8 +175,8 @@
 	s.coordinator.observe(q, func(f quarantine.Fingerprint) bool { return quarantined[uint64(f)] })
 }
 
-// quarantinedAt returns the requests of the log's quarantine: true if held at a time of day,
-// false if they were let go.
+// quarantinedAt returns the requests in the log's quarantine: true for those that are
+// quarantined at the given time of day, false for those whose quarantine has expired.
 func quarantinedAt(machine *state.Machine, wall time.Time) map[uint64]bool {
 	quarantined := map[uint64]bool{}
 	for _, h := range machine.Quarantine() {
@@ -183,7 +185,7 @@
 	return quarantined
 }
 
-// addDecisions adds the verdicts to a reply if the host holds others.
+// addDecisions adds the decisions to a reply if the host holds different ones.
 func (s *Server) addDecisions(q *rpc.SyncRequest, reply *rpc.SyncReply, machine *state.Machine) {
 	v := s.coordinator.current(machine)
 	reply.SuspectsDigest = v.digest
@@ -200,8 +202,8 @@
 	}
 }
 
-// runQuarantine decides regularly, while this replica leads, which requests are kept from
-// endpoints.
+// runQuarantine regularly decides, while this replica leads, which requests to
+// quarantine and which to release.
 func (s *Server) runQuarantine(ctx context.Context) {
 	timer.Loop(ctx, s.cfg.Timer, quarantineInterval, func(time.Time) { s.updateQuarantine(ctx) })
 }
@@ -227,13 +229,14 @@
 	}
 }
 
-// releaseRequest lets a request go that was served after its time.
+// releaseRequest releases a request that was served after its quarantine had expired.
 func (s *Server) releaseRequest(ctx context.Context, f quarantine.Fingerprint) {
 	err := s.proposeDecision(ctx, f, true)
 	s.cfg.Log.Event(eventlog.RequestReleased, eventlog.Str("fingerprint", f.String()), eventlog.Str("by", "control"), eventlog.Err(err))
 }
 
-// quarantineRequest keeps a request from endpoints. If the log didn't take that, it is judged again.
+// quarantineRequest quarantines a request. If the proposal fails, the crashes are added
+// again, so that the request is evaluated once more.
 func (s *Server) quarantineRequest(ctx context.Context, finding quarantine.Finding) {
 	err := s.proposeDecision(ctx, finding.Fingerprint, false)
 	s.cfg.Log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", finding.Fingerprint.String()), eventlog.Str("by", "control"),
@@ -246,7 +249,7 @@
 	}
 }
 
-// proposeDecision puts a verdict into the log.
+// proposeDecision proposes a decision to the log.
 func (s *Server) proposeDecision(ctx context.Context, f quarantine.Fingerprint, release bool) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/pkg/fleetcontrol/recall.go
+++ b/pkg/fleetcontrol/recall.go
@@ -18,31 +18,31 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Each replica keeps the list of usable endpoints on its disk. It is a hint, no
-// state that must survive: after a stop of all hosts the endpoints on it are
-// asked at once, so that requests need not wait for a heartbeat of each, and
-// don't all go to the few that came first.
+// Each replica saves the list of usable endpoints on its disk. The list is a hint and
+// may be lost. After a stop of all hosts the endpoints on it are probed at once, so that
+// requests need not wait for the first heartbeats, and are not all sent to the few
+// endpoints that announce themselves first.
 
 const (
 	endpointsFile = "endpoints"
-	// endpointsWriteInterval is the least time between two writes: two syncs of 5 ms each
-	// on the users' disks, which the log needs too. An endpoint that leaves must
-	// be off the list soon.
+	// endpointsWriteInterval is the least time between two writes. A write takes two
+	// syncs of a disk that the log needs too, but a leaving endpoint must be off the
+	// list soon.
 	endpointsWriteInterval = 200 * time.Millisecond
-	// restoreHeartbeats is how many heartbeat intervals after the start a recalled
-	// endpoint may take for its first heartbeat.
+	// restoreHeartbeats is the least number of heartbeat intervals after the start in
+	// which a restored endpoint must send its first heartbeat.
 	restoreHeartbeats = 3
-	// restoreJitter is by how many intervals that differs between replicas.
+	// restoreJitter is the range, in intervals, of the random time added to that.
 	restoreJitter = 1.5
 	checksumBytes = 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errChecksum says that a crash cut a file short, or mixed it with an older one.
-var errChecksum = errors.New("the list of endpoints is torn")
+// errChecksum is returned for a file that a crash truncated or mixed with an older one.
+var errChecksum = errors.New("the list of endpoints has a wrong checksum")
 
-// readEndpoints returns the list that the folder holds; none if it has no file.
+// readEndpoints returns the list saved in the folder; none if there is no file.
 func readEndpoints(folder string, now time.Time) ([]fleet.Endpoint, error) {
 	data, err := os.ReadFile(filepath.Join(folder, endpointsFile))
 	if os.IsNotExist(err) {
@@ -61,7 +61,7 @@
 	return fleet.EndpointsFromWire(list.GetEndpoints(), now), nil
 }
 
-// writeEndpoints makes a list durable.
+// writeEndpoints saves the list durably.
 func writeEndpoints(folder string, list []fleet.Endpoint, now time.Time) error {
 	body, err := proto.Marshal(&rpc.SpreadRequest{
 		Endpoints: fleet.EndpointsToWire(list, now),
@@ -73,8 +73,7 @@
 	return writeFile(folder, endpointsFile, append(binary.LittleEndian.AppendUint32(nil, sum), body...))
 }
 
-// restoreEndpoints takes the endpoints that the disk tells of, and asks each whether it
-// is still there.
+// restoreEndpoints reads the endpoints from disk, and probes each.
 func (s *Server) restoreEndpoints() {
 	if s.cfg.Folder == "" {
 		return
@@ -91,16 +90,17 @@
 	}
 }
 
-// restoreTimeout is how long recalled endpoints may take for their first heartbeats. It
-// differs from replica to replica, so that they don't all ask the leader for whole
-// lists at once: 0.4 MB or so at 3,000 endpoints.
+// restoreTimeout is how long restored endpoints may take to send their first heartbeats.
+// It is random, so that the replicas don't all ask the leader for its full list at once,
+// 0.4 MB or so at 3,000 endpoints.
 func (s *Server) restoreTimeout() time.Duration {
 	return time.Duration((restoreHeartbeats + restoreJitter*rand.Float64()) * float64(s.cfg.Heartbeat))
 }
 
-// dropRestored forgets what no heartbeat has borne out, here or at another replica:
-// an endpoint sends its heartbeats to one of them, and that one spreads only news. The
-// leader is told of all, and is asked first. Who recalled nothing asks nobody.
+// dropRestored drops the restored endpoints of which no replica has received a
+// heartbeat. Each endpoint sends its heartbeats to one replica, which propagates changes
+// only; so the others are asked first, beginning with the leader, which receives all
+// announcements. Nobody is asked if nothing is left to confirm.
 func (s *Server) dropRestored(ctx context.Context) {
 	_, _, leader := s.replica.Leads(ctx)
 	for _, address := range append([]string{leader}, s.otherReplicas()...) {
@@ -111,21 +111,21 @@
 			continue
 		}
 		if _, err := s.fetchEndpointsFrom(ctx, address); err != nil {
-			s.cfg.Metrics.Counter("spread_failures").Inc(1) // the next is asked
+			s.cfg.Metrics.Counter("spread_failures").Inc(1) // continue with the next replica
 		}
 	}
 	s.dropUnconfirmed()
 }
 
-// dropUnconfirmed forgets what no heartbeat that this replica knows of has borne out.
+// dropUnconfirmed drops the restored endpoints of which this replica knows no heartbeat.
 func (s *Server) dropUnconfirmed() {
 	if n := s.table.DropRestored(); n > 0 {
 		s.cfg.Log.Event(eventlog.Reloaded, eventlog.Str("what", "endpoints without a heartbeat dropped"), eventlog.Int("count", int64(n)))
 	}
 }
 
-// saveEndpoints writes the list whenever an endpoint has come or gone. What
-// they hold needs no write: they are asked.
+// saveEndpoints saves the list whenever an endpoint is added or removed. The layers that
+// endpoints hold need no save, since restored endpoints are probed.
 func (s *Server) saveEndpoints(ctx context.Context) {
 	if s.cfg.Folder == "" {
 		return
@@ -155,7 +155,7 @@
 	}
 }
 
-// joinIDs names the endpoints of a sorted list.
+// joinIDs joins the ids of a sorted list, to compare lists.
 func joinIDs(list []fleet.Endpoint) string {
 	var b strings.Builder
 	for _, e := range list {
@@ -165,7 +165,8 @@
 	return b.String()
 }
 
-// usable leaves out endpoints that leave or have ended: they must not come back.
+// usable drops endpoints that are leaving or gone, which must not be restored, and those
+// without an address.
 func usable(list []fleet.Endpoint) []fleet.Endpoint {
 	var out []fleet.Endpoint
 	for _, e := range list {
--- a/pkg/fleetcontrol/replica.go
+++ b/pkg/fleetcontrol/replica.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	// raftTick makes an election time-out of 0.3 to 0.6 s: well over a disk's
-	// sync of 5 ms and the hosts' pauses, and short since no entry host takes
-	// requests with keys before a leader has confirmed them.
+	// raftTick gives an election timeout of 0.3 to 0.6 s: well above a disk sync of
+	// 5 ms and the pauses of the hosts, and short, since no entry host accepts requests
+	// with account keys until a leader has confirmed its configuration.
 	raftTick = 30 * time.Millisecond
-	// reopenDelay is how long a replica whose storage failed waits before it
-	// opens the folder again.
+	// reopenDelay is how long a replica whose storage failed waits before it opens the
+	// folder again.
 	reopenDelay = 500 * time.Millisecond
-	// joinSilence is how long a replica hears nothing before it asks whether it
-	// still is one: longer than an election takes.
+	// joinSilence is how long a replica receives nothing before it asks whether it is
+	// still a member: longer than an election takes.
 	joinSilence  = 2 * time.Second
 	joinInterval = 500 * time.Millisecond
-	// claimWindow isn't used by deployments with whole configurations; the
-	// state machine wants one.
+	// claimWindow is required by the state machine, but deployments with full
+	// configurations don't use it.
 	claimWindow = 10 * time.Minute
 	callTimeout = time.Second
 )
 
 // Bootstrap says how a replica with an empty disk starts.
 type Bootstrap struct {
-	// FirstStart is set at the very first start of the whole system.
+	// FirstStart is set at the very first start of the cluster.
 	FirstStart bool
-	// IPs are the founders'.
+	// IPs are the addresses of the initial members.
 	IPs []string
 }
 
-// Replica is one replica of the log that outlives failures of its storage: it
-// is opened again, and if its disk was replaced it joins under a new id.
+// Replica is one replica of the log. It recovers from storage failures: it opens the
+// folder again, and if the disk was replaced it joins under a new id.
 type Replica struct {
 	folder          string
 	ip              string
@@ -61,17 +61,18 @@
 	mu      sync.Mutex
 	node    *replica.Node
 	machine *state.Machine
-	// transport is the node's.
+	// transport belongs to node.
 	transport    replica.Transport
 	id           uint64
 	receivedAt   map[uint64]time.Time
 	caughtUpTerm uint64 // term in which a read barrier has passed
 	installedAt  time.Time
-	// lastObserved is what a host without a disk was told of the replicas.
+	// lastObserved is what a host without a disk last learned about the replicas.
 	lastObserved *rpc.JoinReply
 }
 
-// Run keeps a node running until ctx ends.
+// Run runs the replica until ctx ends, and restarts it after storage failures. On a
+// host without a disk it only keeps track of the replicas.
 func (r *Replica) Run(ctx context.Context) {
 	if r.folder == "" {
 		r.observe(ctx)
@@ -98,8 +99,8 @@
 	}
 }
 
-// loadIdentity returns the id, and the founders if this replica is one of them and
-// starts for the first time.
+// loadIdentity returns the replica's id, created if the disk holds none, and the
+// initial members if this replica is one of them and this is the first start.
 func (r *Replica) loadIdentity() (uint64, *rpc.Members, error) {
 	id, err := readIdentity(r.folder)
 	if err != nil {
@@ -140,12 +141,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = disk.Close() }() // only the lock
+	defer func() { _ = disk.Close() }() // only releases the lock
 	st, err := store.Open(disk)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = st.Close() }() // everything acknowledged is synced
+	defer func() { _ = st.Close() }() // everything acknowledged is synced already
 	g := group.New(ctx)
 	defer g.Stop()
 	machine := state.New(claimWindow.Milliseconds())
@@ -182,15 +183,15 @@
 	r.installedAt = r.svc.Now()
 }
 
-// current returns the running node and its state; nil while storage fails.
+// current returns the running node and its state machine; nil while storage fails.
 func (r *Replica) current() (*replica.Node, *state.Machine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.node, r.machine
 }
 
-// Deliver hands on the messages that are meant for this replica's id: an
-// earlier id of the same address may still be a member.
+// Deliver passes on the messages that are addressed to this replica's id. Others may be
+// for an earlier replica at the same address that is still a member.
 func (r *Replica) Deliver(batch *rpc.RaftBatch) {
 	r.mu.Lock()
 	node := r.node
@@ -208,9 +209,10 @@
 	}
 }
 
-// Leads returns the state if this replica leads, is sure that it holds all
-// that was acknowledged, and no other can lead at this moment; and else the
-// address of who may.
+// Leads returns the state and the term if this replica leads, holds everything that
+// was acknowledged (a read barrier has passed in the term), and holds the lease, so
+// that no other replica can lead now. Otherwise it returns the address of the probable
+// leader, or "".
 func (r *Replica) Leads(ctx context.Context) (*state.Machine, uint64, string) {
 	node, machine := r.current()
 	if node == nil {
@@ -261,8 +263,8 @@
 	return net.JoinHostPort(r.ip, r.port)
 }
 
-// silentFor returns how long nothing was heard of a member; at most since this
-// node began.
+// silentFor returns how long nothing was received from a member, counted from since
+// and from this node's start at the earliest.
 func (r *Replica) silentFor(id uint64, since time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,5 +277,5 @@
 	return r.svc.Now().Sub(at)
 }
 
-// errNotOpen is returned while storage fails.
+// errNotOpen is returned while the replica's storage is not open.
 var errNotOpen = errors.New("the replica's storage is being opened again")
--- a/pkg/fleetcontrol/sample.go
+++ b/pkg/fleetcontrol/sample.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// sampleSize is how many hosts an entry host can name to callers: as many as
-	// callers take. Where there are no more, all are named.
+	// sampleSize is how many hosts an entry host can name to callers, which is as many
+	// as callers accept. If there are no more, all are named.
 	sampleSize = 64
-	// sampleInterval is the least time between two samples that a host is sent, so
-	// that hosts which come and go one by one don't cost a list each. Callers keep
-	// an answer for seconds anyway, and leave out addresses that fail them.
+	// sampleInterval is the least time between two samples that a host is sent, so that
+	// hosts that come and go one by one don't cause a list each. Callers keep an answer
+	// for seconds anyway, and avoid addresses that fail.
 	sampleInterval = 500 * time.Millisecond
 )
 
-// sample is the ready hosts that one entry host names to callers. Which ones is
-// drawn by a hash of both names, so that each host is in as many samples as any
-// other, over all failure domains alike, and one that comes or goes changes only
-// the samples that it is in, whichever replica leads.
+// sample is the ready hosts that one entry host names to callers. They are selected by
+// rendezvous hashing of both names, so that each host is in about as many samples as any
+// other, over all failure domains alike. A host that comes or goes changes only the
+// samples that it is in, and the result doesn't depend on the leader.
 type sample struct {
-	version   uint64 // hosts.readyVersion that it is of
+	version   uint64 // value of hosts.readyVersion that it was selected at
 	addresses []string
 	digest    uint64
 }
 
-// selectSample returns the sample of one host out of those that are ready.
+// selectSample selects the sample for one host among the ready ones.
 func (h *hosts) selectSample(name string) sample {
 	type ranked struct {
 		address string
@@ -58,8 +58,8 @@
 	return s
 }
 
-// addresses returns a host's sample if it holds another one and it is time to
-// send it; the sample's digest; and how many hosts are ready.
+// addresses returns a host's sample if the host holds a different one and is due for it,
+// the digest of the sample that the host then holds, and the number of ready hosts.
 func (h *hosts) addresses(now time.Time, name string, held uint64) (list []string, digest uint64, ready int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/fleetcontrol/server.go
+++ b/pkg/fleetcontrol/server.go
@@ -1,5 +1,6 @@
-// Package fleetcontrol is a control host of a deployment whose operator sends
-// whole configurations and whose endpoints announce themselves.
+// Package fleetcontrol implements a control host: it replicates the operator's
+// configuration, tracks the endpoints' heartbeats, and answers the entry hosts'
+// long polls.
 package fleetcontrol
 
 import (
@@ -21,33 +22,34 @@
 )
 
 const (
-	// propagateInterval is how often a replica tells the leader whom it heard of.
+	// propagateInterval is how often a replica sends the leader the heartbeats that it
+	// received itself.
 	propagateInterval = 500 * time.Millisecond
 	leadInterval      = 300 * time.Millisecond
-	// replicaCallTimeout bounds how long the acknowledgement of a leave waits for
-	// another replica; endpoints wait a second.
+	// replicaCallTimeout bounds a call to another replica. The acknowledgement of a
+	// leave announcement waits for such calls, and endpoints wait for it for a second.
 	replicaCallTimeout = 400 * time.Millisecond
-	// proposeTimeout is under the second after which operators try elsewhere.
+	// proposeTimeout is below the second after which operators' tools try another host.
 	proposeTimeout = 900 * time.Millisecond
-	// settleHeartbeats is how many heartbeat intervals a leader waits before it
-	// takes the list of endpoints for whole.
+	// settleHeartbeats is how many heartbeat intervals a new leader waits before it
+	// treats its list of endpoints as complete.
 	settleHeartbeats = 2
 )
 
-// Decoder reads and checks a configuration as the operator sends it.
+// Decoder decodes and checks a configuration in the operator's format.
 type Decoder interface {
 	Decode(content []byte) (*fleet.Configuration, error)
 }
 
-// Config is what a Server is made of. Every field must be set but Founding.
+// Config configures a Server. Every field is required but Bootstrap.
 type Config struct {
 	Folder string
 	IP     string
-	// Port is of the system's own calls, on every control host.
+	// Port is the port of the internal RPCs, the same on every control host.
 	Port            string
 	Bootstrap       Bootstrap
 	SeedIPs         func() []string
-	ToleratedLosses int // disks that may be lost at once
+	ToleratedLosses int // number of disks that may be lost at once
 	Heartbeat       time.Duration
 	Decoder         Decoder
 	Orders          placement.EndpointClient
@@ -61,7 +63,7 @@
 type Server struct {
 	cfg     Config
 	replica *Replica
-	// leadership is the replica's, as hosts' calls see it.
+	// leadership is replica, behind an interface that tests replace.
 	leadership     leadership
 	table          *registry.Table
 	hosts          *hosts
@@ -75,22 +77,22 @@
 	probes      *probeSchedule
 	coordinator *quarantineCoordinator
 	granter     *permit.Granter
-	// decodedConfig is the configuration that lead read last.
+	// decodedConfig caches the configuration that lead decoded last.
 	decodedConfig *fleet.Configuration
 
 	mu      sync.Mutex
 	leading leading
 }
 
-// leading is since when this replica leads, and in which term.
+// leading says in which term this replica leads, and since when.
 type leading struct {
 	term  uint64
 	since time.Time
-	// settled says that every endpoint had time to announce itself.
+	// settled is set once every endpoint has had time to announce itself.
 	settled bool
 }
 
-// recordLeading remembers when a term's lead was first seen.
+// recordLeading returns when this replica was first seen to lead in the term.
 func (s *Server) recordLeading(term uint64, now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,15 +105,16 @@
 	return s.leading.since
 }
 
-// settled reports whether every endpoint had time to announce itself since this
-// replica began to lead in a term.
+// settled reports whether every endpoint has had time to announce itself since this
+// replica began to lead in the term.
 func (s *Server) settled(term uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leading.term == term && s.leading.settled
 }
 
-// markSettled notes that, and drops what only the disk told of.
+// markSettled marks the term as settled, and drops the endpoints that were restored
+// from disk and have sent no heartbeat.
 func (s *Server) markSettled(term uint64) {
 	if s.settled(term) {
 		return
@@ -124,7 +127,7 @@
 	}
 }
 
-// New returns a control host; its goroutines run in g.
+// New returns a control host. Its background calls run in g.
 func New(cfg Config, g *group.Group) *Server {
 	s := &Server{
 		cfg:          cfg,
@@ -163,7 +166,7 @@
 	return list
 }
 
-// Run works until ctx ends.
+// Run runs the control host until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	g := group.New(ctx)
 	defer g.Stop()
@@ -182,7 +185,7 @@
 	return nil
 }
 
-// RPC returns the handler of the system's own calls.
+// RPC returns the handler of the internal RPCs.
 func (s *Server) RPC() http.Handler {
 	mux := http.NewServeMux()
 	replicaServer := rpc.NewReplicaServer(s)
@@ -203,7 +206,8 @@
 	return s.replica.handleJoin(ctx, q)
 }
 
-// lead does what only the leader does.
+// lead runs the leader's periodic work: it expires entry hosts and rate limits, probes
+// endpoints, and reconciles their placement with the configuration.
 func (s *Server) lead(ctx context.Context) {
 	timer.Loop(ctx, s.cfg.Timer, leadInterval, func(now time.Time) {
 		s.recordCommitted()
--- a/pkg/fleetcontrol/spreader.go
+++ b/pkg/fleetcontrol/spreader.go
@@ -9,29 +9,30 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// propagationDelay is how long announcements gather before they are spread together:
-// 3,000 endpoints that announce themselves in a second would make as many calls to
-// each replica. An endpoint that leaves waits as long for its acknowledgement.
+// propagationDelay is the batching delay for announcements: without it, 3,000
+// endpoints that announce themselves within a second would cause as many calls to each
+// replica. It also delays the acknowledgement of a leave announcement.
 const propagationDelay = 10 * time.Millisecond
 
-// propagator spreads announcements to the other replicas, many with one call.
+// propagator batches announcements to the other replicas.
 type propagator struct {
 	mu      sync.Mutex
 	pending []fleet.Endpoint
-	// batch is closed once the batch that pending is of was spread.
+	// batch is the batch that pending belongs to; nil if none is open.
 	batch *propagationBatch
 }
 
-// propagationBatch is one batch on its way.
+// propagationBatch is the result of sending one batch. The counts are valid once done
+// is closed.
 type propagationBatch struct {
 	done         chan struct{}
-	others       int   // replicas that there were to tell
-	acknowledged int64 // of them
+	others       int   // replicas that the batch was sent to
+	acknowledged int64 // how many of them acknowledged it
 }
 
-// propagateBatched spreads an announcement with those that come shortly after, and
-// returns how many other replicas there were and how many took it. Both are 0 if
-// ctx ended before.
+// propagateBatched sends an announcement with the next batch. It returns to how many
+// other replicas the batch was sent, and how many acknowledged it; both are 0 if ctx
+// ended before.
 func (s *Server) propagateBatched(ctx context.Context, e fleet.Endpoint) (others int, told int64) {
 	s.propagator.mu.Lock()
 	s.propagator.pending = append(s.propagator.pending, e)
@@ -52,9 +53,9 @@
 	}
 }
 
-// sendBatch spreads what has gathered by the time it ends gathering.
+// sendBatch waits for the batching delay and sends what is pending by then.
 func (s *Server) sendBatch(ctx context.Context) {
-	_ = timer.Sleep(ctx, s.cfg.Timer, propagationDelay) // at the process's end it is spread at once
+	_ = timer.Sleep(ctx, s.cfg.Timer, propagationDelay) // fails only at shutdown; the batch is then sent at once
 	s.propagator.mu.Lock()
 	list, batch := s.propagator.pending, s.propagator.batch
 	s.propagator.pending, s.propagator.batch = nil, nil
--- a/pkg/fleetcontrol/standing.go
+++ b/pkg/fleetcontrol/standing.go
@@ -7,15 +7,15 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// maxDirectDocument is how many bytes of a configuration the leader sends a host
-// itself. A larger one, as when routes are many and the host holds nothing to
-// patch, comes from another replica, so that it costs each link its share: 18 KB
-// for each of 300 hosts take a link of 100 Mbit/s 0.4 s, in which the log's
-// heartbeats would wait.
+// maxDirectDocument is the size in bytes up to which the leader sends a host the
+// configuration itself. The host gets a larger one from another replica, which spreads
+// the traffic over the replicas' links. It is large if there are many routes and the
+// host holds no version to patch: 18 KB for each of 300 hosts would fill a link of 100
+// Mbit/s for 0.4 s, and delay the heartbeats of the log.
 const maxDirectDocument = 4 << 10
 
-// recordCommitted keeps the configuration that this replica has applied, to patch
-// from it later; every replica does, since each may lead next.
+// recordCommitted records the configuration that this replica has applied, to make
+// patches from it later. Every replica does so, since any may lead next.
 func (s *Server) recordCommitted() {
 	_, machine := s.replica.current()
 	if machine == nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// patchFor returns what makes doc out of the version that a host holds; nil if
-// that version isn't known here any more, or the whole is smaller.
+// patchFor returns the patch from the version that a host holds to doc; nil if that
+// version is no longer in the history, or the full document is smaller.
 func (s *Server) patchFor(doc *rpc.Document, held uint64) *rpc.DocumentPatch {
 	s.recordDocument(doc)
 	patch, digest, err := s.history.Since(held, doc.GetVersion())
@@ -53,8 +53,8 @@
 	}
 }
 
-// addDocument adds a newer configuration: its patch, or the whole, unless the
-// host can take a large one elsewhere.
+// addDocument adds a newer configuration to the reply, as a patch if possible. A large
+// one is left out if the host can get it from another replica.
 func (s *Server) addDocument(q *rpc.SyncRequest, reply *rpc.SyncReply, doc *rpc.Document) {
 	patch := s.patchFor(doc, q.GetDocumentVersion())
 	size := len(doc.GetContent())
@@ -70,8 +70,9 @@
 	}
 }
 
-// Standing implements rpc.Fleet. What a replica has applied was committed, so a
-// host may put it in force; only the leader can tell that it is the newest.
+// Standing implements rpc.Fleet. It returns the configuration that this replica has
+// applied. That was committed, so a host may activate it; but only the leader knows
+// whether it is the newest.
 func (s *Server) Standing(_ context.Context, q *rpc.StandingRequest) (*rpc.StandingReply, error) {
 	_, machine := s.replica.current()
 	if machine == nil {
--- a/pkg/fleetcontrol/survey.go
+++ b/pkg/fleetcontrol/survey.go
@@ -15,29 +15,31 @@
 )
 
 const (
-	// probeTimeout is how long an endpoint may take to answer.
+	// probeTimeout is how long an endpoint may take to answer a probe.
 	probeTimeout = 300 * time.Millisecond
-	// suspectProbeInterval is how long a suspect that answered isn't asked again.
+	// suspectProbeInterval is how long a suspected endpoint that answered a probe is not
+	// probed again.
 	suspectProbeInterval = 800 * time.Millisecond
-	// probeInterval is how often each engine is asked: it finds slow ones,
-	// which nothing else tells, and lost ones before heartbeats are missed.
-	// At 0.011 a question, 39 engines cost 0.3 in 100 of a day's worth.
+	// probeInterval is the time between two probes of an engine. Probes find slow
+	// engines, which nothing else reports, and lost ones before heartbeats are missed.
 	probeInterval = time.Second
-	// loadingProbeInterval is how often one that loads is asked: the sooner it is
-	// used, the shorter a hole lasts.
+	// loadingProbeInterval is the same for an engine that loads layers: the sooner it
+	// is used, the shorter a gap lasts.
 	loadingProbeInterval = 300 * time.Millisecond
-	// probeRate is how many questions a second the leader asks in all. Without a
-	// bound, 3,000 endpoints that load were 10,000 questions a second, and nothing was
-	// served at 300 hosts. Where there are more endpoints, each is asked less often,
-	// and its heartbeats tell of it.
+	// probeRate is how many probes the leader sends per second in all. Without a bound,
+	// 3,000 loading endpoints would cause 10,000 probes a second, and overload a leader of
+	// 300 hosts. With more endpoints each is probed less often, and its heartbeats report
+	// its state.
 	probeRate = 500
-	// probeBurst is how many may be asked at once.
+	// probeBurst is how many probes may be sent at once.
 	probeBurst = 150
-	// maxMissedProbes is how many questions in a row an endpoint may leave open.
+	// maxMissedProbes is after how many probes in a row that timed out an endpoint is
+	// marked as silent.
 	maxMissedProbes = 2
 )
 
-// probeSchedule is when each endpoint was last asked. Only the leader asks.
+// probeSchedule records when each endpoint was last probed. Only the leader probes,
+// apart from the probes of restored endpoints at the start.
 type probeSchedule struct {
 	mu       sync.Mutex
 	probedAt map[string]time.Time
@@ -53,8 +55,8 @@
 	}
 }
 
-// due reports whether an endpoint wasn't asked for as long as pause, and then
-// counts it as asked.
+// due reports whether an endpoint may be probed now: it was not for the interval, and
+// the rate allows it. If so, it counts as probed.
 func (s *probeSchedule) due(id string, now time.Time, interval time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +67,8 @@
 	return true
 }
 
-// sortByLastProbe sorts endpoints by when they were last asked, so that each has its turn
-// where the rate doesn't allow to ask all.
+// sortByLastProbe sorts endpoints by their last probe, the oldest first, so that all
+// get their turn if the rate is too low for all of them.
 func (s *probeSchedule) sortByLastProbe(list []fleet.Endpoint) []fleet.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,13 +76,13 @@
 	return list
 }
 
-// missed counts a question without an answer, and returns how many there were
-// in a row; answered takes them back.
+// missed counts a probe without an answer, and returns how many there were in a row.
+// answered resets that count.
 func (s *probeSchedule) missed(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.misses[id]++
-	delete(s.probedAt, id) // asked again with the next round
+	delete(s.probedAt, id) // due again in the next round
 	return s.misses[id]
 }
 
@@ -90,7 +92,7 @@
 	delete(s.misses, id)
 }
 
-// prune drops what is known of endpoints that the table doesn't hold.
+// prune drops the endpoints that the table doesn't hold.
 func (s *probeSchedule) prune(held func(id string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +104,7 @@
 	}
 }
 
-// probeSuspected asks the endpoints that entry hosts name.
+// probeSuspected probes the endpoints that an entry host suspects.
 func (s *Server) probeSuspected(ids []string) {
 	for _, id := range ids {
 		if e, ok := s.table.Get(id); ok {
@@ -111,8 +113,7 @@
 	}
 }
 
-// probeAll asks every engine that is due, and the endpoints whose heartbeats are
-// late.
+// probeAll probes the endpoints whose heartbeats are late, and every engine that is due.
 func (s *Server) probeAll(late []fleet.Endpoint) {
 	s.probes.prune(func(id string) bool {
 		_, ok := s.table.Get(id)
@@ -132,14 +133,14 @@
 	}
 }
 
-// probe asks one endpoint, if it wasn't for as long as pause, or longer if it has a limit:
-// questions take places of requests.
+// probe probes an endpoint if it is due. The interval is longer for one with a rate
+// limit, since probes use permits that requests could use.
 func (s *Server) probe(e fleet.Endpoint, interval time.Duration, reason string) {
 	interval = max(interval, s.granter.ProbeInterval(permit.EndpointKey(e.ID)))
 	if e.Gone || s.endpointClient.inBackoff(e.ID) || !s.probes.due(e.ID, s.cfg.Timer.Now(), interval) {
 		return
 	}
-	if e.Kind == "" { // engines are asked all the time
+	if e.Kind == "" { // engines are probed all the time
 		s.cfg.Log.Event(eventlog.EndpointAsked, eventlog.Str("endpoint", e.ID), eventlog.Str("why", reason))
 	}
 	s.group.Go(func(ctx context.Context) {
@@ -150,9 +151,9 @@
 	})
 }
 
-// handleProbeResult takes the outcome of a question. An endpoint that refuses connections
-// or left two questions open is lost; one that has nothing to tell, or turns questions
-// away to rest, is there.
+// handleProbeResult applies the outcome of a probe. An endpoint is marked as silent if
+// the probe failed other than by a timeout, or if maxMissedProbes in a row timed out.
+// One that has no status to report, or asks for backoff, is reachable.
 func (s *Server) handleProbeResult(e fleet.Endpoint, report placement.Report, err error, silent bool) {
 	switch {
 	case err == nil:
--- a/pkg/fleetcontrol/sync.go
+++ b/pkg/fleetcontrol/sync.go
@@ -11,20 +11,20 @@
 	"github.com/twitchtv/twirp"
 )
 
-// maxLongPoll bounds how long a call without news is held.
+// maxLongPoll bounds how long a long poll without changes is held open.
 const maxLongPoll = time.Second
 
-// leadership tells whether this replica leads, and who the replicas are.
+// leadership tells whether this replica leads, and which replicas there are.
 type leadership interface {
-	// Leads returns the state and the term if this replica leads, and else the
-	// address of who may.
+	// Leads returns the state and the term if this replica leads, and otherwise the
+	// address of the probable leader, if one is known.
 	Leads(ctx context.Context) (machine *state.Machine, term uint64, leader string)
 	// Members returns the addresses of the replicas.
 	Members() []string
 }
 
-// Sync implements rpc.Fleet. The leader holds the call until there is news;
-// its answer is true of the moment at which it was given.
+// Sync implements rpc.Fleet. The leader holds the long poll open until there are
+// changes. A confirmed reply reflects the state at the time of the answer.
 func (s *Server) Sync(ctx context.Context, q *rpc.SyncRequest) (*rpc.SyncReply, error) {
 	if q.GetHost().GetName() == "" {
 		return nil, twirp.RequiredArgumentError("host")
@@ -43,7 +43,7 @@
 	s.observeLimits(q, term)
 	wait := min(maxLongPoll, time.Duration(q.GetWaitMs())*time.Millisecond)
 	if first && q.GetEpoch() == 0 {
-		wait = 0 // it serves nobody yet
+		wait = 0 // the host has just started and serves no requests yet
 	}
 	if s.awaitChanges(ctx, q, term, machine, wait) != nil {
 		return nil, ctx.Err()
@@ -53,9 +53,9 @@
 	return s.confirm(ctx, s.syncReply(q, term, machine, now), term, began), nil
 }
 
-// awaitChanges returns once there is news for a host and it has had time to gather,
-// or wait is over; an error if ctx ended before. A host that knows nothing yet
-// doesn't wait for news.
+// awaitChanges returns once there are changes that the host lacks and the batching
+// delay has passed, or once wait has passed; it fails if ctx ends before. For a host
+// that has no state yet it only waits for the batching delay.
 func (s *Server) awaitChanges(ctx context.Context, q *rpc.SyncRequest, term uint64, machine *state.Machine, wait time.Duration) error {
 	delay := s.hosts.batchDelay()
 	if q.GetEpoch() == 0 || q.GetDocumentVersion() == 0 && machine.Document() != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// waitUntil returns at end, or with an error once ctx has ended.
+// waitUntil returns nil at end, or an error once ctx has ended.
 func waitUntil(ctx context.Context, end <-chan time.Time) error {
 	select {
 	case <-end:
@@ -97,7 +97,7 @@
 	}
 }
 
-// hasChanges reports whether a host lacks anything that can't wait until its call ends.
+// hasChanges reports whether the host lacks changes that end its long poll early.
 func (s *Server) hasChanges(q *rpc.SyncRequest, term uint64, machine *state.Machine) bool {
 	return s.table.Version() != q.GetEndpointsVersion() ||
 		epochOf(term, s.settled(term)) != q.GetEpoch() ||
@@ -107,7 +107,8 @@
 			s.hosts.documentDue(s.cfg.Timer.Now(), q.GetHost().GetName())
 }
 
-// confirm completes a reply if this replica still leads in the same term.
+// confirm marks the reply as confirmed if this replica still leads in the same term;
+// otherwise it returns one that only names the leader.
 func (s *Server) confirm(ctx context.Context, reply *rpc.SyncReply, term uint64, began time.Time) *rpc.SyncReply {
 	machine, currentTerm, leader := s.leadership.Leads(ctx)
 	if machine == nil || currentTerm != term {
@@ -142,15 +143,16 @@
 	return reply
 }
 
-// leaveReportPeriod is how long ago an endpoint may have said that it leaves of which hosts
-// are told ahead of the list: these come to every host in less.
+// leaveReportPeriod is for how long leave announcements are sent ahead of the full
+// list. The full list reaches every host sooner than that.
 const leaveReportPeriod = 10 * time.Second
 
-// addEndpoints adds the endpoints that a host lacks: those that changed since
-// its last call, or all of them if it holds another set and followed another
-// epoch until now. Of the same set it is only told the version. Where there is no room
-// for all of them it is told of those that leave: to send nothing there is due within
-// seconds, and lists of 3,000 endpoints to 300 hosts take three.
+// addEndpoints adds the endpoints that the host lacks: those that changed since its
+// last call, or the full list if many changed, or if the host followed another epoch
+// and holds a different set. A host that holds the same set gets only the version. If
+// the bandwidth allowance doesn't permit the full list now, the host gets the recent
+// leave announcements only: it must stop sending to these endpoints within seconds,
+// and sending lists of 3,000 endpoints to 300 hosts takes three.
 func (s *Server) addEndpoints(q *rpc.SyncRequest, reply *rpc.SyncReply, now time.Time) {
 	minVersion := uint64(0)
 	if q.GetEpoch() == reply.GetEpoch() {
@@ -178,8 +180,9 @@
 	reply.PackedEndpoints = all.packed
 }
 
-// addAddresses adds the hosts that callers may be told of, once this leader has
-// heard of all that there are; until then a host names those that it holds.
+// addAddresses adds the entry hosts that callers may be told of, once every entry
+// host has had time to call this leader. Until then a host that holds addresses keeps
+// them.
 func (s *Server) addAddresses(q *rpc.SyncRequest, reply *rpc.SyncReply, term uint64, now time.Time) {
 	reply.AddressesDigest = q.GetAddressesDigest()
 	if q.GetAddressesDigest() != 0 && !s.hostsKnown(term, now) {
@@ -191,16 +194,17 @@
 	reply.Hosts = uint32(ready)
 }
 
-// hostsKnown reports whether every entry host had time to call this leader.
+// hostsKnown reports whether every entry host has had time to call this leader.
 func (s *Server) hostsKnown(term uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leading.term == term && now.Sub(s.leading.since) > hostTimeout
 }
 
-// epochOf numbers the lists of endpoints that hosts are sent whole: one when a
-// term begins, and one when every endpoint had time to announce itself, so that
-// hosts forget those that did not.
+// epochOf returns the epoch of the endpoint lists. It changes when a term begins, and
+// when every endpoint has had time to announce itself. On a change hosts replace
+// their list as a whole, so that they drop endpoints that have not announced
+// themselves.
 func epochOf(term uint64, settled bool) uint64 {
 	if settled {
 		return 2*term + 1
--- a/pkg/fleetcontrol/words.go
+++ b/pkg/fleetcontrol/words.go
@@ -15,18 +15,20 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// errInBackoff says that an endpoint wasn't called, since it asked this machine for rest.
-var errInBackoff = errors.New("the endpoint asked this machine for rest")
+// errInBackoff is returned for a call that was not made because the endpoint had asked
+// this host for backoff.
+var errInBackoff = errors.New("endpoint is in backoff at its own request")
 
-// endpointClient calls endpoints as orders does, but none that rests, counts calls to those
-// that have limits, and takes what they say of themselves. A rest is for the machine: requests of its entry process, questions
-// and orders count together, and the leader asks each engine every second.
+// endpointClient wraps the client for the leader's calls to endpoints. It makes no call
+// to an endpoint in backoff, charges calls against the endpoint's rate limit, and
+// applies the notice in each answer. Backoff covers the whole host: the requests of its
+// entry process, the leader's probes and its orders.
 type endpointClient struct {
 	client        placement.EndpointClient
 	table         *registry.Table
 	log           *eventlog.Log
-	ownBackoffs   *rest.Tracker // of this process
-	entryBackoffs *rest.Tracker // by the entry process of this machine, of what it was asked for
+	ownBackoffs   *rest.Tracker // requested from this process
+	entryBackoffs *rest.Tracker // requested from the entry process of this host
 	granter       *permit.Granter
 	svc           timer.Service
 }
@@ -43,12 +45,12 @@
 	}
 }
 
-// inBackoff reports whether an endpoint wants nothing from this machine.
+// inBackoff reports whether this host must not call the endpoint now.
 func (c *endpointClient) inBackoff(id string) bool {
 	return c.ownBackoffs.Remaining(id) > 0 || c.entryBackoffs.Remaining(id) > 0
 }
 
-// observe takes what an endpoint says of itself.
+// observe applies an endpoint's notice, except for its rate limit.
 func (c *endpointClient) observe(id string, notice fleet.Notice) {
 	if notice.Leaving {
 		c.table.MarkLeaving(id)
@@ -59,7 +61,7 @@
 	}
 }
 
-// Report implements placement.Orderer.
+// Report implements placement.EndpointClient.
 func (c *endpointClient) Report(ctx context.Context, id, address string) (placement.Report, error) {
 	if c.inBackoff(id) {
 		return placement.Report{}, errInBackoff
@@ -72,7 +74,7 @@
 	return report, err
 }
 
-// Place implements placement.Orderer.
+// Place implements placement.EndpointClient.
 func (c *endpointClient) Place(ctx context.Context, order placement.Order, address string, orders uint64) (placement.Outcome, error) {
 	if c.inBackoff(order.ID) {
 		return placement.Rejected, errInBackoff
@@ -88,7 +90,8 @@
 	return outcome, err
 }
 
-// observeNotices takes what a host tells of endpoints' words to it.
+// observeNotices applies the leave notices that an entry host received from endpoints,
+// and the backoffs if it is the entry process of this host.
 func (s *Server) observeNotices(q *rpc.SyncRequest) {
 	for _, id := range q.GetLeaving() {
 		s.table.MarkLeaving(id)
@@ -101,13 +104,14 @@
 	}
 }
 
-// fromSameHost reports whether a call is of the entry process of this machine.
+// fromSameHost reports whether the call comes from the entry process of this host.
 func (s *Server) fromSameHost(q *rpc.SyncRequest) bool {
 	ip, _, err := net.SplitHostPort(q.GetHost().GetCallerAddress())
 	return err == nil && ip == s.cfg.IP
 }
 
-// addBackoffs tells the entry process of this machine what this process was asked for.
+// addBackoffs adds the backoffs that endpoints requested from this process, if the
+// call comes from the entry process of this host.
 func (s *Server) addBackoffs(q *rpc.SyncRequest, reply *rpc.SyncReply) {
 	if !s.fromSameHost(q) {
 		return
