--- a/pkg/fleetcontrol/announce_test.go
+++ b/pkg/fleetcontrol/announce_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-var _ = Describe("an endpoint's announcement", func() {
-	It("reaches every replica, and a leave does before it is acknowledged", func() {
+var _ = Describe("endpoint announcements", func() {
+	It("reach every replica; a leave announcement reaches the leader before it is acknowledged", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			other := c.otherHost(lead)
@@ -39,7 +39,7 @@
 		})
 	})
 
-	It("of a leave isn't acknowledged by a replica that can tell nobody", func() {
+	It("of a leave are not acknowledged by a replica that reaches no other", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			alone := c.otherHost(lead)
@@ -54,7 +54,7 @@
 		})
 	})
 
-	It("of a leave isn't acknowledged by two of five replicas, though one leads: the others may elect another", func() {
+	It("of a leave are not acknowledged by two of five replicas, even if one leads, since the others may elect another leader", func() {
 		withCluster(func(c *cluster) {
 			c.losses = 2
 			extra := []string{"127.0.1.4", "127.0.1.5"}
@@ -77,7 +77,7 @@
 		})
 	})
 
-	It("of a leave isn't acknowledged by a leader that can tell nobody, though its lease still holds", func() {
+	It("of a leave are not acknowledged by a leader that reaches no other replica, even while its lease is valid", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			s := c.hosts[lead].server
@@ -88,13 +88,13 @@
 				}
 			}
 			machine, _, _ := s.replica.Leads(context.Background())
-			Expect(machine).NotTo(BeNil(), "the lease holds for 0.27 s")
+			Expect(machine).NotTo(BeNil(), "the lease is valid for 0.27 s")
 			Expect(s.Announce(context.Background(), announcement(true, 3))).To(MatchError(ErrNoMajority))
 			Expect(s.Deregister(context.Background(), "e1")).To(MatchError(ErrNoMajority))
 		})
 	})
 
-	It("is passed on to entry hosts by the leader's held call, with a confirmation", func() {
+	It("reach entry hosts with a confirmed answer that ends the long poll early", func() {
 		withCluster(func(c *cluster) {
 			lead := c.hosts[c.leader()].server
 			q := &rpc.SyncRequest{
@@ -122,7 +122,7 @@
 		})
 	})
 
-	It("of a configuration storm brings a host one now and then, and the last in time", func() {
+	It("share the calls with configurations, of which a host gets few during a burst, and the newest in time", func() {
 		withCluster(func(c *cluster) {
 			ip := c.leader()
 			lead := c.hosts[ip].server
@@ -160,7 +160,7 @@
 		})
 	})
 
-	It("isn't confirmed by a replica that doesn't lead", func() {
+	It("are not confirmed by a replica that doesn't lead", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			reply, err := c.hosts[c.otherHost(lead)].server.Sync(context.Background(), &rpc.SyncRequest{
@@ -174,7 +174,7 @@
 })
 
 var _ = Describe("a configuration", func() {
-	It("of two with the same version stands as the first one that was taken, on every host", func() {
+	It("is the same on every host if two with the same version were submitted", func() {
 		withCluster(func(c *cluster) {
 			done := make(chan error, len(c.ips))
 			for i, ip := range c.ips {
@@ -183,7 +183,7 @@
 				})
 			}
 			for range c.ips {
-				<-done // one that wasn't answered may or may not stand
+				<-done // one that got an error may have been committed or not
 			}
 			var first []byte
 			for _, ip := range c.ips {
@@ -201,7 +201,7 @@
 		})
 	})
 
-	It("that is older or the same is acknowledged and changes nothing; one that is invalid is refused", func() {
+	It("of an older or the same version is acknowledged without effect, and an invalid one is refused", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			c.replaceConfig(lead, document(9, "a"))
--- a/pkg/fleetcontrol/fixture_test.go
+++ b/pkg/fleetcontrol/fixture_test.go
@@ -27,7 +27,7 @@
 	RunSpecs(t, "fleetcontrol")
 }
 
-// jsonDecoder reads a configuration from its Go form in JSON.
+// jsonDecoder decodes the JSON form of a fleet.Configuration.
 type jsonDecoder struct{}
 
 func (jsonDecoder) Decode(content []byte) (*fleet.Configuration, error) {
@@ -56,8 +56,8 @@
 	return text
 }
 
-// fakeEndpoints stands in for endpoints: they take no order, and answer questions
-// by report; without it, nothing answers.
+// fakeEndpoints is a placement.EndpointClient that accepts no order and answers probes
+// by report. Without report nothing answers.
 type fakeEndpoints struct {
 	report func(id string) (placement.Report, error)
 }
@@ -73,18 +73,18 @@
 	return o.report(id)
 }
 
-// cluster is control hosts on loopback numbers of their own.
+// cluster is a set of control hosts, each at its own loopback address.
 type cluster struct {
 	folder    string
 	port      string
-	ips       []string // of the founders
+	ips       []string // of the initial members
 	losses    int
-	heartbeat time.Duration // between an endpoint's heartbeats
-	// diskless is a host that has no data folder.
+	heartbeat time.Duration // interval between an endpoint's heartbeats
+	// diskless is the address of a host without a data folder.
 	diskless string
-	// seeds, if set, stand in the settings in place of the founders.
+	// seeds, if set, replaces the initial members as the seeds in the settings.
 	seeds []string
-	// endpoints stands in for the endpoints of hosts that are started from now on.
+	// endpoints is used by hosts that are started from now on.
 	endpoints fakeEndpoints
 	hosts     map[string]*host
 }
@@ -95,12 +95,12 @@
 	group  *group.Group
 }
 
-// withCluster runs f on three control hosts that found a system.
+// withCluster runs f on a new cluster of three control hosts that has a leader.
 func withCluster(f func(c *cluster)) {
 	withHeartbeat(200*time.Millisecond, f)
 }
 
-// withHeartbeat is withCluster with another interval between heartbeats.
+// withHeartbeat is withCluster with a given heartbeat interval.
 func withHeartbeat(heartbeat time.Duration, f func(c *cluster)) {
 	folder, err := os.MkdirTemp("", "fleetcontrol")
 	Expect(err).NotTo(HaveOccurred())
@@ -188,7 +188,7 @@
 func (c *cluster) stop(ip string) {
 	h := c.hosts[ip]
 	delete(c.hosts, ip)
-	_ = h.http.Close() // only the listener's
+	_ = h.http.Close() // fails only if the listener does
 	h.group.Stop()
 }
 
@@ -196,7 +196,7 @@
 	Expect(os.RemoveAll(c.dataFolder(ip))).To(Succeed())
 }
 
-// leader waits until a host leads and returns its number.
+// leader waits until a host leads and returns its address.
 func (c *cluster) leader() string {
 	found := ""
 	Eventually(func() bool {
@@ -211,7 +211,7 @@
 	return found
 }
 
-// describe tells what each host believes of the replicas.
+// describe returns each host's view of the replicas, for failure messages.
 func (c *cluster) describe() string {
 	var b strings.Builder
 	for ip, h := range c.hosts {
@@ -239,14 +239,14 @@
 	return ""
 }
 
-// replaceConfig sends a configuration until it is taken, as operators do.
+// replaceConfig sends a configuration until it is accepted.
 func (c *cluster) replaceConfig(ip string, content []byte) {
 	Eventually(func() error {
 		return c.hosts[ip].server.Replace(context.Background(), content)
 	}, "10s", "50ms").Should(Succeed())
 }
 
-// background runs f beside the test, which sees to its end.
+// background runs f in a goroutine; the test must wait for its end.
 func background(f func()) {
 	group.New(context.Background()).Go(func(context.Context) {
 		f()
--- a/pkg/fleetcontrol/grow_test.go
+++ b/pkg/fleetcontrol/grow_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a system that must bear two losses", func() {
-	It("takes in the hosts that didn't found it, and outlives two lost disks and a stop of all", func() {
+var _ = Describe("a cluster that tolerates two disk losses", func() {
+	It("adds later hosts as replicas, and survives two lost disks after a stop of all", func() {
 		withCluster(func(c *cluster) {
 			c.losses = 2
 			more := []string{"127.0.1.4", "127.0.1.5", "127.0.1.6"}
@@ -42,7 +42,7 @@
 })
 
 var _ = Describe("a control host without a disk", func() {
-	It("learns of the replicas where it is itself the only seed, after a stop of all", func() {
+	It("learns the replicas after a stop of all even if it is the only seed itself", func() {
 		withCluster(func(c *cluster) {
 			const ip = "127.0.1.9"
 			c.diskless = ip
@@ -61,7 +61,7 @@
 		})
 	})
 
-	It("is no replica, knows who leads, and passes on what it is sent", func() {
+	It("is no replica, knows the leader, and forwards calls to it", func() {
 		withCluster(func(c *cluster) {
 			const ip = "127.0.1.9"
 			c.diskless = ip
--- a/pkg/fleetcontrol/hosts_test.go
+++ b/pkg/fleetcontrol/hosts_test.go
@@ -15,8 +15,7 @@
 
 var startTime = time.Unix(1000, 0)
 
-// syncRequest is what an entry host tells of itself, with work under way at each of
-// the endpoints named.
+// syncRequest is the call of entry host n, with load in flight at each of the endpoints.
 func syncRequest(n int, ready bool, endpoints ...string) *rpc.SyncRequest {
 	q := &rpc.SyncRequest{
 		Host: &rpc.FleetHost{
@@ -36,7 +35,7 @@
 	return q
 }
 
-// withHosts runs f on a leader's view of n ready hosts.
+// withHosts runs f on a leader's table of n ready hosts.
 func withHosts(n int, f func(h *hosts)) {
 	h := newHosts()
 	for i := range n {
@@ -45,7 +44,7 @@
 	f(h)
 }
 
-// samples returns the sample of each of n hosts that holds none.
+// samples returns the samples of n hosts, as sent to hosts that hold none.
 func samples(h *hosts, n int) [][]string {
 	list := make([][]string, n)
 	for i := range n {
@@ -54,8 +53,8 @@
 	return list
 }
 
-var _ = Describe("the hosts that callers are told of", func() {
-	It("are all of them where they are few, and else a sample over all domains", func() {
+var _ = Describe("the hosts named to callers", func() {
+	It("are all hosts if there are few, and otherwise a sample over all failure domains", func() {
 		cases := []struct {
 			hosts int
 			want  int
@@ -85,7 +84,7 @@
 		}
 	})
 
-	It("change only in the samples that a host is in, and are the same from any leader", func() {
+	It("change only in the samples that contain the changed host, and don't depend on the leader", func() {
 		const n = 300
 		withHosts(n, func(h *hosts) {
 			before := samples(h, n)
@@ -109,7 +108,7 @@
 		})
 	})
 
-	It("are sent again after a while only, and not to a host that holds them", func() {
+	It("are sent after sampleInterval at the earliest, and not to a host that holds them", func() {
 		withHosts(5, func(h *hosts) {
 			list, digest, ready := h.addresses(startTime, "h1", 0)
 			Expect(list).To(HaveLen(5))
@@ -126,7 +125,7 @@
 		})
 	})
 
-	It("don't hold those that weren't heard of, or that another leader knew", func() {
+	It("exclude hosts that stopped calling, and are reset when the leadership ends", func() {
 		withHosts(5, func(h *hosts) {
 			h.touch(startTime.Add(hostTimeout), "h3")
 			h.expire(startTime.Add(hostTimeout + 1))
@@ -140,8 +139,8 @@
 	})
 })
 
-var _ = Describe("what all hosts have under way", func() {
-	It("is the sum of what each told last, whoever comes and goes", func() {
+var _ = Describe("the load in flight of all hosts", func() {
+	It("is the sum of what each host reported last, while hosts come and go", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			h := newHosts()
 			reported := map[string][]string{}
@@ -179,28 +178,28 @@
 		})
 	})
 
-	It("is told the less often the more endpoints there are", func() {
+	It("is sent less often the more endpoints there are", func() {
 		cases := []struct {
 			endpoints int
-			pause     time.Duration
+			interval  time.Duration
 		}{
-			{endpoints: 39, pause: 61 * time.Millisecond},
-			{endpoints: 216, pause: 338 * time.Millisecond},
-			{endpoints: 3200, pause: 5 * time.Second},
+			{endpoints: 39, interval: 61 * time.Millisecond},
+			{endpoints: 216, interval: 338 * time.Millisecond},
+			{endpoints: 3200, interval: 5 * time.Second},
 		}
 		for _, c := range cases {
 			h := newHosts()
 			for i := range c.endpoints {
 				h.observe(startTime, syncRequest(i%6, true, fmt.Sprint("e", i)))
-				h.entries[fmt.Sprintf("h%d", i%6)].loads = nil // as if it had all of them under way
+				h.entries[fmt.Sprintf("h%d", i%6)].loads = nil // keep the sum, as if the host had load at all of them
 			}
 			Expect(h.loads(startTime, "h1")).NotTo(BeNil())
-			Expect(h.loads(startTime.Add(c.pause*3/4), "h1")).To(BeNil())
-			Expect(h.loads(startTime.Add(c.pause), "h1").GetEndpoints()).To(HaveLen(c.endpoints))
+			Expect(h.loads(startTime.Add(c.interval*3/4), "h1")).To(BeNil())
+			Expect(h.loads(startTime.Add(c.interval), "h1").GetEndpoints()).To(HaveLen(c.endpoints))
 		}
 	})
 
-	It("of a host that tells lists of different lengths counts for nothing", func() {
+	It("ignores a host whose lists differ in length", func() {
 		h := newHosts()
 		q := syncRequest(1, true, "a", "b")
 		q.Loads.Tokens = q.Loads.Tokens[:1]
@@ -209,8 +208,8 @@
 	})
 })
 
-var _ = Describe("news", func() {
-	It("gather the longer the more hosts are to be told", func() {
+var _ = Describe("the batching delay of long polls", func() {
+	It("grows with the number of hosts", func() {
 		withHosts(10, func(h *hosts) { Expect(h.batchDelay()).To(Equal(10 * time.Millisecond)) })
 		withHosts(300, func(h *hosts) { Expect(h.batchDelay()).To(Equal(300 * time.Millisecond)) })
 	})
--- a/pkg/fleetcontrol/learn_test.go
+++ b/pkg/fleetcontrol/learn_test.go
@@ -18,7 +18,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeReplica answers what a replica asks of the endpoints that others know.
+// fakeReplica answers Spread with a given list of endpoints.
 type fakeReplica struct {
 	rpc.Fleet
 	announced []fleet.Endpoint
@@ -33,8 +33,8 @@
 	}, nil
 }
 
-// withRestartedReplica runs f on a replica that was restarted with a list on its disk, beside
-// others that answer its questions; none leads.
+// withRestartedReplica runs f on a restarted replica that has a list of endpoints on its
+// disk, beside others that answer Spread. None leads.
 func withRestartedReplica(saved []fleet.Endpoint, others []*fakeReplica, f func(ctx context.Context, s *Server)) {
 	folder, err := os.MkdirTemp("", "learn")
 	Expect(err).NotTo(HaveOccurred())
@@ -83,7 +83,7 @@
 	return e
 }
 
-var _ = Describe("a replica that was restarted", func() {
+var _ = Describe("a restarted replica", func() {
 	ids := func(s *Server) []string {
 		var list []string
 		for _, e := range s.table.All() {
@@ -92,19 +92,19 @@
 		return list
 	}
 
-	It("goes on asking where the first that answers has itself just started", func() {
+	It("goes on asking if the first one to answer knows no endpoints", func() {
 		list := []fleet.Endpoint{endpointNamed("a"), endpointNamed("b")}
 		others := []*fakeReplica{{}, {announced: list}}
 		withRestartedReplica(list, others, func(ctx context.Context, s *Server) {
 			s.restoreEndpoints()
 			s.fetchEndpoints(ctx)
-			Expect(s.table.HasRestored()).To(BeFalse(), "the second has heard of them")
+			Expect(s.table.HasRestored()).To(BeFalse(), "confirmed by the second replica")
 			s.dropRestored(ctx)
 			Expect(ids(s)).To(Equal([]string{"a", "b"}))
 		})
 	})
 
-	It("keeps what another has heard of meanwhile, when it drops what its disk told of", func() {
+	It("keeps restored endpoints that another replica has received a heartbeat of by then", func() {
 		list := []fleet.Endpoint{endpointNamed("a"), endpointNamed("b"), endpointNamed("c")}
 		other := &fakeReplica{announced: list[:1]}
 		withRestartedReplica(list, []*fakeReplica{other}, func(ctx context.Context, s *Server) {
@@ -116,7 +116,7 @@
 		})
 	})
 
-	It("asks nobody for what it hasn't recalled", func() {
+	It("asks nobody if it has restored nothing", func() {
 		other := &fakeReplica{announced: []fleet.Endpoint{endpointNamed("a")}}
 		withRestartedReplica(nil, []*fakeReplica{other}, func(ctx context.Context, s *Server) {
 			s.dropRestored(ctx)
@@ -124,7 +124,7 @@
 		})
 	})
 
-	It("ends its asking once all others have answered that they know nothing", func() {
+	It("stops asking once all others have answered that they know no endpoints", func() {
 		others := []*fakeReplica{{}, {}}
 		withRestartedReplica(nil, others, func(ctx context.Context, s *Server) {
 			s.fetchEndpoints(ctx)
--- a/pkg/fleetcontrol/limits_test.go
+++ b/pkg/fleetcontrol/limits_test.go
@@ -18,7 +18,7 @@
 
 const limitTerm = 3
 
-// withLimit runs f on a leader that has heard of an endpoint e1 with a limit, long ago.
+// withLimit runs f on a leader that received the limit of an endpoint e1 long ago.
 func withLimit(perSecond float64, f func(s *Server, clock *timer.Manual)) {
 	withServer(nil, func(s *Server, _ *group.Group) {
 		clock := s.cfg.Timer.(*timer.Manual)
@@ -35,7 +35,7 @@
 	s.granter.Observe([]permit.LimitReport{{Key: permit.EndpointKey("e1"), Service: "s", PerSecond: perSecond, SentAt: at, ReceivedAt: at}})
 }
 
-// demandRequest is a host's call by which it has use for permits to e1.
+// demandRequest is a host's call with a demand for permits to e1.
 func demandRequest(requests uint32) *rpc.SyncRequest {
 	q := syncRequest(1, true)
 	q.LimitsTerm = limitTerm
@@ -47,8 +47,8 @@
 	return &rpc.BorrowRequest{Host: "h1", Endpoints: []uint32{permit.EndpointKey("e1")}, WaitMs: uint32(wait.Milliseconds())}
 }
 
-var _ = Describe("the leader's answers on limits", func() {
-	It("hold the limits that a host lacks, and permits by what it is asked for", func() {
+var _ = Describe("the leader's permits", func() {
+	It("come with the limits that a host lacks, and match its demand", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			reply := &rpc.SyncReply{}
 			s.addLimits(demandRequest(4), reply, limitTerm)
@@ -64,7 +64,7 @@
 		})
 	})
 
-	It("count what a host tells, its words and its unused permits", func() {
+	It("take limit reports and unused permits from hosts into account", func() {
 		withLimit(8, func(s *Server, clock *timer.Manual) {
 			for s.granter.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
 			}
@@ -78,7 +78,7 @@
 		})
 	})
 
-	It("lend at once, after a short wait, or tell when there will be one", func() {
+	It("are granted at once or after a short wait, or the answer says when they will be available", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			reply, err := s.Borrow(context.Background(), borrowRequest(0))
 			Expect(err).NotTo(HaveOccurred())
@@ -88,7 +88,7 @@
 		withLimit(0.5, func(s *Server, clock *timer.Manual) {
 			s.hosts.observe(clock.Now(), syncRequest(1, true))
 			s.hosts.observe(clock.Now(), syncRequest(2, true))
-			first, _ := s.Borrow(context.Background(), borrowRequest(0)) // its error is told by Confirmed
+			first, _ := s.Borrow(context.Background(), borrowRequest(0)) // a failure shows in the permits
 			Expect(permit.CountsFromWire(first.GetPermits()).Total()).To(Equal(1))
 			reply, err := s.Borrow(context.Background(), borrowRequest(0))
 			Expect(err).NotTo(HaveOccurred())
@@ -101,7 +101,7 @@
 			}
 			clock.Advance(permit.Lifetime)
 			s.granter.ChargeProbe(permit.EndpointKey("e1"))
-			for { // until the next is due in a moment
+			for { // take permits until the next one isn't available yet
 				waiter := s.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
 				_, due := s.granter.TryGrant(waiter)
 				s.granter.Dequeue(waiter)
@@ -111,7 +111,7 @@
 			}
 			done := make(chan *rpc.BorrowReply, 1)
 			background(func() {
-				reply, _ := s.Borrow(context.Background(), borrowRequest(maxBorrowWait)) // its error is told by Confirmed
+				reply, _ := s.Borrow(context.Background(), borrowRequest(maxBorrowWait)) // a failure shows in the permits
 				done <- reply
 			})
 			Eventually(func() bool {
@@ -127,7 +127,7 @@
 		})
 	})
 
-	It("are no permits of a replica that doesn't lead", func() {
+	It("are not granted by a replica that doesn't lead", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			s.leadership = s.replica
 			reply, err := s.Borrow(context.Background(), borrowRequest(0))
@@ -137,7 +137,7 @@
 		})
 	})
 
-	It("come at once where there is a limit that the host doesn't know of", func() {
+	It("end a long poll early if there is a limit that the host lacks", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			q := demandRequest(1)
 			q.Epoch = epochOf(limitTerm, false)
@@ -151,11 +151,11 @@
 	})
 })
 
-var _ = Describe("the leader's own calls to endpoints that have limits", func() {
-	It("are asked less often, and take places", func() {
+var _ = Describe("the leader's calls to endpoints with rate limits", func() {
+	It("are made less often, in proportion to the limit", func() {
 		cases := []struct {
-			limit float64
-			asked int // in 8 s
+			limit  float64
+			probes int // in 8 s
 		}{
 			{8, 8},
 			{1, 2},
@@ -174,12 +174,12 @@
 					g.Wait()
 					clock.Advance(100 * time.Millisecond)
 				}
-				Expect(probes).To(Equal(c.asked), "%v", c.limit)
+				Expect(probes).To(Equal(c.probes), "%v", c.limit)
 			})
 		}
 	})
 
-	It("take places, questions and orders alike", func() {
+	It("use permits, for probes and orders alike", func() {
 		withEndpointClient(&countingEndpoints{}, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
 			waiter := func() time.Duration {
 				n := c.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
@@ -189,23 +189,23 @@
 			}
 			c.granter.BeginTerm(limitTerm)
 			c.observeLimit("e1", fleet.Limit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
-			clock.Advance(6 * time.Second) // two and a half places
+			clock.Advance(6 * time.Second) // enough for two and a half permits
 			probeAndOrder(c)
 			Expect(waiter()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 		})
 	})
 
-	It("hear of limits in every answer, and that one is over", func() {
+	It("apply the limit in every answer, and its removal", func() {
 		e := &countingEndpoints{notice: fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: 8}}}
 		withEndpointClient(e, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
 			c.granter.BeginTerm(limitTerm)
-			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the test's
+			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // only the notice counts
 			Expect(c.granter.Size()).To(Equal(1))
 			e.notice.Limit = fleet.Limit{}
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 			clock.Advance(5 * time.Second)
 			c.granter.Expire()
-			Expect(c.granter.Size()).To(Equal(1), "what can't be read ends nothing")
+			Expect(c.granter.Size()).To(Equal(1), "an unknown limit removes nothing")
 			e.notice.Limit = fleet.Limit{Status: fleet.LimitNone}
 			for range 2 {
 				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
@@ -215,7 +215,7 @@
 		})
 	})
 
-	It("leave layers to be copied where an endpoint takes less than its service is asked for", func() {
+	It("mark an endpoint as below demand if its limit is lower than the demand on its service", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			Expect(s.belowDemand("e1")).To(BeFalse())
 			s.addLimits(demandRequest(20), &rpc.SyncReply{}, limitTerm)
--- a/pkg/fleetcontrol/many_test.go
+++ b/pkg/fleetcontrol/many_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("3,000 endpoints", func() {
-	It("are asked in turn, no faster than the leader can", func() {
+	It("are probed in turn, within the probe rate", func() {
 		s := newProbeSchedule()
 		var list []fleet.Endpoint
 		for i := range 3000 {
@@ -38,13 +38,13 @@
 			now = now.Add(leadInterval)
 			Expect(round()).To(BeNumerically("<=", int(probeRate*leadInterval.Seconds())+1))
 		}
-		Expect(probes).To(HaveLen(3000), "each had its turn")
+		Expect(probes).To(HaveLen(3000), "each was probed")
 		for _, n := range probes {
 			Expect(n).To(BeNumerically("<=", 2))
 		}
 	})
 
-	It("are spread to the other replicas many at a time", func() {
+	It("are propagated to the other replicas in batches", func() {
 		withCluster(func(c *cluster) {
 			ip := c.leader()
 			s := c.hosts[ip].server
@@ -65,7 +65,7 @@
 		})
 	})
 
-	It("come as one list for all hosts, which is never older than what a host knows", func() {
+	It("are sent to all hosts as one cached list, which is never older than what the host holds", func() {
 		withServer(func(string) (placement.Report, error) { return placement.Report{}, nil }, func(s *Server, _ *group.Group) {
 			for i := range 3 * maxChangedEntries {
 				s.table.Announce(engineEndpoint(i, 1, fleet.Range{To: 8}))
@@ -73,27 +73,27 @@
 			first := s.endpointList.get(s.table, startTime, 0)
 			Expect(first.version).To(Equal(s.table.Version()))
 			s.table.Announce(engineEndpoint(0, 2, fleet.Range{To: 9}))
-			Expect(s.endpointList.get(s.table, startTime.Add(listLifetime-1), 0)).To(Equal(first), "it serves a while")
+			Expect(s.endpointList.get(s.table, startTime.Add(listLifetime-1), 0)).To(Equal(first), "reused for listLifetime")
 			Expect(s.endpointList.get(s.table, startTime.Add(listLifetime-1), first.version+1).version).To(Equal(s.table.Version()))
 			s.table.Announce(engineEndpoint(0, 3, fleet.Range{To: 10}))
 			Expect(s.endpointList.get(s.table, startTime.Add(time.Hour), 0).version).To(Equal(s.table.Version()))
 		})
 	})
 
-	It("are told row by row where few changed, as a list where many did, and later where no link has room", func() {
+	It("are sent one by one if few changed, as the full list if many did, and later if the bandwidth allowance is used up", func() {
 		cases := []struct {
 			changed int
 			epoch   uint64
-			room    bool
+			allowed bool
 			rows    int
-			whole   bool
+			full    bool
 		}{
-			{changed: maxChangedEntries, epoch: 7, room: true, rows: maxChangedEntries},
-			{changed: maxChangedEntries, epoch: 7, room: false, rows: maxChangedEntries},
-			{changed: maxChangedEntries + 1, epoch: 7, room: true, whole: true},
-			{changed: maxChangedEntries + 1, epoch: 7, room: false},
-			{changed: 1, epoch: 5, room: true, whole: true},
-			{changed: 1, epoch: 5, room: false},
+			{changed: maxChangedEntries, epoch: 7, allowed: true, rows: maxChangedEntries},
+			{changed: maxChangedEntries, epoch: 7, allowed: false, rows: maxChangedEntries},
+			{changed: maxChangedEntries + 1, epoch: 7, allowed: true, full: true},
+			{changed: maxChangedEntries + 1, epoch: 7, allowed: false},
+			{changed: 1, epoch: 5, allowed: true, full: true},
+			{changed: 1, epoch: 5, allowed: false},
 		}
 		for _, k := range cases {
 			withServer(nil, func(s *Server, _ *group.Group) {
@@ -104,7 +104,7 @@
 				for i := range k.changed {
 					s.table.Announce(engineEndpoint(i, 2, fleet.Range{To: 8}))
 				}
-				if !k.room {
+				if !k.allowed {
 					s.endpointList.rate = rate.NewLimiter(0, 0)
 				}
 				q := &rpc.SyncRequest{Epoch: k.epoch, EndpointsVersion: held, EndpointsDigest: 1}
@@ -112,27 +112,27 @@
 				s.addEndpoints(q, reply, startTime)
 				name := fmt.Sprint(k)
 				Expect(reply.GetEndpoints()).To(HaveLen(k.rows), name)
-				Expect(reply.GetWhole()).To(Equal(k.whole), name)
-				if k.rows > 0 || k.whole {
+				Expect(reply.GetWhole()).To(Equal(k.full), name)
+				if k.rows > 0 || k.full {
 					Expect(reply.GetEndpointsVersion()).To(Equal(s.table.Version()), name)
 					Expect(reply.GetEpoch()).To(BeEquivalentTo(7), name)
 					return
 				}
 				Expect(reply.GetEndpointsVersion()).To(Equal(held), name)
-				Expect(reply.GetEpoch()).To(Equal(k.epoch), "the host must still be told")
+				Expect(reply.GetEpoch()).To(Equal(k.epoch), "the change must still be sent later")
 			})
 		}
 	})
 
-	It("that leave are told ahead of the list where no link has room for it", func() {
+	It("that are leaving are sent ahead of the full list if the bandwidth allowance is used up", func() {
 		cases := []struct {
 			epoch uint64
-			ago   time.Duration
-			told  int
+			age   time.Duration
+			sent  int
 		}{
-			{epoch: 7, ago: 0, told: 1},
-			{epoch: 5, ago: 0, told: 1},
-			{epoch: 7, ago: 2 * leaveReportPeriod, told: 0},
+			{epoch: 7, age: 0, sent: 1},
+			{epoch: 5, age: 0, sent: 1},
+			{epoch: 7, age: 2 * leaveReportPeriod, sent: 0},
 		}
 		for _, k := range cases {
 			withServer(nil, func(s *Server, _ *group.Group) {
@@ -149,14 +149,14 @@
 				s.endpointList.rate = rate.NewLimiter(0, 0)
 				q := &rpc.SyncRequest{Epoch: k.epoch, EndpointsVersion: held, EndpointsDigest: 1}
 				reply := &rpc.SyncReply{Epoch: 7}
-				s.addEndpoints(q, reply, s.cfg.Timer.Now().Add(k.ago))
-				Expect(reply.GetEndpoints()).To(HaveLen(k.told), fmt.Sprint(k))
-				if k.told > 0 {
+				s.addEndpoints(q, reply, s.cfg.Timer.Now().Add(k.age))
+				Expect(reply.GetEndpoints()).To(HaveLen(k.sent), fmt.Sprint(k))
+				if k.sent > 0 {
 					Expect(reply.GetEndpoints()[0].GetId()).To(Equal(engineName(3)))
 					Expect(reply.GetEndpoints()[0].GetLeaving()).To(BeTrue())
 				}
 				Expect(reply.GetWhole()).To(BeFalse())
-				Expect(reply.GetEndpointsVersion()).To(Equal(held), "the rest must still be told")
+				Expect(reply.GetEndpointsVersion()).To(Equal(held), "the rest must still be sent later")
 			})
 		}
 	})
--- a/pkg/fleetcontrol/quarantine_test.go
+++ b/pkg/fleetcontrol/quarantine_test.go
@@ -13,13 +13,13 @@
 
 const crashFingerprint = 7
 
-// reportCrashes sends ends of one request to whoever leads, until that took them.
-func (c *cluster) reportCrashes(name string, ends ...*rpc.EndedSend) *rpc.SyncReply {
+// reportCrashes sends crashes to the leader as an entry host, until a leader confirms.
+func (c *cluster) reportCrashes(name string, crashes ...*rpc.EndedSend) *rpc.SyncReply {
 	var got *rpc.SyncReply
 	Eventually(func() bool {
 		reply, err := c.hosts[c.leader()].server.Sync(context.Background(), &rpc.SyncRequest{
 			Host:  &rpc.FleetHost{Name: name},
-			Ended: ends,
+			Ended: crashes,
 		})
 		got = reply
 		return err == nil && reply.GetConfirmed()
@@ -27,12 +27,12 @@
 	return got
 }
 
-// crashOf is an end of an endpoint under the guilty request.
+// crashOf is a crash of an endpoint under the crash-causing request.
 func crashOf(endpoint uint32) *rpc.EndedSend {
 	return &rpc.EndedSend{Fingerprint: crashFingerprint, Endpoint: endpoint, Early: true, AfterMs: 100}
 }
 
-// quarantined reports whether the leader tells that the guilty request is held.
+// quarantined reports whether the leader's answer quarantines the crash-causing request.
 func (c *cluster) quarantined() bool {
 	for _, s := range c.reportCrashes("asker").GetSuspects() {
 		if s.GetFingerprint() == crashFingerprint && s.GetHeldMs() > 0 {
@@ -42,8 +42,8 @@
 	return false
 }
 
-var _ = Describe("a request under which endpoints end", func() {
-	It("is held for all hosts once several have told of three ends, and after the loss of a leader and of a disk", func() {
+var _ = Describe("a request under which endpoints crash", func() {
+	It("is quarantined for all hosts after three crashes reported by several, and stays so when a leader and a disk are lost", func() {
 		withCluster(func(c *cluster) {
 			c.reportCrashes("a", crashOf(1))
 			c.reportCrashes("b", crashOf(2), crashOf(1))
@@ -59,20 +59,20 @@
 		})
 	})
 
-	It("is found by a leader that comes new, from what hosts tell it again", func() {
+	It("is detected by a new leader, from the crashes that hosts report again", func() {
 		withCluster(func(c *cluster) {
 			enforcer := quarantine.NewEnforcer(timer.NewSystem())
 			enforcer.RecordCrash(quarantine.Crash{Fingerprint: crashFingerprint, Endpoint: 1, BeforeResponse: true})
 			enforcer.RecordCrash(quarantine.Crash{Fingerprint: crashFingerprint, Endpoint: 2, BeforeResponse: true})
 			reportAll := func() {
 				term := uint64(c.reportCrashes("a").GetEpoch() / 2)
-				ends, _ := enforcer.Unreported(term)
+				crashes, _ := enforcer.Unreported(term)
 				var list []*rpc.EndedSend
-				for _, e := range ends {
+				for _, e := range crashes {
 					list = append(list, crashOf(e.Endpoint))
 				}
 				c.reportCrashes("a", list...)
-				enforcer.Acknowledge(term, ends, 0)
+				enforcer.Acknowledge(term, crashes, 0)
 			}
 			reportAll()
 			oldLeader := c.leader()
@@ -84,7 +84,7 @@
 		})
 	})
 
-	It("is found though the leader had no lease for a moment in between, but not by what it was told in another term", func() {
+	It("is detected although the leader lost its lease for a moment, but not from crashes reported in another term", func() {
 		withLeaders(func(lead func(term uint64) *Server, _ *timer.Manual) {
 			for _, c := range []struct {
 				term  uint64
@@ -94,7 +94,7 @@
 				leadership := s.leadership.(*fixedLeadership)
 				machine := leadership.machine
 				s.observeCrashes(&rpc.SyncRequest{Ended: []*rpc.EndedSend{crashOf(1), crashOf(2)}}, machine, 3)
-				leadership.machine = nil // in the same term hosts don't tell again
+				leadership.machine = nil // hosts don't report again within a term
 				s.updateQuarantine(context.Background())
 				leadership.machine = machine
 				leadership.term = c.term
@@ -105,7 +105,7 @@
 		})
 	})
 
-	It("is held for ten minutes", func() {
+	It("is quarantined for ten minutes", func() {
 		withCluster(func(c *cluster) {
 			c.reportCrashes("a", crashOf(1), crashOf(2), crashOf(3))
 			Eventually(c.quarantined, "2s", "50ms").Should(BeTrue())
--- a/pkg/fleetcontrol/recall_test.go
+++ b/pkg/fleetcontrol/recall_test.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// listEndpoints asks a control host for the whole list of endpoints, as an entry host
-// does; it returns nothing while the host doesn't lead.
+// listEndpoints asks a control host for the full list of endpoints, as an entry host
+// does. The reply is empty while the host doesn't lead.
 func (c *cluster) listEndpoints(ip string) *rpc.SyncReply {
 	h := c.hosts[ip]
 	if h == nil {
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("after a stop of all control hosts", func() {
-	// restart stops every host and starts it again.
+	// restart stops all hosts, and then starts them again.
 	restart := func(c *cluster) {
 		for _, ip := range c.ips {
 			c.stop(ip)
@@ -49,7 +49,7 @@
 		}
 	}
 
-	It("endpoints that answer are known before their heartbeats, others are not", func() {
+	It("endpoints on the saved list that answer a probe are usable before their first heartbeat", func() {
 		withCluster(func(c *cluster) {
 			c.endpoints = fakeEndpoints{report: func(id string) (placement.Report, error) {
 				if id != "engine" {
@@ -88,11 +88,11 @@
 				return seen
 			}, "2s", "5ms").Should(Equal([]string{"engine"}))
 			Eventually(func() bool { return c.listEndpoints(lead).GetSettled() }, "5s", "20ms").Should(BeTrue())
-			Expect(c.listEndpoints(lead).GetEndpoints()).To(BeEmpty(), "no heartbeat came")
+			Expect(c.listEndpoints(lead).GetEndpoints()).To(BeEmpty(), "no endpoint sent a heartbeat")
 		})
 	})
 
-	It("a torn list is none", func() {
+	It("a truncated list is rejected", func() {
 		folder, err := os.MkdirTemp("", "recall")
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { Expect(os.RemoveAll(folder)).To(Succeed()) }()
--- a/pkg/fleetcontrol/rejoin_test.go
+++ b/pkg/fleetcontrol/rejoin_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("a replica that lost its disk", func() {
-	It("joins under a new id, learns everything, and knows who leads", func() {
+	It("joins under a new id, receives the log, and knows the leader", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			c.replaceConfig(lead, document(3, "a"))
@@ -28,7 +28,7 @@
 		})
 	})
 
-	It("doesn't make a majority that forgets, when all others were stopped too", func() {
+	It("doesn't help to form a majority without the committed configuration after a stop of all", func() {
 		withCluster(func(c *cluster) {
 			lead := c.leader()
 			c.replaceConfig(lead, document(3, "a"))
--- a/pkg/fleetcontrol/size_test.go
+++ b/pkg/fleetcontrol/size_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// callInterval is how long hosts' calls are held, so how often they come.
+// callInterval is how long hosts' calls are held open, and so their interval.
 const callInterval = 400 * time.Millisecond
 
 const (
@@ -24,8 +24,8 @@
 	manyEndpoints = 216
 )
 
-// entryHosts are hosts that hold what the answers brought, as followers do, and
-// count the bytes of the answers, but for the loads: these come by the clock.
+// entryHosts is a set of entry hosts that hold what the answers brought, and the size of
+// these answers in bytes. Loads are left out, since they are sent by the clock.
 type entryHosts struct {
 	list  []*entryHost
 	bytes int
@@ -45,7 +45,7 @@
 		}
 		host.request.DocumentVersion = 0
 		host.request.AskOthers = true
-		for k := range 68 { // endpoints with work of one host
+		for k := range 68 { // endpoints with load from one host
 			host.request.Loads.Endpoints = append(host.request.Loads.Endpoints, fleet.LoadKey(engineName((i+k)%manyEndpoints)))
 			host.request.Loads.Requests = append(host.request.Loads.Requests, 3)
 			host.request.Loads.Tokens = append(host.request.Loads.Tokens, 2100)
@@ -55,7 +55,7 @@
 	return e
 }
 
-// syncAll lets some hosts make one call each to a leader.
+// syncAll makes one call to a leader for each of the hosts.
 func (e *entryHosts) syncAll(s *Server, hosts ...*entryHost) {
 	for _, h := range hosts {
 		reply, err := s.Sync(context.Background(), h.request)
@@ -95,15 +95,15 @@
 	return fleet.EndpointsDigest(list)
 }
 
-// takeBytesPerHost returns the bytes of the answers since the last call, for each host.
+// takeBytesPerHost returns the answers' bytes since the last call, divided by the hosts.
 func (e *entryHosts) takeBytesPerHost() int {
 	n := e.bytes / len(e.list)
 	e.bytes = 0
 	return n
 }
 
-// fixedLeadership leads for good: what a leader tells hosts is looked at here, and not who
-// leads, which would depend on how busy the machine is.
+// fixedLeadership always leads, so that tests of the leader's answers don't depend on
+// elections, and so on the load of the host that runs them.
 type fixedLeadership struct {
 	term    uint64
 	machine *state.Machine
@@ -119,8 +119,8 @@
 	return []string{"127.0.1.1:7300", "127.0.1.2:7300", "127.0.1.3:7300"}
 }
 
-// withLeaders runs f with a function that makes leaders of terms, on a clock that
-// moves only as f says.
+// withLeaders runs f with a function that makes a leader of a given term, on a manual
+// clock.
 func withLeaders(f func(lead func(term uint64) *Server, clock *timer.Manual)) {
 	clock := timer.NewManual(startTime)
 	g := group.New(context.Background())
@@ -162,8 +162,8 @@
 	}
 }
 
-var _ = Describe("a host that knows nothing yet", func() {
-	It("is answered at once, and waits for news to gather where it comes again", func() {
+var _ = Describe("an entry host without state", func() {
+	It("is answered at once on its first call, and after the batching delay on the next", func() {
 		withLeaders(func(leader func(term uint64) *Server, clock *timer.Manual) {
 			lead := leader(1)
 			for i := range manyHosts {
@@ -190,27 +190,27 @@
 })
 
 var _ = Describe("300 entry hosts and 216 endpoints", func() {
-	It("cost the leader what changed, and not what there is", func() {
+	It("get answers whose size depends on what changed, not on what there is", func() {
 		withLeaders(func(leader func(term uint64) *Server, clock *timer.Manual) {
 			lead := leader(1)
 			announce := func(s *Server, i int, sequence uint64) {
 				s.table.Announce(engineEndpoint(i, sequence, fleet.Range{From: int(sequence) % 70, To: int(sequence)%70 + 8}))
 			}
-			sequences := make([]uint64, manyEndpoints) // sequences
-			heartbeats := func(s *Server) {            // a heartbeat of each endpoint, so that none is late
+			sequences := make([]uint64, manyEndpoints)
+			heartbeats := func(s *Server) { // a heartbeat of each endpoint, so that none is late
 				for i := range manyEndpoints {
 					announce(s, i, max(1, sequences[i]))
 				}
 			}
 			heartbeats(lead)
 			all := newEntryHosts(manyHosts)
-			round := func(s *Server) { // every endpoint's heartbeat, and every host's call
+			round := func(s *Server) { // a heartbeat of every endpoint, and a call of every host
 				clock.Advance(callInterval)
 				heartbeats(s)
 				all.syncAll(s, all.list...)
 			}
 
-			By("joining: one whole list and one sample each, however many come after")
+			By("joining: one full list and one sample each, however many hosts join later")
 			for i, h := range all.list {
 				heartbeats(lead)
 				all.syncAll(lead, h)
@@ -221,9 +221,9 @@
 			round(lead)
 			all.takeBytesPerHost()
 			round(lead)
-			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 600), "a confirmation, and a sample now and then")
+			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 600), "a confirmation, and occasionally a sample")
 
-			By("endpoints that change: their own rows")
+			By("changed endpoints: only their entries")
 			const changes = 20
 			for n := range changes {
 				sequences[n] = uint64(n + 2)
@@ -235,14 +235,14 @@
 				Expect(h.digest()).To(Equal(all.list[0].digest()))
 			}
 
-			By("hosts that come and go: a sample now and then")
+			By("hosts that come and go: occasionally a sample")
 			for n := range changes {
 				all.list[n].request.Host.Ready = false
 				round(lead)
 			}
 			Expect(all.takeBytesPerHost() / changes).To(BeNumerically("<", 700))
 
-			By("a new leader that holds the same: nothing")
+			By("a new leader with the same endpoints: nothing")
 			next := leader(2)
 			heartbeats(next)
 			before := all.list[0].request.GetEpoch()
@@ -250,13 +250,13 @@
 			Expect(all.list[0].request.GetEpoch()).NotTo(Equal(before))
 			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 1500))
 
-			By("a new leader that holds another set: one list each")
+			By("a new leader with other endpoints: one list each")
 			sequences[3] = 99
 			for _, h := range all.list {
 				h.request.Epoch = before
 			}
 			round(next)
-			round(next) // a list may be listKeep old; the next call brings what it lacked
+			round(next) // the first list may be up to listLifetime old; the next call brings the rest
 			Expect(all.takeBytesPerHost()).To(BeNumerically("<", 12<<10))
 			for _, h := range all.list {
 				Expect(h.endpoints[engineName(3)].Sequence).To(BeEquivalentTo(99))
--- a/pkg/fleetcontrol/spreader.go
+++ b/pkg/fleetcontrol/spreader.go
@@ -33,7 +33,7 @@
 // propagateBatched sends an announcement with the next batch. It returns to how many
 // other replicas the batch was sent, and how many acknowledged it; both are 0 if ctx
 // ended before.
-func (s *Server) propagateBatched(ctx context.Context, e fleet.Endpoint) (others int, told int64) {
+func (s *Server) propagateBatched(ctx context.Context, e fleet.Endpoint) (others int, acknowledged int64) {
 	s.propagator.mu.Lock()
 	s.propagator.pending = append(s.propagator.pending, e)
 	batch := s.propagator.batch
--- a/pkg/fleetcontrol/standing_test.go
+++ b/pkg/fleetcontrol/standing_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// largeConfiguration has many routes, whose names don't pack well.
+// largeConfiguration has many routes, whose names compress badly.
 func largeConfiguration(version uint64) []byte {
 	cfg := &fleet.Configuration{
 		Version: version,
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("a configuration of many routes", func() {
-	It("is sent as a patch to hosts that hold the one before, and else comes from another replica", func() {
+	It("is sent as a patch to hosts that hold the previous version, and otherwise comes from another replica", func() {
 		withCluster(func(c *cluster) {
 			ip := c.leader()
 			lead := c.hosts[ip].server
@@ -57,7 +57,7 @@
 			Expect(withheld.GetNewest()).To(BeEquivalentTo(7))
 			Expect(withheld.GetDocument()).To(BeNil())
 			Expect(withheld.GetPatch()).To(BeNil())
-			Expect(ask(&rpc.SyncRequest{Host: &rpc.FleetHost{Name: "b"}}).GetDocument()).NotTo(BeNil(), "others failed it")
+			Expect(ask(&rpc.SyncRequest{Host: &rpc.FleetHost{Name: "b"}}).GetDocument()).NotTo(BeNil(), "the host could not get it from another replica")
 
 			other := c.hosts[c.otherHost(ip)].server
 			var first *rpc.StandingReply
@@ -90,7 +90,7 @@
 		})
 	})
 
-	It("is patched from by every replica, whichever leads next", func() {
+	It("can be patched by every replica, since any may lead next", func() {
 		withCluster(func(c *cluster) {
 			ip := c.leader()
 			c.replaceConfig(ip, largeConfiguration(7))
@@ -101,7 +101,7 @@
 					return machine.Document().GetVersion()
 				}, "5s", "10ms").Should(BeEquivalentTo(7))
 			}
-			time.Sleep(2 * leadInterval) // each notes what stands once a judgeInterval
+			time.Sleep(2 * leadInterval) // each records the committed configuration once per leadInterval
 			c.replaceConfig(ip, largeConfiguration(9))
 			for _, one := range c.ips {
 				s := c.hosts[one].server
--- a/pkg/fleetcontrol/survey_test.go
+++ b/pkg/fleetcontrol/survey_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// withServer runs f on a control host that isn't started, whose endpoints
-// answer by report, and on the group in which it asks them.
+// withServer runs f on a control host that isn't running, whose endpoints answer by
+// report, and on the group in which its probes run.
 func withServer(report func(id string) (placement.Report, error), f func(s *Server, g *group.Group)) {
 	g := group.New(context.Background())
 	defer g.Stop()
@@ -27,11 +27,11 @@
 	}, g), g)
 }
 
-var _ = Describe("a question whether an endpoint is there", func() {
-	It("is answered by a service that tells nothing of itself", func() {
+var _ = Describe("a probe of an endpoint", func() {
+	It("doesn't mark it as silent if it answers without a status", func() {
 		cases := []struct {
-			err  error
-			lost bool
+			err    error
+			silent bool
 		}{
 			{placement.ErrNoReport, false},
 			{errors.New("connection refused"), true},
@@ -42,7 +42,7 @@
 				s.probeSuspected([]string{"e1"})
 				g.Wait()
 				e, _ := s.table.Get("e1")
-				Expect(e.Silent).To(Equal(c.lost), c.err.Error())
+				Expect(e.Silent).To(Equal(c.silent), c.err.Error())
 			})
 		}
 	})
--- a/pkg/fleetcontrol/words_test.go
+++ b/pkg/fleetcontrol/words_test.go
@@ -16,7 +16,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// countingEndpoints counts calls, and answers them with a word.
+// countingEndpoints counts calls, and answers them with a notice.
 type countingEndpoints struct {
 	reports, orders int
 	notice          fleet.Notice
@@ -36,7 +36,7 @@
 	return placement.Report{Notice: e.notice}, e.err
 }
 
-// withEndpointClient runs f on calls to an endpoint e1 that the table holds.
+// withEndpointClient runs f on a client, and a table that holds the endpoint e1.
 func withEndpointClient(e *countingEndpoints, f func(c *endpointClient, table *registry.Table, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	table := registry.New(clock, nil, time.Second)
@@ -44,42 +44,42 @@
 	f(newEndpointClient(e, table, permit.NewGranter(clock), clock, nil), table, clock)
 }
 
-// probeAndOrder asks an endpoint and gives it an order.
+// probeAndOrder sends e1 a probe and an order.
 func probeAndOrder(c *endpointClient) {
-	_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80")                        // its outcome is counted
+	_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80")                        // only the calls are counted
 	_, _ = c.Place(context.Background(), placement.Order{ID: "e1"}, "127.0.2.1:80", 0) // the same
 }
 
-var _ = Describe("calls to endpoints that rest", func() {
-	const rested = 3 * time.Second
-	It("aren't made, whether a question, an order or the entry process of the machine was told so", func() {
+var _ = Describe("the leader's calls to endpoints in backoff", func() {
+	const backoff = 3 * time.Second
+	It("are not made, whether a probe, an order or the host's entry process received the notice", func() {
 		cases := []struct {
-			name string
-			tell func(c *endpointClient, e *countingEndpoints)
+			name    string
+			receive func(c *endpointClient, e *countingEndpoints)
 		}{
-			{name: "a question", tell: func(c *endpointClient, e *countingEndpoints) {
-				e.notice, e.err = fleet.Notice{Backoff: rested}, errors.New("status 503")
-				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the test's
+			{name: "a probe", receive: func(c *endpointClient, e *countingEndpoints) {
+				e.notice, e.err = fleet.Notice{Backoff: backoff}, errors.New("status 503")
+				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the fake's error
 			}},
-			{name: "an order", tell: func(c *endpointClient, e *countingEndpoints) {
-				e.notice = fleet.Notice{Backoff: rested}
-				_, _ = c.Place(context.Background(), placement.Order{ID: "e1"}, "127.0.2.1:80", 0) // the test's
+			{name: "an order", receive: func(c *endpointClient, e *countingEndpoints) {
+				e.notice = fleet.Notice{Backoff: backoff}
+				_, _ = c.Place(context.Background(), placement.Order{ID: "e1"}, "127.0.2.1:80", 0) // the same
 			}},
-			{name: "the entry process", tell: func(c *endpointClient, _ *countingEndpoints) {
-				c.entryBackoffs.Merge("e1", rested)
+			{name: "the entry process", receive: func(c *endpointClient, _ *countingEndpoints) {
+				c.entryBackoffs.Merge("e1", backoff)
 			}},
 		}
 		for _, one := range cases {
 			e := &countingEndpoints{}
 			withEndpointClient(e, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
-				one.tell(c, e)
+				one.receive(c, e)
 				*e = countingEndpoints{}
 				for range 3 {
 					probeAndOrder(c)
-					clock.Advance(rested / 4)
+					clock.Advance(backoff / 4)
 				}
 				Expect(e.reports+e.orders).To(BeZero(), one.name)
-				clock.Advance(rested / 4)
+				clock.Advance(backoff / 4)
 				probeAndOrder(c)
 				Expect(e.reports).To(Equal(1), one.name)
 				Expect(e.orders).To(Equal(1), one.name)
@@ -87,9 +87,9 @@
 		}
 	})
 
-	It("leave an endpoint for there that turned a question away", func() {
+	It("don't mark an endpoint as silent if it rejects a probe with backoff", func() {
 		backsOff := func(string) (placement.Report, error) {
-			return placement.Report{Notice: fleet.Notice{Backoff: rested}}, errors.New("report: status 503")
+			return placement.Report{Notice: fleet.Notice{Backoff: backoff}}, errors.New("report: status 503")
 		}
 		probes := 0
 		withServer(func(id string) (placement.Report, error) { probes++; return backsOff(id) }, func(s *Server, g *group.Group) {
@@ -105,10 +105,10 @@
 		})
 	})
 
-	It("are told of between the processes of one machine, and to no other", func() {
+	It("share backoffs between the processes of one host, and with no other host", func() {
 		withServer(nil, func(s *Server, _ *group.Group) {
 			s.cfg.IP = "10.0.0.1"
-			s.endpointClient.observe("e2", fleet.Notice{Backoff: rested})
+			s.endpointClient.observe("e2", fleet.Notice{Backoff: backoff})
 			cases := []struct {
 				address string
 				same    bool
@@ -130,13 +130,13 @@
 			}
 			reply := &rpc.SyncReply{}
 			s.addBackoffs(&rpc.SyncRequest{Host: &rpc.FleetHost{CallerAddress: "10.0.0.1:80"}}, reply)
-			Expect(reply.GetResting()[0].GetEndpoint()).To(Equal("e2"), "what was told here isn't told back")
+			Expect(reply.GetResting()[0].GetEndpoint()).To(Equal("e2"), "a backoff received from the entry process isn't sent back")
 		})
 	})
 })
 
-var _ = Describe("a leave that an endpoint tells in answers", func() {
-	It("reaches the table from questions, with a report or without, and from hosts", func() {
+var _ = Describe("an endpoint's leave notice", func() {
+	It("reaches the table from probes, with a status or without", func() {
 		for _, err := range []error{nil, placement.ErrNoReport, errors.New("report: status 500")} {
 			withEndpointClient(&countingEndpoints{notice: fleet.Notice{Leaving: true}, err: err}, func(c *endpointClient, table *registry.Table, _ *timer.Manual) {
 				probeAndOrder(c)
@@ -146,7 +146,7 @@
 		}
 	})
 
-	It("is told to every host, by a new leader as well, though heartbeats say otherwise", func() {
+	It("is accepted from entry hosts, by a new leader as well, although heartbeats say otherwise", func() {
 		withCluster(func(c *cluster) {
 			oldLeader := c.leader()
 			other := c.otherHost(oldLeader)
@@ -158,7 +158,7 @@
 					return c.reportLeaving("a").Leaving
 				}, "5s", "50ms").Should(BeTrue())
 				Expect(c.hosts[ip].server.Announce(context.Background(), announcement(false, uint64(10*n+2)))).To(Succeed())
-				Expect(c.reportLeaving("b").Leaving).To(BeTrue(), "a heartbeat doesn't take it back")
+				Expect(c.reportLeaving("b").Leaving).To(BeTrue(), "a heartbeat doesn't revoke it")
 				if n == 0 {
 					c.stop(oldLeader)
 				}
@@ -167,7 +167,8 @@
 	})
 })
 
-// reportLeaving has a host tell whoever leads that e1 leaves, and returns what that one knows of it.
+// reportLeaving reports to the leader as an entry host that e1 is leaving, and returns the
+// leader's entry for e1.
 func (c *cluster) reportLeaving(name string) fleet.Endpoint {
 	s := c.hosts[c.leader()].server
 	_, err := s.Sync(context.Background(), &rpc.SyncRequest{
