--- a/pkg/fleetcontrol/announce.go
+++ b/pkg/fleetcontrol/announce.go
@@ -13,8 +13,9 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// ErrNoMajority is returned if too few control replicas acknowledged a leave announcement.
-var ErrNoMajority = errors.New("leave announcement not acknowledged by a majority of the control replicas")
+// ErrNoMajority is returned if too few control replicas acknowledged a leave
+// announcement or a deregistration.
+var ErrNoMajority = errors.New("not acknowledged by a majority of the control replicas")
 
 // Announce records an endpoint's heartbeat. A leave announcement is acknowledged only
 // once a majority of the replicas has it: any later leader was elected by a majority,
--- a/pkg/fleetcontrol/sync.go
+++ b/pkg/fleetcontrol/sync.go
@@ -151,8 +151,9 @@
 // last call, or the full list if many changed, or if the host followed another epoch
 // and holds a different set. A host that holds the same set gets only the version. If
 // the bandwidth allowance doesn't permit the full list now, the host gets the recent
-// leave announcements only: it must stop sending to these endpoints within seconds,
-// and sending lists of 3,000 endpoints to 300 hosts takes three.
+// leave announcements only, and the rest with a later call: it must stop sending to
+// leaving endpoints within seconds, and sending lists of 3,000 endpoints to 300 hosts
+// takes three.
 func (s *Server) addEndpoints(q *rpc.SyncRequest, reply *rpc.SyncReply, now time.Time) {
 	minVersion := uint64(0)
 	if q.GetEpoch() == reply.GetEpoch() {
@@ -202,9 +203,9 @@
 }
 
 // epochOf returns the epoch of the endpoint lists. It changes when a term begins, and
-// when every endpoint has had time to announce itself. On a change hosts replace
-// their list as a whole, so that they drop endpoints that have not announced
-// themselves.
+// when every endpoint has had time to announce itself. A host that followed another
+// epoch gets the full list, unless it holds the same set already, and so drops endpoints
+// that have not announced themselves.
 func epochOf(term uint64, settled bool) uint64 {
 	if settled {
 		return 2*term + 1
--- a/pkg/fleetcontrol/words.go
+++ b/pkg/fleetcontrol/words.go
@@ -21,8 +21,8 @@
 
 // endpointClient wraps the client for the leader's calls to endpoints. It makes no call
 // to an endpoint in backoff, charges calls against the endpoint's rate limit, and
-// applies the notice in each answer. Backoff covers the whole host: the requests of its
-// entry process, the leader's probes and its orders.
+// applies the notices in answers to probes and in rejected orders. Backoff covers the
+// whole host: the requests of its entry process, the leader's probes and its orders.
 type endpointClient struct {
 	client        placement.EndpointClient
 	table         *registry.Table
