--- a/pkg/fleetcontrol/grow_test.go
+++ b/pkg/fleetcontrol/grow_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a system that must bear two losses", func() {
-	It("takes in the hosts that didn't found it, and outlives two lost disks and a stop of all", func() {
+var _ = Describe("a cluster that tolerates two disk losses", func() {
+	It("adds later hosts as replicas, and survives two lost disks after a stop of all", func() {
 		withCluster(func(c *cluster) {
 			c.losses = 2
 			more := []string{"127.0.1.4", "127.0.1.5", "127.0.1.6"}
@@ -20,7 +20,7 @@
 			Eventually(func() int {
 				return len(c.hosts[c.leader()].server.replica.Members())
 			}, "15s", "50ms").Should(Equal(6))
-			c.put(c.leader(), document(5, "a"))
+			c.replaceConfig(c.leader(), document(5, "a"))
 			all := append(append([]string{}, c.ips...), more...)
 			for _, ip := range all {
 				c.stop(ip)
@@ -42,7 +42,7 @@
 })
 
 var _ = Describe("a control host without a disk", func() {
-	It("learns of the replicas where it is itself the only seed, after a stop of all", func() {
+	It("learns the replicas after a stop of all even if it is the only seed itself", func() {
 		withCluster(func(c *cluster) {
 			const ip = "127.0.1.9"
 			c.diskless = ip
@@ -61,7 +61,7 @@
 		})
 	})
 
-	It("is no replica, knows who leads, and passes on what it is sent", func() {
+	It("is no replica, knows the leader, and forwards calls to it", func() {
 		withCluster(func(c *cluster) {
 			const ip = "127.0.1.9"
 			c.diskless = ip
@@ -70,11 +70,11 @@
 				_, _, leader := c.hosts[ip].server.replica.Leads(context.Background())
 				return leader
 			}, "10s", "20ms").ShouldNot(BeEmpty())
-			c.put(ip, document(4, "a"))
+			c.replaceConfig(ip, document(4, "a"))
 			text, err := c.hosts[ip].server.Read(context.Background())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(text).To(Equal(document(4, "a")))
-			_, err = os.Stat(c.data(ip))
+			_, err = os.Stat(c.dataFolder(ip))
 			Expect(os.IsNotExist(err)).To(BeTrue())
 			Expect(c.hosts[c.leader()].server.replica.Members()).To(HaveLen(3))
 		})
--- a/pkg/fleetcontrol/loads.go
+++ b/pkg/fleetcontrol/loads.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// loadsRate is how many bytes a second of loads a host is told, so that they
-	// don't grow with endpoints times hosts: at eight bytes an endpoint, loads of
-	// 250 endpoints come with every answer, those of 3,200 every 5 s.
-	loadsRate = 5 << 10
-	loadBytes = 8
-	// totalsKeep is how long one list of loads serves all hosts: an eighth of the
-	// time between two calls of a host.
-	totalsKeep = 50 * time.Millisecond
+	// loadBytesPerSecond bounds the loads that one host is sent per second, so that the
+	// leader's traffic doesn't grow with endpoints times hosts: the loads of 250
+	// endpoints come with every answer, those of 3,200 every 5 s.
+	loadBytesPerSecond = 5 << 10
+	bytesPerLoad       = 8
+	// totalsLifetime is how long one list of loads is sent to all hosts: an eighth of
+	// the time between two calls of a host.
+	totalsLifetime = 50 * time.Millisecond
 )
 
-// totals is the sum of what all entry hosts have under way at each endpoint. It
-// follows every call by what changed in it, and every host is sent the same list,
-// from which it takes its own share: a sum for each host and answer would take hosts
-// times endpoints steps.
-type totals struct {
+// loadTotals is the sum of the loads that all entry hosts have in flight at each
+// endpoint. Each call updates it by its difference to the one before. Every host is sent
+// the same list and subtracts its own load: a sum for each host and answer would take
+// hosts times endpoints steps.
+type loadTotals struct {
 	sums   map[uint32]load
 	table  *rpc.LoadTable
 	madeAt time.Time
@@ -33,21 +33,21 @@
 	tokens   int64
 }
 
-func newTotals() totals {
-	return totals{
+func newLoadTotals() loadTotals {
+	return loadTotals{
 		sums: map[uint32]load{},
 	}
 }
 
-// replace takes a host's loads before off, and adds those that it tells now.
-func (t *totals) replace(before, now *rpc.LoadTable) {
+// replace subtracts a host's earlier loads, and adds its current ones.
+func (t *loadTotals) replace(before, now *rpc.LoadTable) {
 	t.add(before, -1)
 	t.add(now, 1)
 }
 
-func (t *totals) add(l *rpc.LoadTable, sign int64) {
+func (t *loadTotals) add(l *rpc.LoadTable, sign int64) {
 	if len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
-		return // no entry host sends that
+		return // invalid; no entry host sends that
 	}
 	for i, key := range l.GetEndpoints() {
 		sum := t.sums[key]
@@ -61,9 +61,9 @@
 	}
 }
 
-// list returns the sums, totalsKeep old at most.
-func (t *totals) list(now time.Time) *rpc.LoadTable {
-	if t.table != nil && now.Sub(t.madeAt) < totalsKeep {
+// list returns the sums. They are at most totalsLifetime old.
+func (t *loadTotals) list(now time.Time) *rpc.LoadTable {
+	if t.table != nil && now.Sub(t.madeAt) < totalsLifetime {
 		return t.table
 	}
 	keys := make([]uint32, 0, len(t.sums))
@@ -82,19 +82,19 @@
 	return t.table
 }
 
-// loads returns what all hosts have under way, if it is time to tell a host, and
-// notes that it is told. The caller must not change the list.
+// loads returns the loads of all hosts if the host is due for them, and records that it
+// is sent them. The caller must not change the list.
 func (h *hosts) loads(now time.Time, name string) *rpc.LoadTable {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	row := h.rows[name]
-	if row == nil {
+	entry := h.entries[name]
+	if entry == nil {
 		return nil
 	}
-	pause := time.Duration(len(h.totals.sums)*loadBytes) * time.Second / loadsRate
-	if now.Sub(row.loadsAt) < pause {
+	interval := time.Duration(len(h.totals.sums)*bytesPerLoad) * time.Second / loadBytesPerSecond
+	if now.Sub(entry.loadsAt) < interval {
 		return nil
 	}
-	row.loadsAt = now
+	entry.loadsAt = now
 	return h.totals.list(now)
 }
--- a/pkg/fleetcontrol/observe.go
+++ b/pkg/fleetcontrol/observe.go
@@ -10,17 +10,17 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// observeInterval is how often a control host without a disk asks who the
-// replicas are and who leads.
+// observeInterval is how often a control host without a disk asks for the replicas and
+// the leader.
 const observeInterval = 300 * time.Millisecond
 
-// observe keeps track of the replicas on a host that has no disk, and so is
-// none: it passes on what it is sent.
+// observe keeps track of the replicas and the leader on a host without a disk, which
+// is no replica itself and forwards calls to the leader.
 func (r *Replica) observe(ctx context.Context) {
 	timer.Loop(ctx, r.svc, observeInterval, func(time.Time) {
 		list := append([]string{r.observed().GetLeader()}, r.Members()...)
-		for _, address := range append(list, r.peers()...) {
-			if address != "" && address != r.address() && r.observeAt(ctx, address) {
+		for _, address := range append(list, r.seedAddresses()...) {
+			if address != "" && address != r.address() && r.queryReplicas(ctx, address) {
 				return
 			}
 		}
@@ -30,9 +30,9 @@
 	})
 }
 
-// observeAt asks one host, and reports whether it knew a leader.
-func (r *Replica) observeAt(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+// queryReplicas asks one host for the replicas, and reports whether it knew a leader.
+func (r *Replica) queryReplicas(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
 	reply, err := rpc.NewFleetProtobufClient("http://"+address, r.client).Join(ctx, &rpc.JoinRequest{})
 	if err != nil || reply.GetLeader() == "" {
@@ -42,8 +42,9 @@
 	return true
 }
 
-// learnFrom takes what a replica tells, and answers what is known.
-func (r *Replica) learnFrom(q *rpc.JoinRequest) *rpc.JoinReply {
+// exchangeMembers stores the members that a replica sent, if any, and returns those
+// that are known.
+func (r *Replica) exchangeMembers(q *rpc.JoinRequest) *rpc.JoinReply {
 	if len(q.GetMembers().GetList()) > 0 {
 		known := &rpc.JoinReply{
 			Leader:  q.GetLeader(),
@@ -60,25 +61,25 @@
 	return &rpc.JoinReply{}
 }
 
-// tellSeeds tells the hosts that the settings name and that are no replicas
-// who the replicas are: after a stop of all, nobody else could.
-func (r *Replica) tellSeeds(ctx context.Context, st replica.Status) {
+// informSeeds sends the members to the seed hosts that are no replicas. After a stop of
+// all hosts, those could not learn them otherwise.
+func (r *Replica) informSeeds(ctx context.Context, st replica.Status) {
 	members := map[string]bool{
 		r.address(): true,
 	}
 	for _, m := range st.Members.GetList() {
 		members[m.GetAddress()] = true
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicaCallTimeout)
 	defer cancel()
 	g := group.New(ctx)
 	defer g.Wait()
-	for _, address := range r.peers() {
+	for _, address := range r.seedAddresses() {
 		if members[address] || len(st.Members.GetList()) == 0 {
 			continue
 		}
 		g.Go(func(ctx context.Context) {
-			// One that can't be reached is told again with the next round.
+			// A call that fails is retried in the next round.
 			_, _ = rpc.NewFleetProtobufClient("http://"+address, r.client).Join(ctx, &rpc.JoinRequest{
 				Leader:  st.Leader.GetAddress(),
 				Members: st.Members,
@@ -90,11 +91,11 @@
 func (r *Replica) observed() *rpc.JoinReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen
+	return r.lastObserved
 }
 
 func (r *Replica) setObserved(reply *rpc.JoinReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = reply
+	r.lastObserved = reply
 }
--- a/pkg/fleetcontrol/server.go
+++ b/pkg/fleetcontrol/server.go
@@ -1,5 +1,6 @@
-// Package fleetcontrol is a control host of a deployment whose operator sends
-// whole configurations and whose endpoints announce themselves.
+// Package fleetcontrol implements a control host: it replicates the operator's
+// configuration, tracks the endpoints' heartbeats, and answers the entry hosts'
+// long polls.
 package fleetcontrol
 
 import (
@@ -21,33 +22,34 @@
 )
 
 const (
-	// spreadInterval is how often a replica tells the leader whom it heard of.
-	spreadInterval = 500 * time.Millisecond
-	judgeInterval  = 300 * time.Millisecond
-	// leaveTimeout bounds how long the acknowledgement of a leave waits for
-	// another replica; endpoints wait a second.
-	leaveTimeout = 400 * time.Millisecond
-	// proposeTimeout is under the second after which operators try elsewhere.
+	// propagateInterval is how often a replica sends the leader the heartbeats that it
+	// received itself.
+	propagateInterval = 500 * time.Millisecond
+	leadInterval      = 300 * time.Millisecond
+	// replicaCallTimeout bounds a call to another replica. The acknowledgement of a
+	// leave announcement waits for such calls, and endpoints wait for it for a second.
+	replicaCallTimeout = 400 * time.Millisecond
+	// proposeTimeout is below the second after which operators' tools try another host.
 	proposeTimeout = 900 * time.Millisecond
-	// settleBeats is how many heartbeat intervals a leader waits before it
-	// takes the list of endpoints for whole.
-	settleBeats = 2
+	// settleHeartbeats is how many heartbeat intervals a new leader waits before it
+	// treats its list of endpoints as complete.
+	settleHeartbeats = 2
 )
 
-// Decoder reads and checks a configuration as the operator sends it.
+// Decoder decodes and checks a configuration in the operator's format.
 type Decoder interface {
 	Decode(content []byte) (*fleet.Configuration, error)
 }
 
-// Config is what a Server is made of. Every field must be set but Founding.
+// Config configures a Server. Every field is required but Bootstrap.
 type Config struct {
 	Folder string
 	IP     string
-	// Port is of the system's own calls, on every control host.
+	// Port is the port of the internal RPCs, the same on every control host.
 	Port            string
 	Bootstrap       Bootstrap
 	SeedIPs         func() []string
-	ToleratedLosses int // disks that may be lost at once
+	ToleratedLosses int // number of disks that may be lost at once
 	Heartbeat       time.Duration
 	Decoder         Decoder
 	Orders          placement.EndpointClient
@@ -61,37 +63,37 @@
 type Server struct {
 	cfg     Config
 	replica *Replica
-	// leadership is the replica's, as hosts' calls see it.
-	leadership leadership
-	table      *registry.Table
-	hosts      *hosts
-	listing    *listing
-	history    *fleet.History
-	spreads    spreader
-	orders     *considerate
-	keeper     *placement.Controller
-	group      *group.Group
-
-	survey *survey
-	court  *court
-	lender *permit.Granter
-	// standing is the configuration that lead read last.
-	standing *fleet.Configuration
+	// leadership is replica, behind an interface that tests replace.
+	leadership     leadership
+	table          *registry.Table
+	hosts          *hosts
+	endpointList   *endpointList
+	history        *fleet.History
+	propagator     propagator
+	endpointClient *endpointClient
+	controller     *placement.Controller
+	group          *group.Group
+
+	probes      *probeSchedule
+	coordinator *quarantineCoordinator
+	granter     *permit.Granter
+	// decodedConfig caches the configuration that lead decoded last.
+	decodedConfig *fleet.Configuration
 
 	mu      sync.Mutex
 	leading leading
 }
 
-// leading is since when this replica leads, and in which term.
+// leading says in which term this replica leads, and since when.
 type leading struct {
 	term  uint64
 	since time.Time
-	// settled says that every endpoint had time to announce itself.
+	// settled is set once every endpoint has had time to announce itself.
 	settled bool
 }
 
-// noteLeading remembers when a term's lead was first seen.
-func (s *Server) noteLeading(term uint64, now time.Time) time.Time {
+// recordLeading returns when this replica was first seen to lead in the term.
+func (s *Server) recordLeading(term uint64, now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leading.term != term {
@@ -103,20 +105,21 @@
 	return s.leading.since
 }
 
-// settled reports whether every endpoint had time to announce itself since this
-// replica began to lead in a term.
+// settled reports whether every endpoint has had time to announce itself since this
+// replica began to lead in the term.
 func (s *Server) settled(term uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leading.term == term && s.leading.settled
 }
 
-// settle notes that, and drops what only the disk told of.
-func (s *Server) settle(term uint64) {
+// markSettled marks the term as settled, and drops the endpoints that were restored
+// from disk and have sent no heartbeat.
+func (s *Server) markSettled(term uint64) {
 	if s.settled(term) {
 		return
 	}
-	s.forgetRecalled()
+	s.dropUnconfirmed()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leading.term == term {
@@ -124,34 +127,34 @@
 	}
 }
 
-// New returns a control host; its goroutines run in g.
+// New returns a control host. Its background calls run in g.
 func New(cfg Config, g *group.Group) *Server {
 	s := &Server{
-		cfg:     cfg,
-		table:   registry.New(cfg.Timer, cfg.Log, cfg.Heartbeat),
-		hosts:   newHosts(),
-		history: fleet.NewHistory(),
-		listing: newListing(cfg.Log),
-		group:   g,
-		survey:  newSurvey(),
-		court:   newCourt(cfg.Timer),
-		lender:  permit.NewGranter(cfg.Timer),
+		cfg:          cfg,
+		table:        registry.New(cfg.Timer, cfg.Log, cfg.Heartbeat),
+		hosts:        newHosts(),
+		history:      fleet.NewHistory(),
+		endpointList: newEndpointList(cfg.Log),
+		group:        g,
+		probes:       newProbeSchedule(),
+		coordinator:  newQuarantineCoordinator(cfg.Timer),
+		granter:      permit.NewGranter(cfg.Timer),
 	}
 	s.replica = &Replica{
-		folder:   cfg.Folder,
-		ip:       cfg.IP,
-		port:     cfg.Port,
-		founding: cfg.Bootstrap,
-		losses:   cfg.ToleratedLosses,
-		peers:    s.seedAddresses,
-		client:   cfg.Client,
-		svc:      cfg.Timer,
-		log:      cfg.Log,
-		heard:    map[uint64]time.Time{},
+		folder:          cfg.Folder,
+		ip:              cfg.IP,
+		port:            cfg.Port,
+		bootstrap:       cfg.Bootstrap,
+		toleratedLosses: cfg.ToleratedLosses,
+		seedAddresses:   s.seedAddresses,
+		client:          cfg.Client,
+		svc:             cfg.Timer,
+		log:             cfg.Log,
+		receivedAt:      map[uint64]time.Time{},
 	}
 	s.leadership = s.replica
-	s.orders = newConsiderate(cfg.Orders, s.table, s.lender, cfg.Timer, cfg.Log)
-	s.keeper = placement.NewController(s.orders, s.table, s.short, cfg.Heartbeat, cfg.Timer, cfg.Log, g)
+	s.endpointClient = newEndpointClient(cfg.Orders, s.table, s.granter, cfg.Timer, cfg.Log)
+	s.controller = placement.NewController(s.endpointClient, s.table, s.belowDemand, cfg.Heartbeat, cfg.Timer, cfg.Log, g)
 	return s
 }
 
@@ -163,26 +166,26 @@
 	return list
 }
 
-// Run works until ctx ends.
+// Run runs the control host until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	g := group.New(ctx)
 	defer g.Stop()
-	s.recall()
-	g.Go(s.keepEndpoints)
+	s.restoreEndpoints()
+	g.Go(s.saveEndpoints)
 	g.Go(func(ctx context.Context) {
-		if timer.Sleep(ctx, s.cfg.Timer, s.recallTime()) == nil {
-			s.dropRecalled(ctx)
+		if timer.Sleep(ctx, s.cfg.Timer, s.restoreTimeout()) == nil {
+			s.dropRestored(ctx)
 		}
 	})
-	g.Go(s.learn)
-	g.Go(s.spreadHeard)
+	g.Go(s.fetchEndpoints)
+	g.Go(s.propagateAnnounced)
 	g.Go(s.lead)
-	g.Go(s.judge)
+	g.Go(s.runQuarantine)
 	s.replica.Run(ctx)
 	return nil
 }
 
-// RPC returns the handler of the system's own calls.
+// RPC returns the handler of the internal RPCs.
 func (s *Server) RPC() http.Handler {
 	mux := http.NewServeMux()
 	replicaServer := rpc.NewReplicaServer(s)
@@ -200,28 +203,29 @@
 
 // Join implements rpc.Fleet.
 func (s *Server) Join(ctx context.Context, q *rpc.JoinRequest) (*rpc.JoinReply, error) {
-	return s.replica.takeIn(ctx, q)
+	return s.replica.handleJoin(ctx, q)
 }
 
-// lead does what only the leader does.
+// lead runs the leader's periodic work: it expires entry hosts and rate limits, probes
+// endpoints, and reconciles their placement with the configuration.
 func (s *Server) lead(ctx context.Context) {
-	timer.Loop(ctx, s.cfg.Timer, judgeInterval, func(now time.Time) {
-		s.noteStanding()
+	timer.Loop(ctx, s.cfg.Timer, leadInterval, func(now time.Time) {
+		s.recordCommitted()
 		machine, term, _ := s.replica.Leads(ctx)
 		if machine == nil {
-			s.noteLeading(0, now)
-			s.hosts.forget()
-			s.keeper.Reset()
+			s.recordLeading(0, now)
+			s.hosts.reset()
+			s.controller.Reset()
 			return
 		}
-		since := s.noteLeading(term, now)
-		s.hosts.bury(now)
-		s.noteLimits(s.lender.Expire())
-		if now.Sub(since) < settleBeats*s.cfg.Heartbeat {
+		since := s.recordLeading(term, now)
+		s.hosts.expire(now)
+		s.logLimitChanges(s.granter.Expire())
+		if now.Sub(since) < settleHeartbeats*s.cfg.Heartbeat {
 			return
 		}
-		s.settle(term)
-		s.askAll(s.table.Sweep())
+		s.markSettled(term)
+		s.probeAll(s.table.Sweep())
 		doc := machine.Document()
 		if doc == nil {
 			return
@@ -231,7 +235,7 @@
 			s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration that stands can't be read"), eventlog.Err(err))
 			return
 		}
-		s.keeper.Reconcile(ctx, cfg, func() bool {
+		s.controller.Reconcile(ctx, cfg, func() bool {
 			m, t, _ := s.replica.Leads(ctx)
 			return m != nil && t == term
 		})
