--- a/pkg/fleetentry/document.go
+++ b/pkg/fleetentry/document.go
@@ -11,125 +11,125 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// standingTimeout bounds a call to another replica for a large configuration: one
+// fetchTimeout bounds a call to another replica for a large configuration: one
 // of 18 KB takes 7 ms over a host's own link of 20 Mbit/s.
-const standingTimeout = 600 * time.Millisecond
+const fetchTimeout = 600 * time.Millisecond
 
-// errPatch says that a patch doesn't give what it was made of.
-var errPatch = errors.New("the patch isn't of the configuration held here")
+// errPatchMismatch says that a patch doesn't give what it was made of.
+var errPatchMismatch = errors.New("the patch isn't of the configuration held here")
 
-// received is a configuration that a control host sent.
-type received struct {
+// receivedConfig is a configuration that a control host sent.
+type receivedConfig struct {
 	index   *fleet.Index
 	content []byte
 }
 
-// open makes a configuration out of what a control host sent, whole or as a
+// decodeConfig makes a configuration out of what a control host sent, whole or as a
 // patch of the one held; nil if it sent none. It runs without the lock: only
 // Run's goroutine changes the content held.
-func (f *ControlClient) open(doc *rpc.Document, patch *rpc.DocumentPatch) (*received, error) {
+func (c *ControlClient) decodeConfig(doc *rpc.Document, patch *rpc.DocumentPatch) (*receivedConfig, error) {
 	var content []byte
 	var err error
 	switch {
 	case doc != nil:
 		content, err = fleet.Unpack(doc.GetContent())
 	case patch != nil:
-		content, err = f.patched(patch)
+		content, err = c.applyPatch(patch)
 	default:
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := f.cfg.Decoder.Decode(content)
+	cfg, err := c.cfg.Decoder.Decode(content)
 	if err != nil {
 		return nil, err
 	}
-	return &received{
+	return &receivedConfig{
 		index:   fleet.NewIndex(cfg),
 		content: content,
 	}, nil
 }
 
-func (f *ControlClient) patched(patch *rpc.DocumentPatch) ([]byte, error) {
-	if f.heldVersion() != patch.GetBase() {
-		return nil, errPatch
+func (c *ControlClient) applyPatch(patch *rpc.DocumentPatch) ([]byte, error) {
+	if c.configVersion() != patch.GetBase() {
+		return nil, errPatchMismatch
 	}
-	content, err := fleet.Patched(f.content, patch.GetPatch())
+	content, err := fleet.Patched(c.content, patch.GetPatch())
 	if err != nil {
 		return nil, err
 	}
 	if fleet.ContentDigest(content) != patch.GetDigest() {
-		return nil, errPatch
+		return nil, errPatchMismatch
 	}
 	return content, nil
 }
 
-// heldVersion returns the configuration's version; 0 if there is none.
-func (f *ControlClient) heldVersion() uint64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.index == nil {
+// configVersion returns the configuration's version; 0 if there is none.
+func (c *ControlClient) configVersion() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.index == nil {
 		return 0
 	}
-	return f.index.Version()
+	return c.index.Version()
 }
 
-// install puts a configuration in force if it is newer. The caller holds mu.
-func (f *ControlClient) install(r *received, from string) {
-	if r == nil || f.index != nil && r.index.Version() <= f.index.Version() {
+// installIfNewer puts a configuration in force if it is newer. The caller holds mu.
+func (c *ControlClient) installIfNewer(r *receivedConfig, from string) {
+	if r == nil || c.index != nil && r.index.Version() <= c.index.Version() {
 		return
 	}
-	f.index = r.index
-	f.content = r.content
-	f.cfg.Log.Event(eventlog.ConfigInForce, eventlog.Int("version", int64(r.index.Version())), eventlog.Str("from", from))
+	c.index = r.index
+	c.content = r.content
+	c.cfg.Log.Event(eventlog.ConfigInForce, eventlog.Int("version", int64(r.index.Version())), eventlog.Str("from", from))
 }
 
-// fetch takes a configuration that the leader didn't send itself from another
+// fetchConfig takes a configuration that the leader didn't send itself from another
 // replica: each host begins with one of its own, so that they share the hosts.
-func (f *ControlClient) fetch(ctx context.Context, newest uint64) {
-	for _, address := range f.replicasInTurn() {
-		if f.heldVersion() >= newest || ctx.Err() != nil {
+func (c *ControlClient) fetchConfig(ctx context.Context, newest uint64) {
+	for _, address := range c.replicasToAsk() {
+		if c.configVersion() >= newest || ctx.Err() != nil {
 			return
 		}
-		f.fetchFrom(ctx, address)
+		c.fetchConfigFrom(ctx, address)
 	}
-	f.askOthers = f.heldVersion() >= newest
+	c.mayAskReplicas = c.configVersion() >= newest
 }
 
-// replicasInTurn returns the replicas, from the one that this host asks first.
-func (f *ControlClient) replicasInTurn() []string {
+// replicasToAsk returns the replicas, from the one that this host asks first.
+func (c *ControlClient) replicasToAsk() []string {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(f.cfg.Name)) // a hash can't fail
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	_, _ = h.Write([]byte(c.cfg.Name)) // a hash can't fail
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var list []string
-	for i := range f.replicas {
-		list = append(list, f.replicas[(int(h.Sum32()%uint32(len(f.replicas)))+i)%len(f.replicas)])
+	for i := range c.replicas {
+		list = append(list, c.replicas[(int(h.Sum32()%uint32(len(c.replicas)))+i)%len(c.replicas)])
 	}
-	return list[:min(len(list), standingTries)]
+	return list[:min(len(list), maxFetchAttempts)]
 }
 
-// standingTries is how many replicas are asked before the leader must send the
+// maxFetchAttempts is how many replicas are asked before the leader must send the
 // configuration: one may have just lost its disk, or be cut off.
-const standingTries = 2
+const maxFetchAttempts = 2
 
-func (f *ControlClient) fetchFrom(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, standingTimeout)
+func (c *ControlClient) fetchConfigFrom(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	reply, err := rpc.NewFleetProtobufClient("http://"+address, f.cfg.Client).Standing(ctx, &rpc.StandingRequest{
-		Held: f.heldVersion(),
+	reply, err := rpc.NewFleetProtobufClient("http://"+address, c.cfg.Client).Standing(ctx, &rpc.StandingRequest{
+		Held: c.configVersion(),
 	})
-	var r *received
+	var r *receivedConfig
 	if err == nil {
-		r, err = f.open(reply.GetDocument(), reply.GetPatch())
+		r, err = c.decodeConfig(reply.GetDocument(), reply.GetPatch())
 	}
 	if err != nil {
-		f.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "a replica didn't hand out the configuration; the next is asked"),
+		c.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "a replica didn't hand out the configuration; the next is asked"),
 			eventlog.Str("address", address), eventlog.Err(err))
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.install(r, address)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.installIfNewer(r, address)
 }
--- a/pkg/fleetentry/follower_test.go
+++ b/pkg/fleetentry/follower_test.go
@@ -31,9 +31,9 @@
 	RunSpecs(t, "fleetentry")
 }
 
-type plainDecoder struct{}
+type jsonDecoder struct{}
 
-func (plainDecoder) Decode(content []byte) (*fleet.Configuration, error) {
+func (jsonDecoder) Decode(content []byte) (*fleet.Configuration, error) {
 	c := &fleet.Configuration{}
 	return c, json.Unmarshal(content, c)
 }
@@ -64,9 +64,9 @@
 	mu        sync.Mutex
 	answer    func(n int, q *rpc.SyncRequest) *rpc.SyncReply
 	calls     []*rpc.SyncRequest
-	standing  []*rpc.StandingRequest
-	// noStanding says that no configuration is handed out.
-	noStanding bool
+	fetches   []*rpc.StandingRequest
+	// refuseFetch says that no configuration is handed out.
+	refuseFetch bool
 }
 
 func (c *fakeControl) Sync(_ context.Context, q *rpc.SyncRequest) (*rpc.SyncReply, error) {
@@ -81,8 +81,8 @@
 func (c *fakeControl) Standing(_ context.Context, q *rpc.StandingRequest) (*rpc.StandingReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.standing = append(c.standing, q)
-	if c.noStanding {
+	c.fetches = append(c.fetches, q)
+	if c.refuseFetch {
 		return nil, errors.New("the replica's storage is being opened again")
 	}
 	return &rpc.StandingReply{
@@ -90,14 +90,14 @@
 	}, nil
 }
 
-func (c *fakeControl) asked() int {
+func (c *fakeControl) callCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.calls)
 }
 
-// withFleet serves control hosts' calls.
-func withFleet(c rpc.Fleet, f func(address string)) {
+// withFleetServer serves control hosts' calls.
+func withFleetServer(c rpc.Fleet, f func(address string)) {
 	s := httptest.NewServer(rpc.NewFleetServer(c))
 	defer s.Close()
 	f(strings.TrimPrefix(s.URL, "http://"))
@@ -106,22 +106,22 @@
 // withControl serves a scripted control host.
 func withControl(answer func(n int, q *rpc.SyncRequest) *rpc.SyncReply, f func(c *fakeControl, address string)) {
 	c := &fakeControl{answer: answer}
-	withFleet(c, func(address string) { f(c, address) })
+	withFleetServer(c, func(address string) { f(c, address) })
 }
 
-func newFollower(clock timer.Service, seeds ...string) *ControlClient {
-	f := NewControlClient(ControlClientConfig{
+func newTestClient(clock timer.Service, seeds ...string) *ControlClient {
+	client := NewControlClient(ControlClientConfig{
 		Name:               "me",
 		Domain:             "a",
 		CallerAddress:      "10.0.0.1:80",
 		Seeds:              func() []string { return seeds },
 		MaxRevocationDelay: 5 * time.Second,
-		Decoder:            plainDecoder{},
+		Decoder:            jsonDecoder{},
 		Client:             &http.Client{},
 		Timer:              clock,
 	})
-	f.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
-	return f
+	client.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
+	return client
 }
 
 func document(version uint64) *rpc.Document {
@@ -132,19 +132,19 @@
 	return &rpc.Document{Version: version, Content: packed}
 }
 
-func confirmed(version uint64) *rpc.SyncReply {
+func confirmedReply(version uint64) *rpc.SyncReply {
 	return &rpc.SyncReply{
 		Confirmed:       true,
 		Epoch:           1,
 		Whole:           true,
 		Settled:         true,
 		Document:        document(version),
-		PackedEndpoints: packed(&rpc.Announcement{Id: "e1", Service: "s", Address: "10.1.0.1:80", Sequence: 3}),
+		PackedEndpoints: packedEndpoints(&rpc.Announcement{Id: "e1", Service: "s", Address: "10.1.0.1:80", Sequence: 3}),
 	}
 }
 
-// packed is a whole list of endpoints as it is sent.
-func packed(list ...*rpc.Announcement) []byte {
+// packedEndpoints is a whole list of endpoints as it is sent.
+func packedEndpoints(list ...*rpc.Announcement) []byte {
 	text, err := proto.Marshal(&rpc.SpreadRequest{Endpoints: list})
 	Expect(err).NotTo(HaveOccurred())
 	out, err := fleet.Pack(text)
@@ -154,66 +154,66 @@
 
 var _ = Describe("what an entry host believes", func() {
 	It("is nothing before the first confirmation, and callers aren't sent to it", func() {
-		f := newFollower(timer.NewManual(time.Unix(1000, 0)))
-		Expect(f.View().Index).To(BeNil())
-		Expect(f.View().Fresh).To(BeFalse())
-		Expect(f.Ready()).To(BeFalse())
-		Expect(f.Addresses()).To(BeEmpty())
+		client := newTestClient(timer.NewManual(time.Unix(1000, 0)))
+		Expect(client.View().Index).To(BeNil())
+		Expect(client.View().Fresh).To(BeFalse())
+		Expect(client.Ready()).To(BeFalse())
+		Expect(client.Addresses()).To(BeEmpty())
 	})
 
 	It("goes stale step by step: final refusals first, then keys, then readiness", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		Expect(f.take("c", confirmed(3), clock.Now())).To(BeTrue())
-		Expect(f.View().Fresh && f.View().Trusted && f.Ready()).To(BeTrue())
-		clock.Advance(freshFor)
-		Expect(f.View().Fresh).To(BeFalse())
-		Expect(f.View().Trusted).To(BeTrue())
-		clock.Advance(5*time.Second - revokeMargin - freshFor)
-		Expect(f.View().Trusted).To(BeFalse())
-		Expect(f.Ready()).To(BeFalse())
+		client := newTestClient(clock)
+		Expect(client.applyReply("c", confirmedReply(3), clock.Now())).To(BeTrue())
+		Expect(client.View().Fresh && client.View().Trusted && client.Ready()).To(BeTrue())
+		clock.Advance(maxFreshAge)
+		Expect(client.View().Fresh).To(BeFalse())
+		Expect(client.View().Trusted).To(BeTrue())
+		clock.Advance(5*time.Second - revocationMargin - maxFreshAge)
+		Expect(client.View().Trusted).To(BeFalse())
+		Expect(client.Ready()).To(BeFalse())
 	})
 
 	It("counts a confirmation from when the call was sent, not from when its answer came", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
+		client := newTestClient(clock)
 		sent := clock.Now()
 		clock.Advance(3 * time.Second)
-		reply := confirmed(3)
+		reply := confirmedReply(3)
 		reply.HeldMs = 400
-		f.take("c", reply, sent)
-		Expect(f.View().Age).To(Equal(2600 * time.Millisecond))
+		client.applyReply("c", reply, sent)
+		Expect(client.View().Age).To(Equal(2600 * time.Millisecond))
 	})
 
 	It("isn't confirmed by a reply that knows a newer configuration and doesn't bring it", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		f.take("c", confirmed(3), clock.Now())
+		client := newTestClient(clock)
+		client.applyReply("c", confirmedReply(3), clock.Now())
 		clock.Advance(time.Second)
-		reply := confirmed(3)
+		reply := confirmedReply(3)
 		reply.Document = nil
 		reply.Newest = 4
-		f.take("c", reply, clock.Now())
-		Expect(f.View().Age).To(Equal(time.Second))
+		client.applyReply("c", reply, clock.Now())
+		Expect(client.View().Age).To(Equal(time.Second))
 		reply.Newest = 3
-		f.take("c", reply, clock.Now())
-		Expect(f.View().Age).To(BeZero())
+		client.applyReply("c", reply, clock.Now())
+		Expect(client.View().Age).To(BeZero())
 	})
 
 	It("takes other hosts to have begun what this host has begun since its last call", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
+		client := newTestClient(clock)
 		own := &fakeLoads{requests: 2}
-		f.SetSources(own, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
-		f.request("10.0.0.9:80")
-		reply := confirmed(1)
+		client.SetSources(own, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
+		client.syncRequest("10.0.0.9:80")
+		reply := confirmedReply(1)
 		reply.Hosts = 3
 		reply.Loads = &rpc.LoadTable{
 			Endpoints: []uint32{fleet.LoadKey("e1")},
 			Requests:  []uint32{7 + 2},
 			Tokens:    []uint32{900 + 200}, // this host's share is among them
 		}
-		f.take("c", reply, clock.Now())
+		client.applyReply("c", reply, clock.Now())
 		cases := []struct {
 			own    int
 			others gateway.Load
@@ -224,48 +224,48 @@
 		}
 		for _, c := range cases {
 			own.requests = c.own
-			Expect(f.PeerLoad("e1")).To(Equal(c.others))
+			Expect(client.PeerLoad("e1")).To(Equal(c.others))
 		}
 	})
 
 	It("never goes back to an older configuration", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		f.take("c", confirmed(7), clock.Now())
-		f.take("c", confirmed(5), clock.Now())
-		Expect(f.View().Index.Version()).To(BeEquivalentTo(7))
+		client := newTestClient(clock)
+		client.applyReply("c", confirmedReply(7), clock.Now())
+		client.applyReply("c", confirmedReply(5), clock.Now())
+		Expect(client.View().Index.Version()).To(BeEquivalentTo(7))
 	})
 
 	It("keeps that an endpoint leaves, and loses endpoints only to a whole, settled list", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		f.take("c", confirmed(3), clock.Now())
-		leaving := confirmed(3)
-		leaving.PackedEndpoints = packed(&rpc.Announcement{Id: "e1", Service: "s", Address: "10.1.0.1:80", Sequence: 3, Leaving: true})
-		f.take("c", leaving, clock.Now())
-		f.take("c", confirmed(3), clock.Now())
-		Expect(f.Endpoints("s")).To(HaveLen(1), "a whole, settled list tells how it is")
-		young := confirmed(3)
+		client := newTestClient(clock)
+		client.applyReply("c", confirmedReply(3), clock.Now())
+		leaving := confirmedReply(3)
+		leaving.PackedEndpoints = packedEndpoints(&rpc.Announcement{Id: "e1", Service: "s", Address: "10.1.0.1:80", Sequence: 3, Leaving: true})
+		client.applyReply("c", leaving, clock.Now())
+		client.applyReply("c", confirmedReply(3), clock.Now())
+		Expect(client.Endpoints("s")).To(HaveLen(1), "a whole, settled list tells how it is")
+		young := confirmedReply(3)
 		young.Epoch = 2
 		young.Settled = false
-		young.PackedEndpoints = packed()
-		f.take("c", young, clock.Now())
-		Expect(f.Endpoints("s")).To(HaveLen(1), "a leader that has just begun knows little")
+		young.PackedEndpoints = packedEndpoints()
+		client.applyReply("c", young, clock.Now())
+		Expect(client.Endpoints("s")).To(HaveLen(1), "a leader that has just begun knows little")
 	})
 
 	It("asks whom a control host names, and the next of all when one is silent", func() {
 		hole, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = hole.Close() }() // the test is over
-		withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply { return confirmed(3) }, func(_ *fakeControl, leader string) {
+		withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply { return confirmedReply(3) }, func(_ *fakeControl, leader string) {
 			withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply {
 				return &rpc.SyncReply{Leader: leader}
 			}, func(_ *fakeControl, other string) {
-				f := newFollower(timer.NewSystem(), hole.Addr().String(), other)
+				client := newTestClient(timer.NewSystem(), hole.Addr().String(), other)
 				g := group.New(context.Background())
 				began := time.Now()
-				g.Go(f.Run)
-				Eventually(f.Ready, "5s", "10ms").Should(BeTrue())
+				g.Go(client.Run)
+				Eventually(client.Ready, "5s", "10ms").Should(BeTrue())
 				Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
 				g.Stop()
 			})
@@ -278,12 +278,12 @@
 			asks int // replicas asked
 		}{
 			{none: false, asks: 1},
-			{none: true, asks: standingTries},
+			{none: true, asks: maxFetchAttempts},
 		}
 		for _, k := range cases {
 			var address string
 			withControl(func(n int, q *rpc.SyncRequest) *rpc.SyncReply {
-				reply := confirmed(3)
+				reply := confirmedReply(3)
 				reply.Newest = 8
 				reply.Replicas = []string{address, address, address}
 				if n > 1 {
@@ -295,31 +295,31 @@
 				return reply
 			}, func(c *fakeControl, at string) {
 				address = at
-				c.noStanding = k.none
-				f := newFollower(timer.NewSystem(), at)
+				c.refuseFetch = k.none
+				client := newTestClient(timer.NewSystem(), at)
 				g := group.New(context.Background())
-				g.Go(f.Run)
-				Eventually(f.heldVersion, "5s", "5ms").Should(BeEquivalentTo(8))
-				Eventually(func() bool { return f.View().Fresh }, "5s", "5ms").Should(BeTrue())
+				g.Go(client.Run)
+				Eventually(client.configVersion, "5s", "5ms").Should(BeEquivalentTo(8))
+				Eventually(func() bool { return client.View().Fresh }, "5s", "5ms").Should(BeTrue())
 				g.Stop()
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				Expect(c.standing).To(HaveLen(k.asks))
+				Expect(c.fetches).To(HaveLen(k.asks))
 			})
 		}
 	})
 
 	It("asks for the whole once a patch was no good, and patches again after that", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		f.take("c", confirmed(3), clock.Now())
-		Expect(f.request("10.0.0.9:80").GetDocumentVersion()).To(BeEquivalentTo(3))
+		client := newTestClient(clock)
+		client.applyReply("c", confirmedReply(3), clock.Now())
+		Expect(client.syncRequest("10.0.0.9:80").GetDocumentVersion()).To(BeEquivalentTo(3))
 		next, err := json.Marshal(&fleet.Configuration{Version: 4})
 		Expect(err).NotTo(HaveOccurred())
-		good, err := fleet.Patch(f.content, next)
+		good, err := fleet.Patch(client.content, next)
 		Expect(err).NotTo(HaveOccurred())
 		patched := func(base uint64, patch []byte, digest uint64) *rpc.SyncReply {
-			reply := confirmed(3)
+			reply := confirmedReply(3)
 			reply.Document = nil
 			reply.Newest = 4
 			reply.Patch = &rpc.DocumentPatch{Version: 4, Base: base, Patch: patch, Digest: digest}
@@ -331,48 +331,48 @@
 			patched(3, good[:len(good)-1], fleet.ContentDigest(next)),
 		}
 		for _, reply := range cases {
-			Expect(f.take("c", reply, clock.Now())).To(BeFalse())
-			Expect(f.heldVersion()).To(BeEquivalentTo(3))
-			Expect(f.request("10.0.0.9:80").GetDocumentVersion()).To(BeZero())
-			Expect(f.take("c", confirmed(3), clock.Now())).To(BeTrue())
-			Expect(f.request("10.0.0.9:80").GetDocumentVersion()).To(BeEquivalentTo(3))
+			Expect(client.applyReply("c", reply, clock.Now())).To(BeFalse())
+			Expect(client.configVersion()).To(BeEquivalentTo(3))
+			Expect(client.syncRequest("10.0.0.9:80").GetDocumentVersion()).To(BeZero())
+			Expect(client.applyReply("c", confirmedReply(3), clock.Now())).To(BeTrue())
+			Expect(client.syncRequest("10.0.0.9:80").GetDocumentVersion()).To(BeEquivalentTo(3))
 		}
-		Expect(f.take("c", patched(3, good, fleet.ContentDigest(next)), clock.Now())).To(BeTrue())
-		Expect(f.heldVersion()).To(BeEquivalentTo(4))
+		Expect(client.applyReply("c", patched(3, good, fleet.ContentDigest(next)), clock.Now())).To(BeTrue())
+		Expect(client.configVersion()).To(BeEquivalentTo(4))
 	})
 
 	It("keeps its endpoints where a new leader holds the same, and names their digest to it", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		f.take("c", confirmed(3), clock.Now())
-		held := f.request("10.0.0.9:80")
-		Expect(held.GetEndpointsDigest()).To(Equal(fleet.EndpointsDigest(f.Endpoints("s"))))
-		Expect(f.take("d", &rpc.SyncReply{Confirmed: true, Epoch: 9, EndpointsVersion: 77, Settled: true, Newest: 3}, clock.Now())).To(BeTrue())
-		Expect(f.Endpoints("s")).To(HaveLen(1))
-		next := f.request("10.0.0.9:80")
+		client := newTestClient(clock)
+		client.applyReply("c", confirmedReply(3), clock.Now())
+		held := client.syncRequest("10.0.0.9:80")
+		Expect(held.GetEndpointsDigest()).To(Equal(fleet.EndpointsDigest(client.Endpoints("s"))))
+		Expect(client.applyReply("d", &rpc.SyncReply{Confirmed: true, Epoch: 9, EndpointsVersion: 77, Settled: true, Newest: 3}, clock.Now())).To(BeTrue())
+		Expect(client.Endpoints("s")).To(HaveLen(1))
+		next := client.syncRequest("10.0.0.9:80")
 		Expect(next.GetEpoch()).To(BeEquivalentTo(9))
 		Expect(next.GetEndpointsVersion()).To(BeEquivalentTo(77))
 		Expect(next.GetEndpointsDigest()).To(Equal(held.GetEndpointsDigest()))
 	})
 
 	It("tells at once that it leaves, though a call is held", func() {
-		held := make(chan struct{})
+		hold := make(chan struct{})
 		withControl(func(n int, q *rpc.SyncRequest) *rpc.SyncReply {
 			if n == 2 {
-				<-held
+				<-hold
 			}
-			return confirmed(3)
+			return confirmedReply(3)
 		}, func(c *fakeControl, address string) {
-			f := newFollower(timer.NewSystem(), address)
+			client := newTestClient(timer.NewSystem(), address)
 			g := group.New(context.Background())
-			g.Go(f.Run)
-			Eventually(c.asked, "5s", "5ms").Should(Equal(2))
-			f.Leave(f.cfg.Timer.Now().Add(time.Second))
-			Eventually(c.asked, "5s", "5ms").Should(BeNumerically(">", 2))
+			g.Go(client.Run)
+			Eventually(c.callCount, "5s", "5ms").Should(Equal(2))
+			client.Leave(client.cfg.Timer.Now().Add(time.Second))
+			Eventually(c.callCount, "5s", "5ms").Should(BeNumerically(">", 2))
 			c.mu.Lock()
 			Expect(c.calls[2].GetHost().GetReady()).To(BeFalse())
 			c.mu.Unlock()
-			close(held)
+			close(hold)
 			g.Stop()
 		})
 	})
@@ -381,9 +381,9 @@
 var _ = Describe("a host that stops", func() {
 	It("takes requests for a while, then refuses them with a time to come back, and ends when idle", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		f := newFollower(clock)
-		f.take("c", confirmed(3), clock.Now())
-		h := NewHost(f, 8*time.Second, clock, nil)
+		client := newTestClient(clock)
+		client.applyReply("c", confirmedReply(3), clock.Now())
+		h := NewHost(client, 8*time.Second, clock, nil)
 		end := h.Begin()
 		done := make(chan bool)
 		g := group.New(context.Background())
@@ -392,17 +392,17 @@
 			done <- true
 		})
 		Eventually(h.Leaving, "5s").Should(BeTrue())
-		Eventually(func() bool { h.mu.Lock(); defer h.mu.Unlock(); return !h.left.IsZero() }, "5s").Should(BeTrue())
+		Eventually(func() bool { h.mu.Lock(); defer h.mu.Unlock(); return !h.stoppingSince.IsZero() }, "5s").Should(BeTrue())
 		Expect(h.Ready()).To(BeFalse())
 		Expect(h.Refusal()).To(BeNil())
 		clock.Advance(refuseAfter)
 		Expect(h.Refusal().Kind()).To(Equal(failure.Draining))
 		Expect(h.Refusal().RetryAfter()).To(BeNumerically(">", 0))
-		clock.Advance(leastStay)
+		clock.Advance(minListenTime)
 		Consistently(done, "50ms").ShouldNot(Receive())
 		end()
 		Eventually(func() bool {
-			clock.Advance(idlePoll)
+			clock.Advance(idlePollInterval)
 			select {
 			case <-done:
 				return true
@@ -424,7 +424,7 @@
 		}
 		for _, c := range cases {
 			clock := timer.NewManual(time.Unix(1000, 0))
-			h := NewHost(newFollower(clock), c.grace, clock, nil)
+			h := NewHost(newTestClient(clock), c.grace, clock, nil)
 			h.Begin()
 			g := group.New(context.Background())
 			g.Go(h.Drain)
--- a/pkg/fleetentry/host.go
+++ b/pkg/fleetentry/host.go
@@ -15,16 +15,16 @@
 	// refuseAfter is how long after it was told to stop a host takes new
 	// requests: callers keep an address for seconds, and may be busy there.
 	refuseAfter = 2500 * time.Millisecond
-	// leastStay is how long it listens at least.
-	leastStay = 3 * time.Second
-	// stayMargin is taken off the time that a stop may take, or stayShare of it where
+	// minListenTime is how long it listens at least.
+	minListenTime = 3 * time.Second
+	// drainMargin is taken off the time that a stop may take, or stayShare of it where
 	// that is less: every stream that still runs when the process ends is cut.
-	stayMargin = 200 * time.Millisecond
-	stayShare  = 0.05
-	// elsewhere is when a caller that was sent away should come back, to
+	drainMargin      = 200 * time.Millisecond
+	drainMarginShare = 0.05
+	// drainRetryAfter is when a caller that was sent away should come back, to
 	// another host.
-	elsewhere = 100 * time.Millisecond
-	idlePoll  = 50 * time.Millisecond
+	drainRetryAfter  = 100 * time.Millisecond
+	idlePollInterval = 50 * time.Millisecond
 )
 
 // Host is an entry host's own state: whether it is ready, and how it leaves.
@@ -34,15 +34,15 @@
 	log   *eventlog.Log
 	grace time.Duration
 
-	mu     sync.Mutex
-	active int
-	left   time.Time // when it was told to stop
+	mu            sync.Mutex
+	active        int
+	stoppingSince time.Time // when it was told to stop
 }
 
 // NewHost returns a host that may take grace to stop.
-func NewHost(f *ControlClient, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
+func NewHost(c *ControlClient, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
 	return &Host{
-		ControlClient: f,
+		ControlClient: c,
 		svc:           svc,
 		log:           log,
 		grace:         grace,
@@ -72,10 +72,10 @@
 func (h *Host) Refusal() *failure.Error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.left.IsZero() || h.svc.Now().Sub(h.left) < refuseAfter {
+	if h.stoppingSince.IsZero() || h.svc.Now().Sub(h.stoppingSince) < refuseAfter {
 		return nil
 	}
-	return failure.New(failure.Draining, "this host is stopping").WithRetryAfter(elsewhere)
+	return failure.New(failure.Draining, "this host is stopping").WithRetryAfter(drainRetryAfter)
 }
 
 // Limits returns what callers may send.
@@ -91,18 +91,18 @@
 // the time for a stop is nearly over.
 func (h *Host) Drain(ctx context.Context) {
 	now := h.svc.Now()
-	end := now.Add(h.grace - min(stayMargin, time.Duration(stayShare*float64(h.grace))))
+	end := now.Add(h.grace - min(drainMargin, time.Duration(drainMarginShare*float64(h.grace))))
 	h.Leave(end)
 	h.mu.Lock()
-	h.left = now
+	h.stoppingSince = now
 	h.mu.Unlock()
 	h.log.Event(eventlog.Stopping, eventlog.Int("active", int64(h.Active())))
 	for ctx.Err() == nil {
 		now := h.svc.Now()
-		if now.After(end) || (h.Active() == 0 && now.Sub(h.left) >= leastStay) {
+		if now.After(end) || (h.Active() == 0 && now.Sub(h.stoppingSince) >= minListenTime) {
 			return
 		}
-		if timer.Sleep(ctx, h.svc, idlePoll) != nil {
+		if timer.Sleep(ctx, h.svc, idlePollInterval) != nil {
 			return
 		}
 	}
--- a/pkg/fleetentry/limits.go
+++ b/pkg/fleetentry/limits.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// borrowTimeout is how much longer than it may be held a call for permits takes at
+	// permitTimeoutMargin is how much longer than it may be held a call for permits takes at
 	// most.
-	borrowTimeout = 300 * time.Millisecond
-	// leaderDue is when a caller should be back whose request lacks a permit and a leader
+	permitTimeoutMargin = 300 * time.Millisecond
+	// noLeaderRetryAfter is when a caller should be back whose request lacks a permit and a leader
 	// that lends it: after an election and a second for what follows it.
-	leaderDue = 1600 * time.Millisecond
-	// askAgain is when to ask for a permit that a leader didn't answer for.
-	askAgain = 300 * time.Millisecond
+	noLeaderRetryAfter = 1600 * time.Millisecond
+	// permitRetryDelay is when to ask for a permit that a leader didn't answer for.
+	permitRetryDelay = 300 * time.Millisecond
 )
 
 // Permits is what this host knows of endpoints that have limits, and the permits that it
@@ -27,73 +27,73 @@
 type Permits interface {
 	TakeReport() permit.HostReport
 	PendingReports() []permit.LimitReport
-	Acknowledge(term uint64, words []permit.LimitReport)
-	ApplyChanges(term, version uint64, whole bool, list []permit.LimitChange)
-	AddPermits(term uint64, list permit.Counts, end time.Time)
+	Acknowledge(term uint64, reports []permit.LimitReport)
+	ApplyChanges(term, version uint64, full bool, list []permit.LimitChange)
+	AddPermits(term uint64, list permit.Counts, expires time.Time)
 }
 
-// tellLimits adds to a call what the leader must know to lend permits.
-func (f *ControlClient) tellLimits(q *rpc.SyncRequest) {
-	rep := f.permits.TakeReport()
-	q.LimitsTerm = rep.Term
-	q.LimitsVersion = rep.Version
-	q.LimitsDigest = rep.Digest
-	q.LimitWords = permit.LimitReportsToWire(rep.LimitReports, f.cfg.Timer.Now())
-	q.Unused = rep.Unused.ToWire()
-	q.Demands = permit.DemandsToWire(rep.Demands)
-	f.telling.words = rep.LimitReports
+// addLimitReport adds to a call what the leader must know to lend permits.
+func (c *ControlClient) addLimitReport(q *rpc.SyncRequest) {
+	report := c.permits.TakeReport()
+	q.LimitsTerm = report.Term
+	q.LimitsVersion = report.Version
+	q.LimitsDigest = report.Digest
+	q.LimitWords = permit.LimitReportsToWire(report.LimitReports, c.cfg.Timer.Now())
+	q.Unused = report.Unused.ToWire()
+	q.Demands = permit.DemandsToWire(report.Demands)
+	c.inFlight.limits = report.LimitReports
 }
 
-// takeLimits installs limits and permits of a reply to a call that was sent at a time. A
+// applyLimits installs limits and permits of a reply to a call that was sent at a time. A
 // permit is valid from when it was lent: after the call had been held.
-func (f *ControlClient) takeLimits(reply *rpc.SyncReply, sent time.Time) {
+func (c *ControlClient) applyLimits(reply *rpc.SyncReply, sent time.Time) {
 	term := reply.GetLimitsTerm()
-	f.permits.Acknowledge(term, f.telling.words)
-	f.permits.ApplyChanges(term, reply.GetLimitsVersion(), reply.GetLimitsWhole(), permit.LimitChangesFromWire(reply.GetLimits()))
-	lent := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
-	f.permits.AddPermits(term, permit.CountsFromWire(reply.GetPermits()), lent.Add(permit.Lifetime))
+	c.permits.Acknowledge(term, c.inFlight.limits)
+	c.permits.ApplyChanges(term, reply.GetLimitsVersion(), reply.GetLimitsWhole(), permit.LimitChangesFromWire(reply.GetLimits()))
+	grantedAt := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
+	c.permits.AddPermits(term, permit.CountsFromWire(reply.GetPermits()), grantedAt.Add(permit.Lifetime))
 }
 
 // ReportLimits implements gateway.Source.
-func (f *ControlClient) ReportLimits() {
+func (c *ControlClient) ReportLimits() {
 	select {
-	case f.heardLimit <- struct{}{}:
+	case c.limitObserved <- struct{}{}:
 	default: // what was heard goes with the call that is due
 	}
 }
 
-// tellHeard tells the leader at once of limits that this host heard: until all hosts know,
+// reportObservedLimits tells the leader at once of limits that this host heard: until all hosts know,
 // they go on sending. What can't be told goes with the next held call.
-func (f *ControlClient) tellHeard(ctx context.Context) {
+func (c *ControlClient) reportObservedLimits(ctx context.Context) {
 	for {
 		select {
-		case <-f.heardLimit:
+		case <-c.limitObserved:
 		case <-ctx.Done():
 			return
 		}
-		words := f.permits.PendingReports()
-		if len(words) == 0 {
+		reports := c.permits.PendingReports()
+		if len(reports) == 0 {
 			continue
 		}
-		reply, err := f.borrow(ctx, &rpc.BorrowRequest{
-			Words: permit.LimitReportsToWire(words, f.cfg.Timer.Now()),
+		reply, err := c.callLeader(ctx, &rpc.BorrowRequest{
+			Words: permit.LimitReportsToWire(reports, c.cfg.Timer.Now()),
 		}, 0)
 		if err != nil || !reply.GetConfirmed() {
-			f.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "limits couldn't be told at once; they go with the next call"), eventlog.Err(err))
-			if timer.Sleep(ctx, f.cfg.Timer, askAgain) != nil {
+			c.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "limits couldn't be told at once; they go with the next call"), eventlog.Err(err))
+			if timer.Sleep(ctx, c.cfg.Timer, permitRetryDelay) != nil {
 				return
 			}
 			continue
 		}
-		f.permits.Acknowledge(reply.GetTerm(), words)
+		c.permits.Acknowledge(reply.GetTerm(), reports)
 	}
 }
 
 // RequestPermits implements gateway.Source.
-func (f *ControlClient) RequestPermits(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) gateway.PermitReply {
-	if f.leader() == "" {
+func (c *ControlClient) RequestPermits(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) gateway.PermitReply {
+	if c.leaderAddress() == "" {
 		return gateway.PermitReply{
-			AvailableIn: leaderDue,
+			AvailableIn: noLeaderRetryAfter,
 		}
 	}
 	q := &rpc.BorrowRequest{
@@ -104,16 +104,16 @@
 	for _, id := range ids {
 		q.Endpoints = append(q.Endpoints, permit.EndpointKey(id))
 	}
-	sent := f.cfg.Timer.Now()
-	reply, err := f.borrow(ctx, q, wait)
+	sent := c.cfg.Timer.Now()
+	reply, err := c.callLeader(ctx, q, wait)
 	if err != nil || !reply.GetConfirmed() {
 		return gateway.PermitReply{
-			AvailableIn: askAgain,
+			AvailableIn: permitRetryDelay,
 		}
 	}
 	if reply.GetDueMs() == 0 {
-		lent := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
-		f.permits.AddPermits(reply.GetTerm(), permit.CountsFromWire(reply.GetPermits()), lent.Add(permit.Lifetime))
+		grantedAt := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
+		c.permits.AddPermits(reply.GetTerm(), permit.CountsFromWire(reply.GetPermits()), grantedAt.Add(permit.Lifetime))
 	}
 	return gateway.PermitReply{
 		AvailableIn: time.Duration(reply.GetDueMs()) * time.Millisecond,
@@ -121,20 +121,20 @@
 	}
 }
 
-// borrow calls the leader, which may hold the call for wait.
-func (f *ControlClient) borrow(ctx context.Context, q *rpc.BorrowRequest, wait time.Duration) (*rpc.BorrowReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+borrowTimeout)
+// callLeader calls the leader, which may hold the call for wait.
+func (c *ControlClient) callLeader(ctx context.Context, q *rpc.BorrowRequest, wait time.Duration) (*rpc.BorrowReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+permitTimeoutMargin)
 	defer cancel()
-	q.Host = f.cfg.Name
-	return rpc.NewFleetProtobufClient("http://"+f.leader(), f.cfg.Client).Borrow(ctx, q)
+	q.Host = c.cfg.Name
+	return rpc.NewFleetProtobufClient("http://"+c.leaderAddress(), c.cfg.Client).Borrow(ctx, q)
 }
 
-// leader returns the address of the leader that this host follows; empty if it has none.
-func (f *ControlClient) leader() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.lost {
+// leaderAddress returns the address of the leader that this host follows; empty if it has none.
+func (c *ControlClient) leaderAddress() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.controlLost {
 		return ""
 	}
-	return f.hint
+	return c.leaderHint
 }
--- a/pkg/fleetentry/limits_test.go
+++ b/pkg/fleetentry/limits_test.go
@@ -16,78 +16,78 @@
 	. "github.com/onsi/gomega"
 )
 
-// lendingControl lends by a script, and remembers what it was told.
-type lendingControl struct {
+// grantingControl lends by a script, and remembers what it was told.
+type grantingControl struct {
 	*fakeControl
-	mu    sync.Mutex
-	reply *rpc.BorrowReply
-	asked []*rpc.BorrowRequest
+	mu       sync.Mutex
+	reply    *rpc.BorrowReply
+	requests []*rpc.BorrowRequest
 }
 
-func (c *lendingControl) Borrow(_ context.Context, q *rpc.BorrowRequest) (*rpc.BorrowReply, error) {
+func (c *grantingControl) Borrow(_ context.Context, q *rpc.BorrowRequest) (*rpc.BorrowReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, q)
+	c.requests = append(c.requests, q)
 	return c.reply, nil
 }
 
-func (c *lendingControl) borrows() int {
+func (c *grantingControl) requestCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.asked)
+	return len(c.requests)
 }
 
-// withLending runs f on a follower of a leader that lends by reply, and knows of e1's limit.
-func withLending(reply *rpc.BorrowReply, f func(follower *ControlClient, book *permit.Holder, c *lendingControl, clock *timer.Manual)) {
-	c := &lendingControl{fakeControl: &fakeControl{}, reply: reply}
-	withFleet(c, func(address string) {
+// withGrantingControl runs f on a follower of a leader that lends by reply, and knows of e1's limit.
+func withGrantingControl(reply *rpc.BorrowReply, f func(client *ControlClient, holder *permit.Holder, c *grantingControl, clock *timer.Manual)) {
+	c := &grantingControl{fakeControl: &fakeControl{}, reply: reply}
+	withFleetServer(c, func(address string) {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		follower := newFollower(clock)
-		book := permit.NewHolder(clock, 1)
-		follower.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), book)
-		first := confirmed(3)
+		client := newTestClient(clock)
+		holder := permit.NewHolder(clock, 1)
+		client.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), holder)
+		first := confirmedReply(3)
 		first.LimitsTerm = 1
 		first.LimitsVersion = 1
 		first.Limits = []*rpc.Limit{{Endpoint: permit.EndpointKey("e1"), Service: "s", PerSecond: 8}}
-		follower.take(address, first, clock.Now())
-		f(follower, book, c, clock)
+		client.applyReply(address, first, clock.Now())
+		f(client, holder, c, clock)
 	})
 }
 
 var _ = Describe("an entry host's dealings with limits", func() {
 	It("tells words, demand and unused permits with each call, and what wasn't taken again", func() {
-		withLending(nil, func(f *ControlClient, book *permit.Holder, _ *lendingControl, clock *timer.Manual) {
-			book.Observe("e1", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 7}, clock.Now())
-			book.CountRequest("s")
-			book.CountRequest("s")
-			q := f.request("10.0.0.9:80")
+		withGrantingControl(nil, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, clock *timer.Manual) {
+			holder.Observe("e1", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 7}, clock.Now())
+			holder.CountRequest("s")
+			holder.CountRequest("s")
+			q := client.syncRequest("10.0.0.9:80")
 			Expect(q.GetLimitsTerm()).To(Equal(uint64(1)))
 			Expect(q.GetLimitsVersion()).To(Equal(uint64(1)))
 			Expect(q.GetLimitWords()[0].GetPerSecond()).To(Equal(7.0))
 			Expect(q.GetDemands()[0].GetRequests()).To(Equal(uint32(2)))
 			Expect(q.GetDemands()[0].GetWanted()).To(Equal([]uint32{permit.EndpointKey("e1")}))
-			q = f.request("10.0.0.9:80")
+			q = client.syncRequest("10.0.0.9:80")
 			Expect(q.GetLimitWords()).To(HaveLen(1), "the call before got no answer")
-			reply := confirmed(3)
+			reply := confirmedReply(3)
 			reply.LimitsTerm = 1
 			reply.LimitsVersion = 2
-			f.take("c", reply, clock.Now())
-			Expect(f.request("10.0.0.9:80").GetLimitWords()).To(BeEmpty())
+			client.applyReply("c", reply, clock.Now())
+			Expect(client.syncRequest("10.0.0.9:80").GetLimitWords()).To(BeEmpty())
 		})
 	})
 
 	It("uses permits for their time, counted from when they were lent", func() {
-		withLending(nil, func(f *ControlClient, book *permit.Holder, _ *lendingControl, clock *timer.Manual) {
+		withGrantingControl(nil, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, clock *timer.Manual) {
 			sent := clock.Now()
 			clock.Advance(800 * time.Millisecond) // of which the leader held the call 300
-			reply := confirmed(3)
+			reply := confirmedReply(3)
 			reply.LimitsTerm = 1
 			reply.HeldMs = 300
 			reply.Permits = permit.Counts{permit.EndpointKey("e1"): 2}.ToWire()
-			f.take("c", reply, sent)
-			Expect(book.TryAcquire("e1")).To(BeTrue())
+			client.applyReply("c", reply, sent)
+			Expect(holder.TryAcquire("e1")).To(BeTrue())
 			clock.Advance(permit.Lifetime - 500*time.Millisecond)
-			Expect(book.TryAcquire("e1")).To(BeFalse())
+			Expect(holder.TryAcquire("e1")).To(BeFalse())
 		})
 	})
 
@@ -101,41 +101,41 @@
 		}{
 			{name: "lent", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}},
 			{name: "none", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, DueMs: 700, GapMs: 1400}, due: 700 * time.Millisecond, gap: 1400 * time.Millisecond},
-			{name: "not by who doesn't lead", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, due: askAgain},
-			{name: "no leader", lost: true, due: leaderDue},
+			{name: "not by who doesn't lead", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, due: permitRetryDelay},
+			{name: "no leader", lost: true, due: noLeaderRetryAfter},
 		}
 		for _, c := range cases {
-			withLending(c.reply, func(f *ControlClient, book *permit.Holder, _ *lendingControl, _ *timer.Manual) {
+			withGrantingControl(c.reply, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, _ *timer.Manual) {
 				if c.lost {
-					f.missed("c", "", nil)
+					client.syncFailed("c", "", nil)
 				}
-				loan := f.RequestPermits(context.Background(), []string{"e1"}, true, 5, 0)
-				Expect(loan.AvailableIn).To(Equal(c.due), c.name)
-				Expect(loan.Interval).To(Equal(c.gap), c.name)
-				Expect(book.TryAcquire("e1")).To(Equal(c.due == 0), c.name)
+				permits := client.RequestPermits(context.Background(), []string{"e1"}, true, 5, 0)
+				Expect(permits.AvailableIn).To(Equal(c.due), c.name)
+				Expect(permits.Interval).To(Equal(c.gap), c.name)
+				Expect(holder.TryAcquire("e1")).To(Equal(c.due == 0), c.name)
 			})
 		}
 	})
 
 	It("tells the leader at once of a limit that it heard of, and later if it couldn't", func() {
-		withLending(&rpc.BorrowReply{Confirmed: true, Term: 1}, func(f *ControlClient, book *permit.Holder, c *lendingControl, clock *timer.Manual) {
+		withGrantingControl(&rpc.BorrowReply{Confirmed: true, Term: 1}, func(client *ControlClient, holder *permit.Holder, c *grantingControl, clock *timer.Manual) {
 			g := group.New(context.Background())
 			defer g.Stop()
-			g.Go(f.tellHeard)
-			book.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
-			f.ReportLimits()
-			Eventually(c.borrows, "5s").Should(Equal(1))
-			Expect(c.asked[0].GetWords()[0].GetEndpoint()).To(Equal(permit.EndpointKey("e2")))
-			Eventually(book.PendingReports, "5s").Should(BeEmpty())
+			g.Go(client.reportObservedLimits)
+			holder.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
+			client.ReportLimits()
+			Eventually(c.requestCount, "5s").Should(Equal(1))
+			Expect(c.requests[0].GetWords()[0].GetEndpoint()).To(Equal(permit.EndpointKey("e2")))
+			Eventually(holder.PendingReports, "5s").Should(BeEmpty())
 		})
-		withLending(&rpc.BorrowReply{}, func(f *ControlClient, book *permit.Holder, c *lendingControl, clock *timer.Manual) {
+		withGrantingControl(&rpc.BorrowReply{}, func(client *ControlClient, holder *permit.Holder, c *grantingControl, clock *timer.Manual) {
 			g := group.New(context.Background())
 			defer g.Stop()
-			g.Go(f.tellHeard)
-			book.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
-			f.ReportLimits()
-			Eventually(c.borrows, "5s").Should(Equal(1))
-			Expect(f.request("10.0.0.9:80").GetLimitWords()).To(HaveLen(1))
+			g.Go(client.reportObservedLimits)
+			holder.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
+			client.ReportLimits()
+			Eventually(c.requestCount, "5s").Should(Equal(1))
+			Expect(client.syncRequest("10.0.0.9:80").GetLimitWords()).To(HaveLen(1))
 		})
 	})
 })
--- a/pkg/fleetentry/silent_test.go
+++ b/pkg/fleetentry/silent_test.go
@@ -20,20 +20,20 @@
 			gate := make(chan struct{})
 			withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply {
 				<-gate
-				return confirmed(3)
+				return confirmedReply(3)
 			}, func(_ *fakeControl, address string) {
 				p, err := fakelink.New(address)
 				Expect(err).NotTo(HaveOccurred())
 				defer p.Close()
-				f := newFollower(timer.NewSystem(), p.Address())
-				f.cfg.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+				client := newTestClient(timer.NewSystem(), p.Address())
+				client.cfg.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 				const atRest = 5
 				calls := sync.WaitGroup{}
 				for range atRest {
 					calls.Add(1)
 					background(func() {
 						defer calls.Done()
-						_, _ = rpc.NewFleetProtobufClient("http://"+p.Address(), f.cfg.Client).Sync(context.Background(), &rpc.SyncRequest{})
+						_, _ = rpc.NewFleetProtobufClient("http://"+p.Address(), client.cfg.Client).Sync(context.Background(), &rpc.SyncRequest{})
 					})
 				}
 				Eventually(p.Opened, "5s", "5ms").Should(Equal(atRest))
@@ -43,8 +43,8 @@
 				g := group.New(context.Background())
 				defer g.Stop()
 				began := time.Now()
-				g.Go(f.Run)
-				Eventually(f.Ready, "10s", "10ms").Should(BeTrue())
+				g.Go(client.Run)
+				Eventually(client.Ready, "10s", "10ms").Should(BeTrue())
 				Expect(time.Since(began)).To(BeNumerically("<", 2*syncTimeout))
 			})
 		}
--- a/pkg/fleetentry/suspects.go
+++ b/pkg/fleetentry/suspects.go
@@ -12,7 +12,7 @@
 // Quarantine is what this host knows of requests under which endpoints ended.
 type Quarantine interface {
 	// Unreported returns what the leader of a term must be told.
-	Unreported(term uint64) (ends []quarantine.Crash, served []quarantine.Fingerprint)
+	Unreported(term uint64) (crashes []quarantine.Crash, served []quarantine.Fingerprint)
 	// Acknowledge notes that the leader of a term took that.
 	Acknowledge(term uint64, ends []quarantine.Crash, served int)
 	// SetDecisions installs what the control hosts say, and Digest returns its digest.
@@ -20,17 +20,17 @@
 	Digest() uint64
 }
 
-// telling is what one call tells of suspicions and limits.
-type telling struct {
-	ends   []quarantine.Crash
-	served int
-	words  []permit.LimitReport
+// syncReport is what one call tells of suspicions and limits.
+type syncReport struct {
+	crashes []quarantine.Crash
+	served  int
+	limits  []permit.LimitReport
 }
 
-// tellSuspects adds to a call what the leader that answered last wasn't told.
-func (f *ControlClient) tellSuspects(q *rpc.SyncRequest) {
-	ends, served := f.suspicions.Unreported(termOf(f.epoch))
-	for _, e := range ends {
+// addQuarantineReport adds to a call what the leader that answered last wasn't told.
+func (c *ControlClient) addQuarantineReport(q *rpc.SyncRequest) {
+	crashes, served := c.quarantine.Unreported(termOf(c.epoch))
+	for _, e := range crashes {
 		q.Ended = append(q.Ended, &rpc.EndedSend{
 			Fingerprint: uint64(e.Fingerprint),
 			Endpoint:    e.Endpoint,
@@ -41,17 +41,17 @@
 	for _, s := range served {
 		q.Served = append(q.Served, uint64(s))
 	}
-	q.SuspectsDigest = f.suspicions.Digest()
-	f.telling = telling{
-		ends:   ends,
-		served: len(served),
+	q.SuspectsDigest = c.quarantine.Digest()
+	c.inFlight = syncReport{
+		crashes: crashes,
+		served:  len(served),
 	}
 }
 
-// takeSuspects notes that a call was taken, and installs what it brings.
-func (f *ControlClient) takeSuspects(reply *rpc.SyncReply) {
-	f.suspicions.Acknowledge(termOf(reply.GetEpoch()), f.telling.ends, f.telling.served)
-	if reply.GetSuspectsDigest() == f.suspicions.Digest() {
+// applyQuarantine notes that a call was taken, and installs what it brings.
+func (c *ControlClient) applyQuarantine(reply *rpc.SyncReply) {
+	c.quarantine.Acknowledge(termOf(reply.GetEpoch()), c.inFlight.crashes, c.inFlight.served)
+	if reply.GetSuspectsDigest() == c.quarantine.Digest() {
 		return
 	}
 	list := make([]quarantine.Decision, 0, len(reply.GetSuspects()))
@@ -61,7 +61,7 @@
 			HoldTime:    time.Duration(s.GetHeldMs()) * time.Millisecond,
 		})
 	}
-	f.suspicions.SetDecisions(list, reply.GetSuspectsDigest())
+	c.quarantine.SetDecisions(list, reply.GetSuspectsDigest())
 }
 
 // termOf returns the leader's term of an epoch (fleetcontrol.epochOf).
--- a/pkg/fleetentry/take.go
+++ b/pkg/fleetentry/take.go
@@ -12,110 +12,110 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// take installs a confirmed reply. It confirms the configuration held here only
+// applyReply installs a confirmed reply. It confirms the configuration held here only
 // if that is the one that stands. The reply was true after the call had
 // waited for as long as it says, so after sent plus that time.
-func (f *ControlClient) take(address string, reply *rpc.SyncReply, sent time.Time) bool {
-	doc, err := f.open(reply.GetDocument(), reply.GetPatch())
+func (c *ControlClient) applyReply(address string, reply *rpc.SyncReply, sent time.Time) bool {
+	doc, err := c.decodeConfig(reply.GetDocument(), reply.GetPatch())
 	if err != nil {
-		f.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration can't be read; it is asked for whole"), eventlog.Err(err))
-		f.whole = true
+		c.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration can't be read; it is asked for whole"), eventlog.Err(err))
+		c.wantFull = true
 		return false
 	}
-	f.whole = false
-	now := f.cfg.Timer.Now()
-	list, err := endpointsOf(reply, now)
+	c.wantFull = false
+	now := c.cfg.Timer.Now()
+	list, err := decodeEndpoints(reply, now)
 	if err != nil {
-		f.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the list of endpoints can't be read"), eventlog.Err(err))
+		c.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the list of endpoints can't be read"), eventlog.Err(err))
 		return false
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.install(doc, address)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.installIfNewer(doc, address)
 	at := sent.Add(time.Duration(reply.GetHeldMs()) * time.Millisecond)
-	if at.After(f.confirmedAt) && f.index != nil && f.index.Version() >= reply.GetNewest() {
-		f.confirmedAt = at
-	}
-	if f.lost {
-		f.cfg.Log.Event(eventlog.ControlRegained, eventlog.Str("address", address))
-	}
-	f.lost = false
-	close(f.confirmed)
-	f.confirmed = make(chan struct{})
-	f.hint = address
-	f.settled = reply.GetSettled() || f.settled && !reply.GetWhole()
-	f.takeEndpoints(reply, list, now)
-	f.takeLoads(reply.GetLoads())
-	f.takeHosts(reply)
-	f.takeSuspects(reply)
-	f.takeRests(reply)
-	f.takeLimits(reply, sent)
-	f.telling = telling{}
+	if at.After(c.confirmedAt) && c.index != nil && c.index.Version() >= reply.GetNewest() {
+		c.confirmedAt = at
+	}
+	if c.controlLost {
+		c.cfg.Log.Event(eventlog.ControlRegained, eventlog.Str("address", address))
+	}
+	c.controlLost = false
+	close(c.confirmed)
+	c.confirmed = make(chan struct{})
+	c.leaderHint = address
+	c.settled = reply.GetSettled() || c.settled && !reply.GetWhole()
+	c.applyEndpoints(reply, list, now)
+	c.applyLoads(reply.GetLoads())
+	c.applyHosts(reply)
+	c.applyQuarantine(reply)
+	c.applyBackoffs(reply)
+	c.applyLimits(reply, sent)
+	c.inFlight = syncReport{}
 	if list := reply.GetReplicas(); len(list) > 0 {
-		f.replicas = list
+		c.replicas = list
 	}
 	return true
 }
 
-// takeEndpoints merges a list; only one that is whole and settled takes rows
+// applyEndpoints merges a list; only one that is whole and settled takes rows
 // away that it doesn't hold.
-func (f *ControlClient) takeEndpoints(reply *rpc.SyncReply, list []fleet.Endpoint, now time.Time) {
+func (c *ControlClient) applyEndpoints(reply *rpc.SyncReply, list []fleet.Endpoint, now time.Time) {
 	if reply.GetWhole() && reply.GetSettled() {
-		f.endpoints = map[string]fleet.Endpoint{}
+		c.endpoints = map[string]fleet.Endpoint{}
 	}
-	f.epoch = reply.GetEpoch()
-	f.version = reply.GetEndpointsVersion()
+	c.epoch = reply.GetEpoch()
+	c.endpointsVersion = reply.GetEndpointsVersion()
 	if len(list) == 0 && !reply.GetWhole() {
 		return
 	}
 	for _, e := range list {
-		f.mergeEndpoint(e)
+		c.mergeEndpoint(e)
 	}
-	f.rebuild(now)
+	c.rebuild(now)
 }
 
 // mergeEndpoint keeps what never goes back, whichever control host tells it.
-func (f *ControlClient) mergeEndpoint(e fleet.Endpoint) {
-	old, known := f.endpoints[e.ID]
+func (c *ControlClient) mergeEndpoint(e fleet.Endpoint) {
+	old, known := c.endpoints[e.ID]
 	if known && e.Sequence < old.Sequence {
 		old.Leaving = old.Leaving || e.Leaving
 		old.Gone = old.Gone || e.Gone
-		f.endpoints[e.ID] = old
+		c.endpoints[e.ID] = old
 		return
 	}
 	e.Leaving = e.Leaving || old.Leaving
 	e.Gone = e.Gone || old.Gone
-	f.endpoints[e.ID] = e
+	c.endpoints[e.ID] = e
 }
 
 // rebuild sorts the usable endpoints by service.
-func (f *ControlClient) rebuild(now time.Time) {
-	f.byService = map[string][]fleet.Endpoint{}
-	told := make([]fleet.Endpoint, 0, len(f.endpoints))
-	for id, e := range f.endpoints {
+func (c *ControlClient) rebuild(now time.Time) {
+	c.byService = map[string][]fleet.Endpoint{}
+	usable := make([]fleet.Endpoint, 0, len(c.endpoints))
+	for id, e := range c.endpoints {
 		if !e.Usable() {
-			if now.Sub(e.LastHeartbeat) > goneKeep {
-				delete(f.endpoints, id)
+			if now.Sub(e.LastHeartbeat) > goneRetention {
+				delete(c.endpoints, id)
 			}
 			continue
 		}
-		told = append(told, e)
-		if !f.heardLeaving(id) {
-			f.byService[e.Service] = append(f.byService[e.Service], e)
+		usable = append(usable, e)
+		if !c.announcedLeaving(id) {
+			c.byService[e.Service] = append(c.byService[e.Service], e)
 		}
 	}
-	f.forgetLeaves(now)
-	close(f.changed)
-	f.changed = make(chan struct{})
-	f.digest = fleet.EndpointsDigest(told)
-	for _, list := range f.byService {
+	c.expireLeaving(now)
+	close(c.changed)
+	c.changed = make(chan struct{})
+	c.endpointsDigest = fleet.EndpointsDigest(usable)
+	for _, list := range c.byService {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
 }
 
-// endpointsOf returns the endpoints that a reply brings: all, or those that
+// decodeEndpoints returns the endpoints that a reply brings: all, or those that
 // changed.
-func endpointsOf(reply *rpc.SyncReply, now time.Time) ([]fleet.Endpoint, error) {
+func decodeEndpoints(reply *rpc.SyncReply, now time.Time) ([]fleet.Endpoint, error) {
 	if !reply.GetWhole() {
 		return fleet.EndpointsFromWire(reply.GetEndpoints(), now), nil
 	}
@@ -130,36 +130,36 @@
 	return fleet.EndpointsFromWire(all.GetEndpoints(), now), nil
 }
 
-// takeLoads takes what all hosts have under way, this one's share off: that is
+// applyLoads takes what all hosts have under way, this one's share off: that is
 // what it told with the call that is being answered.
-func (f *ControlClient) takeLoads(l *rpc.LoadTable) {
+func (c *ControlClient) applyLoads(l *rpc.LoadTable) {
 	if l == nil || len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
 		return // not told this time
 	}
-	f.others = make(map[uint32]gateway.Load, len(l.GetEndpoints()))
+	c.peerLoads = make(map[uint32]gateway.Load, len(l.GetEndpoints()))
 	for i, key := range l.GetEndpoints() {
-		f.others[key] = gateway.Load{
+		c.peerLoads[key] = gateway.Load{
 			Requests: int(l.GetRequests()[i]),
 			Tokens:   int(l.GetTokens()[i]),
 		}
 	}
-	for id, own := range f.told {
+	for id, own := range c.reportedLoads {
 		key := fleet.LoadKey(id)
-		all := f.others[key]
-		f.others[key] = gateway.Load{
+		all := c.peerLoads[key]
+		c.peerLoads[key] = gateway.Load{
 			Requests: max(0, all.Requests-own.Requests),
 			Tokens:   max(0, all.Tokens-own.Tokens),
 		}
 	}
-	f.toldThen = f.told
+	c.baselineLoads = c.reportedLoads
 }
 
-// takeHosts takes which hosts callers may be told of, and how many there are.
-func (f *ControlClient) takeHosts(reply *rpc.SyncReply) {
+// applyHosts takes which hosts callers may be told of, and how many there are.
+func (c *ControlClient) applyHosts(reply *rpc.SyncReply) {
 	if n := reply.GetHosts(); n > 0 {
-		f.hosts = int(n)
+		c.hostCount = int(n)
 	}
-	if reply.GetAddressesDigest() != fleet.AddressesDigest(f.addresses) {
-		f.addresses = reply.GetAddresses()
+	if reply.GetAddressesDigest() != fleet.AddressesDigest(c.callerAddresses) {
+		c.callerAddresses = reply.GetAddresses()
 	}
 }
--- a/pkg/fleetentry/view.go
+++ b/pkg/fleetentry/view.go
@@ -8,71 +8,71 @@
 )
 
 // View implements gateway.Source.
-func (f *ControlClient) View() gateway.View {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	age := f.cfg.Timer.Now().Sub(f.confirmedAt)
+func (c *ControlClient) View() gateway.View {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	age := c.cfg.Timer.Now().Sub(c.confirmedAt)
 	return gateway.View{
-		Index:   f.index,
-		Fresh:   age < freshFor,
-		Trusted: f.trusted(age),
+		Index:   c.index,
+		Fresh:   age < maxFreshAge,
+		Trusted: c.trusted(age),
 		Age:     age,
 	}
 }
 
-func (f *ControlClient) trusted(age time.Duration) bool {
-	return f.cfg.MaxRevocationDelay <= 0 || age < f.cfg.MaxRevocationDelay-revokeMargin
+func (c *ControlClient) trusted(age time.Duration) bool {
+	return c.cfg.MaxRevocationDelay <= 0 || age < c.cfg.MaxRevocationDelay-revocationMargin
 }
 
 // Endpoints implements gateway.Source. The caller must not change the list.
-func (f *ControlClient) Endpoints(service string) []fleet.Endpoint {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.byService[service]
+func (c *ControlClient) Endpoints(service string) []fleet.Endpoint {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byService[service]
 }
 
 // EndpointLeaving implements gateway.Source.
-func (f *ControlClient) EndpointLeaving(id string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	e, known := f.endpoints[id]
-	return known && !e.Usable() || f.heardLeaving(id)
+func (c *ControlClient) EndpointLeaving(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e, known := c.endpoints[id]
+	return known && !e.Usable() || c.announcedLeaving(id)
 }
 
 // EndpointSlowdown implements gateway.Source.
-func (f *ControlClient) EndpointSlowdown(id string) float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.endpoints[id].Slowdown
+func (c *ControlClient) EndpointSlowdown(id string) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.endpoints[id].Slowdown
 }
 
 // HasReleased implements gateway.Source.
-func (f *ControlClient) HasReleased(id string, layers fleet.Range) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	e, known := f.endpoints[id]
+func (c *ControlClient) HasReleased(id string, layers fleet.Range) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e, known := c.endpoints[id]
 	return known && e.Loading && (e.Layers.From > layers.From || e.Layers.To < layers.To)
 }
 
 // Confirmed implements gateway.Source.
-func (f *ControlClient) Confirmed() <-chan struct{} {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.confirmed
+func (c *ControlClient) Confirmed() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.confirmed
 }
 
 // Settled implements gateway.Source.
-func (f *ControlClient) Settled() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.settled
+func (c *ControlClient) Settled() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.settled
 }
 
 // Changed implements gateway.Source.
-func (f *ControlClient) Changed() <-chan struct{} {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.changed
+func (c *ControlClient) Changed() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.changed
 }
 
 // PeerLoad implements gateway.Source. What the other hosts told is up to two
@@ -80,68 +80,68 @@
 // begun since then, they are taken to have begun too: after a stop or a loss,
 // requests come to all hosts at once, and each would send them to the same
 // endpoints.
-func (f *ControlClient) PeerLoad(id string) gateway.Load {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.loads.Load(id)
-	load := f.others[fleet.LoadKey(id)]
-	told := f.toldThen[id]
-	others := max(0, f.hosts-1)
-	load.Requests += others * max(0, now.Requests-told.Requests)
-	load.Tokens += others * max(0, now.Tokens-told.Tokens)
+func (c *ControlClient) PeerLoad(id string) gateway.Load {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.loads.Load(id)
+	load := c.peerLoads[fleet.LoadKey(id)]
+	reported := c.baselineLoads[id]
+	others := max(0, c.hostCount-1)
+	load.Requests += others * max(0, now.Requests-reported.Requests)
+	load.Tokens += others * max(0, now.Tokens-reported.Tokens)
 	return load
 }
 
 // HostCount implements gateway.Source.
-func (f *ControlClient) HostCount() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return max(1, f.hosts)
+func (c *ControlClient) HostCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return max(1, c.hostCount)
 }
 
 // Ready reports whether callers should be sent here.
-func (f *ControlClient) Ready() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.ready()
+func (c *ControlClient) Ready() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ready()
 }
 
-func (f *ControlClient) ready() bool {
-	age := f.cfg.Timer.Now().Sub(f.confirmedAt)
-	return f.index != nil && !f.leaving && f.trusted(age) && len(f.byService) > 0
+func (c *ControlClient) ready() bool {
+	age := c.cfg.Timer.Now().Sub(c.confirmedAt)
+	return c.index != nil && !c.leaving && c.trusted(age) && len(c.byService) > 0
 }
 
 // ShutdownIn implements gateway.Source.
-func (f *ControlClient) ShutdownIn() (time.Duration, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.stopsAt.IsZero() {
+func (c *ControlClient) ShutdownIn() (time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.shutdownAt.IsZero() {
 		return 0, false
 	}
-	return max(0, f.stopsAt.Sub(f.cfg.Timer.Now())), true
+	return max(0, c.shutdownAt.Sub(c.cfg.Timer.Now())), true
 }
 
 // Leaving reports whether Leave was called.
-func (f *ControlClient) Leaving() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.leaving
+func (c *ControlClient) Leaving() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leaving
 }
 
 // Addresses returns where callers may connect: the ready hosts, or this one if
 // no other is known.
-func (f *ControlClient) Addresses() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *ControlClient) Addresses() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var list []string
-	for _, a := range f.addresses {
-		if a == f.cfg.CallerAddress && !f.ready() {
+	for _, a := range c.callerAddresses {
+		if a == c.cfg.CallerAddress && !c.ready() {
 			continue
 		}
 		list = append(list, a)
 	}
-	if len(list) == 0 && f.ready() {
-		list = append(list, f.cfg.CallerAddress)
+	if len(list) == 0 && c.ready() {
+		list = append(list, c.cfg.CallerAddress)
 	}
 	return list
 }
