--- a/pkg/fleetentry/document.go
+++ b/pkg/fleetentry/document.go
@@ -11,22 +11,22 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// fetchTimeout bounds a call to another replica for a large configuration: one
-// of 18 KB takes 7 ms over a host's own link of 20 Mbit/s.
+// fetchTimeout bounds a call that fetches a large configuration from a control replica.
 const fetchTimeout = 600 * time.Millisecond
 
-// errPatchMismatch says that a patch doesn't give what it was made of.
-var errPatchMismatch = errors.New("the patch isn't of the configuration held here")
+// errPatchMismatch is returned when a patch has another base version than the configuration
+// held, or when its result doesn't have the expected digest.
+var errPatchMismatch = errors.New("the patch doesn't apply to the configuration held")
 
-// receivedConfig is a configuration that a control host sent.
+// receivedConfig is a decoded configuration and the content that it was decoded from.
 type receivedConfig struct {
 	index   *fleet.Index
 	content []byte
 }
 
-// decodeConfig makes a configuration out of what a control host sent, whole or as a
-// patch of the one held; nil if it sent none. It runs without the lock: only
-// Run's goroutine changes the content held.
+// decodeConfig decodes the configuration that a control host sent in full or as a patch
+// of the one held. It returns nil if neither was sent. It reads content without holding
+// mu, since only Run's goroutine changes it.
 func (c *ControlClient) decodeConfig(doc *rpc.Document, patch *rpc.DocumentPatch) (*receivedConfig, error) {
 	var content []byte
 	var err error
@@ -65,7 +65,7 @@
 	return content, nil
 }
 
-// configVersion returns the configuration's version; 0 if there is none.
+// configVersion returns the version of the active configuration, or 0 if there is none.
 func (c *ControlClient) configVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,8 @@
 	return c.index.Version()
 }
 
-// installIfNewer puts a configuration in force if it is newer. The caller holds mu.
+// installIfNewer makes a configuration the active one if its version is higher than the
+// active one's. The caller holds mu.
 func (c *ControlClient) installIfNewer(r *receivedConfig, from string) {
 	if r == nil || c.index != nil && r.index.Version() <= c.index.Version() {
 		return
@@ -85,8 +86,9 @@
 	c.cfg.Log.Event(eventlog.ConfigInForce, eventlog.Int("version", int64(r.index.Version())), eventlog.Str("from", from))
 }
 
-// fetchConfig takes a configuration that the leader didn't send itself from another
-// replica: each host begins with one of its own, so that they share the hosts.
+// fetchConfig fetches a configuration that the leader didn't send itself from the control
+// replicas. Each entry host starts with another replica, which spreads the transfers.
+// If no replica returns the version newest, the next Sync asks the leader for it.
 func (c *ControlClient) fetchConfig(ctx context.Context, newest uint64) {
 	for _, address := range c.replicasToAsk() {
 		if c.configVersion() >= newest || ctx.Err() != nil {
@@ -97,10 +99,11 @@
 	c.mayAskReplicas = c.configVersion() >= newest
 }
 
-// replicasToAsk returns the replicas, from the one that this host asks first.
+// replicasToAsk returns at most maxFetchAttempts replicas, beginning at a position derived
+// from this host's name.
 func (c *ControlClient) replicasToAsk() []string {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(c.cfg.Name)) // a hash can't fail
+	_, _ = h.Write([]byte(c.cfg.Name)) // a hash's Write never fails
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []string
@@ -111,7 +114,7 @@
 }
 
 // maxFetchAttempts is how many replicas are asked before the leader must send the
-// configuration: one may have just lost its disk, or be cut off.
+// configuration. One replica may have lost its disk or be unreachable.
 const maxFetchAttempts = 2
 
 func (c *ControlClient) fetchConfigFrom(ctx context.Context, address string) {
--- a/pkg/fleetentry/follower.go
+++ b/pkg/fleetentry/follower.go
@@ -1,6 +1,7 @@
 // Package fleetentry is an entry host's side of a deployment whose operator
-// sends whole configurations: what the host believes and since when, which
-// hosts callers are told of, and how it leaves.
+// sends complete configurations. It holds the host's copy of the state that control
+// hosts publish and when that was last confirmed, decides which hosts callers are
+// referred to, and shuts the host down gracefully.
 package fleetentry
 
 import (
@@ -19,102 +20,103 @@
 )
 
 const (
-	// syncWait is how long a call without news is held; loads are told as often.
+	// syncWait is how long a control host holds a long poll open while nothing changes.
+	// It is also the interval at which loads are reported.
 	syncWait = 400 * time.Millisecond
-	// syncTimeout ends a call to a control host that went silent.
+	// syncTimeout bounds a call to a control host that doesn't answer.
 	syncTimeout = 900 * time.Millisecond
-	// retryDelay lies between two calls that failed.
+	// retryDelay is the pause after a failed call.
 	retryDelay = 50 * time.Millisecond
-	// maxFreshAge is how old a confirmation may be for a final refusal by the
-	// configuration.
+	// maxFreshAge is the age below which a confirmation of the configuration allows this
+	// host to reject a request finally because of it.
 	maxFreshAge = 1500 * time.Millisecond
-	// revocationMargin is taken off the bound for keys that were taken away, for
-	// clocks that differ in speed and a request's way to this host.
+	// revocationMargin is subtracted from the maximum revocation delay, to allow for clock
+	// drift and for the time that a request takes to reach this host.
 	revocationMargin = 400 * time.Millisecond
-	// goneRetention is how long an endpoint that ended is remembered.
+	// goneRetention is how long an unusable endpoint is remembered after its last heartbeat,
+	// and a notice that an unknown endpoint is leaving after it was received.
 	goneRetention = time.Minute
 )
 
-// Decoder reads a configuration as the operator sends it.
+// Decoder decodes a configuration in the form in which the operator sends it.
 type Decoder interface {
 	Decode(content []byte) (*fleet.Configuration, error)
 }
 
-// Loads tells what this host has under way.
+// Loads provides the load that this host puts on endpoints.
 type Loads interface {
 	Loads() map[string]gateway.Load
-	// Load returns what is under way at one endpoint.
+	// Load returns the requests in flight at one endpoint.
 	Load(id string) gateway.Load
-	// Suspects returns the endpoints that failed this host just now.
+	// Suspects returns the endpoints at which this host's requests failed recently.
 	Suspects() []string
 }
 
-// ControlClientConfig is what a Follower is made of. Every field must be set.
+// ControlClientConfig configures a ControlClient. Every field must be set.
 type ControlClientConfig struct {
 	Name          string
 	Domain        string
 	CallerAddress string
-	// Seeds returns the control hosts' addresses that the settings tell.
+	// Seeds returns the control hosts' addresses from the settings.
 	Seeds              func() []string
-	MaxRevocationDelay time.Duration // how long a key that was taken away may serve
+	MaxRevocationDelay time.Duration // how long a revoked key may still be accepted; 0 or less: no bound
 	Decoder            Decoder
 	Client             *http.Client
 	Timer              timer.Service
 	Log                *eventlog.Log
 }
 
-// ControlClient keeps what this host believes. It is safe for use by several
-// goroutines.
+// ControlClient holds this host's copy of the state that control hosts publish, and keeps
+// it current by long polling the leader. It is safe for concurrent use.
 //
-// Invariants: the configuration's version never falls; confirmedAt never
-// falls, and the configuration was the newest acknowledged one at that time or
-// later.
+// Invariants: the configuration's version never decreases. confirmedAt never decreases,
+// and the configuration was the newest acknowledged one at that time or later.
 type ControlClient struct {
 	cfg           ControlClientConfig
 	loads         Loads
-	quarantine    Quarantine
+	enforcer      Quarantine
 	backoffs      Backoffs
 	permits       Permits
-	limitObserved chan struct{} // holds one if the leader must be told of limits
+	limitObserved chan struct{} // buffers one signal: a rate limit must be reported to the leader
 
-	// content is the configuration in force as the operator sent it, which
-	// patches are applied to. whole says that a patch was no good, askOthers that
-	// another replica may be asked for a large configuration. Only Run's
-	// goroutine touches these and telling.
+	// content is the active configuration as the operator sent it, to which patches are
+	// applied. wantFull says that a patch couldn't be used, so that the full configuration
+	// is requested, and mayAskReplicas that the leader may refer this host to another
+	// replica for a large one. Only Run's goroutine uses these three and inFlight.
 	content        []byte
 	wantFull       bool
 	mayAskReplicas bool
-	inFlight       syncReport // with the call under way
+	inFlight       syncReport // sent with the current call
 
 	mu               sync.Mutex
 	index            *fleet.Index
-	confirmedAt      time.Time // zero: never
+	confirmedAt      time.Time // zero if it never was
 	controlLost      bool
 	epoch            uint64
-	endpointsVersion uint64 // of endpoints
+	endpointsVersion uint64
 	endpoints        map[string]fleet.Endpoint
 	byService        map[string][]fleet.Endpoint
-	leavingSince     map[string]time.Time    // when endpoints told this host that they leave
-	endpointsDigest  uint64                  // of the usable endpoints
-	peerLoads        map[uint32]gateway.Load // by fleet.LoadKey; of all hosts but this one
-	reportedLoads    map[string]gateway.Load // this host's, with the last call
-	baselineLoads    map[string]gateway.Load // and with the call that brought others
-	callerAddresses  []string                // hosts that callers may be told of
-	hostCount        int                     // how many are ready
+	leavingSince     map[string]time.Time    // when endpoints reported to this host that they are leaving
+	endpointsDigest  uint64                  // of the endpoints in the list that are usable
+	peerLoads        map[uint32]gateway.Load // of all hosts but this one, by fleet.LoadKey
+	reportedLoads    map[string]gateway.Load // this host's, as sent with the last call
+	baselineLoads    map[string]gateway.Load // this host's, as sent with the call whose reply set peerLoads
+	callerAddresses  []string                // of the hosts to which callers may be referred
+	hostCount        int                     // ready entry hosts
 	replicas         []string
 	leaving          bool
-	shutdownAt       time.Time // zero: it wasn't told to stop
+	shutdownAt       time.Time // zero unless the host is stopping
 	settled          bool
-	targetIndex      int // which control host is asked
+	targetIndex      int // position of the control host to call next, unless leaderHint is set
 	leaderHint       string
-	interrupt        context.CancelFunc // of the call under way
+	interrupt        context.CancelFunc // cancels the current call
 	interrupted      bool
 	wasReady         bool
-	changed          chan struct{} // closed when endpoints change
-	confirmed        chan struct{} // closed with each confirmation
+	changed          chan struct{} // closed and replaced when endpoints change
+	confirmed        chan struct{} // closed and replaced with each confirmed reply
 }
 
-// NewControlClient returns a follower that believes nothing yet.
+// NewControlClient returns a client that holds no configuration and no endpoints yet.
 func NewControlClient(cfg ControlClientConfig) *ControlClient {
 	return &ControlClient{
 		cfg:            cfg,
@@ -130,16 +132,17 @@
 	}
 }
 
-// SetSources sets where the follower learns of this host's load, of requests under which
-// endpoints ended, and of endpoints that rest or have limits. It must be called before Run.
+// SetSources sets the sources of what this host reports to the control hosts: its loads,
+// requests that crash endpoints, endpoints in backoff, and rate limits with their permits.
+// It must be called before Run.
 func (c *ControlClient) SetSources(loads Loads, quarantine Quarantine, backoffs Backoffs, permits Permits) {
 	c.loads = loads
-	c.quarantine = quarantine
+	c.enforcer = quarantine
 	c.backoffs = backoffs
 	c.permits = permits
 }
 
-// Run follows the control hosts until ctx ends.
+// Run polls the control hosts until ctx ends.
 func (c *ControlClient) Run(ctx context.Context) {
 	g := group.New(ctx)
 	defer g.Stop()
@@ -154,7 +157,8 @@
 	}
 }
 
-// sync asks one control host, and reports whether it confirmed.
+// sync makes one long poll, and reports whether the next may follow without a delay: the
+// reply was applied, or Leave interrupted the call.
 func (c *ControlClient) sync(ctx context.Context) bool {
 	address := c.chooseControlHost()
 	if address == "" {
@@ -181,8 +185,8 @@
 	return true
 }
 
-// chooseControlHost returns the control host to ask: the one that was named as leader, or
-// the next of all that are known.
+// chooseControlHost returns the address of the control host to call: the last known leader,
+// or else the next of all that are known. It is empty if none is known.
 func (c *ControlClient) chooseControlHost() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,8 +202,8 @@
 
 func (c *ControlClient) syncFailed(address, leader string, err error) {
 	if err != nil {
-		// Connections at rest may have gone silent with this one: each would cost a
-		// time-out more.
+		// Idle connections may have become unresponsive together with this one, and each
+		// would cost another time-out.
 		c.cfg.Client.CloseIdleConnections()
 	}
 	c.mu.Lock()
@@ -238,7 +242,7 @@
 		q.DocumentVersion = c.index.Version()
 	}
 	q.AskOthers = c.mayAskReplicas
-	c.mayAskReplicas = true // one whole configuration from the leader is enough
+	c.mayAskReplicas = true // the leader need not send more than one large configuration itself
 	if !q.GetHost().GetReady() {
 		q.WaitMs /= 2
 	}
@@ -254,7 +258,7 @@
 	return q
 }
 
-// logReadyChange logs when readiness has changed.
+// logReadyChange logs a change of readiness. The caller holds mu.
 func (c *ControlClient) logReadyChange() {
 	now := c.ready()
 	if now == c.wasReady {
@@ -264,8 +268,8 @@
 	c.cfg.Log.Event(eventlog.ReadyChanged, eventlog.Str("ready", strconv.FormatBool(now)))
 }
 
-// Leave makes this host unready for good, and tells the control hosts at once.
-// It works until end at the latest.
+// Leave makes this host permanently unready, and reports that to the control hosts at
+// once by interrupting the long poll. The host serves requests until end at the latest.
 func (c *ControlClient) Leave(end time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/fleetentry/host.go
+++ b/pkg/fleetentry/host.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// refuseAfter is how long after it was told to stop a host takes new
-	// requests: callers keep an address for seconds, and may be busy there.
+	// refuseAfter is how long a stopping host still accepts new requests: callers cache
+	// its address for seconds, and may have requests in flight there.
 	refuseAfter = 2500 * time.Millisecond
-	// minListenTime is how long it listens at least.
+	// minListenTime is how long a stopping host listens at least.
 	minListenTime = 3 * time.Second
-	// drainMargin is taken off the time that a stop may take, or stayShare of it where
-	// that is less: every stream that still runs when the process ends is cut.
+	// drainMargin is subtracted from the grace period, or drainMarginShare of the period
+	// where that is less, so that draining ends before the process is killed. It is small
+	// because every stream in progress when the process ends is cut off.
 	drainMargin      = 200 * time.Millisecond
 	drainMarginShare = 0.05
-	// drainRetryAfter is when a caller that was sent away should come back, to
-	// another host.
+	// drainRetryAfter is when a caller that was refused should retry at another host.
 	drainRetryAfter  = 100 * time.Millisecond
 	idlePollInterval = 50 * time.Millisecond
 )
 
-// Host is an entry host's own state: whether it is ready, and how it leaves.
+// Host is an entry host. It counts requests in flight and drains them before a stop.
 type Host struct {
 	*ControlClient
 	svc   timer.Service
@@ -36,10 +36,10 @@
 
 	mu            sync.Mutex
 	active        int
-	stoppingSince time.Time // when it was told to stop
+	stoppingSince time.Time // when draining began; zero before that
 }
 
-// NewHost returns a host that may take grace to stop.
+// NewHost returns a host with the given grace period for stopping.
 func NewHost(c *ControlClient, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
 	return &Host{
 		ControlClient: c,
@@ -49,7 +49,7 @@
 	}
 }
 
-// Begin counts a request; the function returned ends it.
+// Begin counts a request in flight until the returned function is called.
 func (h *Host) Begin() func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,14 +61,14 @@
 	}
 }
 
-// Active returns how many requests are under way.
+// Active returns the number of requests in flight.
 func (h *Host) Active() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.active
 }
 
-// Refusal returns why a new request isn't taken, or nil.
+// Refusal returns the reason for which a new request must be refused, or nil.
 func (h *Host) Refusal() *failure.Error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +78,8 @@
 	return failure.New(failure.Draining, "this host is stopping").WithRetryAfter(drainRetryAfter)
 }
 
-// Limits returns what callers may send.
+// Limits returns the size limits of callers' requests. They are zero before the first
+// configuration.
 func (h *Host) Limits() fleet.Limits {
 	v := h.View()
 	if v.Index == nil {
@@ -87,8 +88,8 @@
 	return v.Index.Limits()
 }
 
-// Drain makes the host unready and waits until no request is under way, or
-// the time for a stop is nearly over.
+// Drain makes the host unready and waits until no request is in flight, but for
+// minListenTime at least and for the grace period less its margin at most.
 func (h *Host) Drain(ctx context.Context) {
 	now := h.svc.Now()
 	end := now.Add(h.grace - min(drainMargin, time.Duration(drainMarginShare*float64(h.grace))))
--- a/pkg/fleetentry/limits.go
+++ b/pkg/fleetentry/limits.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	// permitTimeoutMargin is how much longer than it may be held a call for permits takes at
-	// most.
+	// permitTimeoutMargin is the time that a request for permits may take beyond the time
+	// for which the leader may hold it open.
 	permitTimeoutMargin = 300 * time.Millisecond
-	// noLeaderRetryAfter is when a caller should be back whose request lacks a permit and a leader
-	// that lends it: after an election and a second for what follows it.
+	// noLeaderRetryAfter is when a permit can be available if no leader is known: after an
+	// election and one second for the new leader to start granting.
 	noLeaderRetryAfter = 1600 * time.Millisecond
-	// permitRetryDelay is when to ask for a permit that a leader didn't answer for.
+	// permitRetryDelay is the pause after a request that the leader didn't answer.
 	permitRetryDelay = 300 * time.Millisecond
 )
 
-// Permits is what this host knows of endpoints that have limits, and the permits that it
-// holds.
+// Permits holds the rate limits of endpoints that this host knows, and its permits.
 type Permits interface {
 	TakeReport() permit.HostReport
 	PendingReports() []permit.LimitReport
@@ -32,7 +31,8 @@
 	AddPermits(term uint64, list permit.Counts, expires time.Time)
 }
 
-// addLimitReport adds to a call what the leader must know to lend permits.
+// addLimitReport adds what the leader needs in order to grant permits: observed limits,
+// unused permits and demand.
 func (c *ControlClient) addLimitReport(q *rpc.SyncRequest) {
 	report := c.permits.TakeReport()
 	q.LimitsTerm = report.Term
@@ -44,8 +44,9 @@
 	c.inFlight.limits = report.LimitReports
 }
 
-// applyLimits installs limits and permits of a reply to a call that was sent at a time. A
-// permit is valid from when it was lent: after the call had been held.
+// applyLimits applies the limits and permits of a reply to a call that was sent at the given
+// time. A permit's lifetime begins when it was granted, which is when the leader stopped
+// holding the call open.
 func (c *ControlClient) applyLimits(reply *rpc.SyncReply, sent time.Time) {
 	term := reply.GetLimitsTerm()
 	c.permits.Acknowledge(term, c.inFlight.limits)
@@ -58,12 +59,13 @@
 func (c *ControlClient) ReportLimits() {
 	select {
 	case c.limitObserved <- struct{}{}:
-	default: // what was heard goes with the call that is due
+	default: // a report is already due and will include this limit
 	}
 }
 
-// reportObservedLimits tells the leader at once of limits that this host heard: until all hosts know,
-// they go on sending. What can't be told goes with the next held call.
+// reportObservedLimits reports limits to the leader as soon as this host observes them,
+// because hosts that don't know a limit go on sending. A report that fails goes with the
+// next long poll.
 func (c *ControlClient) reportObservedLimits(ctx context.Context) {
 	for {
 		select {
@@ -121,7 +123,7 @@
 	}
 }
 
-// callLeader calls the leader, which may hold the call for wait.
+// callLeader makes a Borrow call to the leader, which may hold it open for wait.
 func (c *ControlClient) callLeader(ctx context.Context, q *rpc.BorrowRequest, wait time.Duration) (*rpc.BorrowReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+permitTimeoutMargin)
 	defer cancel()
@@ -129,7 +131,8 @@
 	return rpc.NewFleetProtobufClient("http://"+c.leaderAddress(), c.cfg.Client).Borrow(ctx, q)
 }
 
-// leaderAddress returns the address of the leader that this host follows; empty if it has none.
+// leaderAddress returns the address of the leader that last confirmed, or an empty string
+// if the connection to it is lost.
 func (c *ControlClient) leaderAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/fleetentry/suspects.go
+++ b/pkg/fleetentry/suspects.go
@@ -9,27 +9,30 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// Quarantine is what this host knows of requests under which endpoints ended.
+// Quarantine holds this host's knowledge of requests that crash endpoints.
 type Quarantine interface {
-	// Unreported returns what the leader of a term must be told.
+	// Unreported returns the crashes and the served requests that the leader of a term has
+	// not acknowledged yet.
 	Unreported(term uint64) (crashes []quarantine.Crash, served []quarantine.Fingerprint)
-	// Acknowledge notes that the leader of a term took that.
+	// Acknowledge records that the leader of a term received them.
 	Acknowledge(term uint64, ends []quarantine.Crash, served int)
-	// SetDecisions installs what the control hosts say, and Digest returns its digest.
+	// SetDecisions replaces the decisions of the control hosts, and Digest returns the
+	// digest of those held.
 	SetDecisions(list []quarantine.Decision, digest uint64)
 	Digest() uint64
 }
 
-// syncReport is what one call tells of suspicions and limits.
+// syncReport is the part of a Sync request that is acknowledged once the call succeeds.
 type syncReport struct {
 	crashes []quarantine.Crash
 	served  int
 	limits  []permit.LimitReport
 }
 
-// addQuarantineReport adds to a call what the leader that answered last wasn't told.
+// addQuarantineReport adds the crashes and served requests that the leader of the last
+// known term has not acknowledged.
 func (c *ControlClient) addQuarantineReport(q *rpc.SyncRequest) {
-	crashes, served := c.quarantine.Unreported(termOf(c.epoch))
+	crashes, served := c.enforcer.Unreported(termOf(c.epoch))
 	for _, e := range crashes {
 		q.Ended = append(q.Ended, &rpc.EndedSend{
 			Fingerprint: uint64(e.Fingerprint),
@@ -41,17 +44,18 @@
 	for _, s := range served {
 		q.Served = append(q.Served, uint64(s))
 	}
-	q.SuspectsDigest = c.quarantine.Digest()
+	q.SuspectsDigest = c.enforcer.Digest()
 	c.inFlight = syncReport{
 		crashes: crashes,
 		served:  len(served),
 	}
 }
 
-// applyQuarantine notes that a call was taken, and installs what it brings.
+// applyQuarantine acknowledges what the call reported and installs the decisions of its
+// reply, unless their digest equals that of the decisions held.
 func (c *ControlClient) applyQuarantine(reply *rpc.SyncReply) {
-	c.quarantine.Acknowledge(termOf(reply.GetEpoch()), c.inFlight.crashes, c.inFlight.served)
-	if reply.GetSuspectsDigest() == c.quarantine.Digest() {
+	c.enforcer.Acknowledge(termOf(reply.GetEpoch()), c.inFlight.crashes, c.inFlight.served)
+	if reply.GetSuspectsDigest() == c.enforcer.Digest() {
 		return
 	}
 	list := make([]quarantine.Decision, 0, len(reply.GetSuspects()))
@@ -61,10 +65,11 @@
 			HoldTime:    time.Duration(s.GetHeldMs()) * time.Millisecond,
 		})
 	}
-	c.quarantine.SetDecisions(list, reply.GetSuspectsDigest())
+	c.enforcer.SetDecisions(list, reply.GetSuspectsDigest())
 }
 
-// termOf returns the leader's term of an epoch (fleetcontrol.epochOf).
+// termOf returns the leader's term of an epoch. An epoch is twice the term, plus one once
+// the term has settled.
 func termOf(epoch uint64) uint64 {
 	return epoch / 2
 }
--- a/pkg/fleetentry/take.go
+++ b/pkg/fleetentry/take.go
@@ -12,9 +12,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// applyReply installs a confirmed reply. It confirms the configuration held here only
-// if that is the one that stands. The reply was true after the call had
-// waited for as long as it says, so after sent plus that time.
+// applyReply applies a confirmed reply to a call that was sent at the given time, and
+// reports whether the reply could be decoded. It confirms the active configuration only if
+// the control host knows no newer one. The confirmation counts from sent plus the time for
+// which the control host says it held the call, since the reply was true at that time.
 func (c *ControlClient) applyReply(address string, reply *rpc.SyncReply, sent time.Time) bool {
 	doc, err := c.decodeConfig(reply.GetDocument(), reply.GetPatch())
 	if err != nil {
@@ -57,8 +58,8 @@
 	return true
 }
 
-// applyEndpoints merges a list; only one that is whole and settled takes rows
-// away that it doesn't hold.
+// applyEndpoints merges a list of endpoints. Only a full list of a settled term removes
+// endpoints that it doesn't contain. The caller holds mu.
 func (c *ControlClient) applyEndpoints(reply *rpc.SyncReply, list []fleet.Endpoint, now time.Time) {
 	if reply.GetWhole() && reply.GetSettled() {
 		c.endpoints = map[string]fleet.Endpoint{}
@@ -74,7 +75,8 @@
 	c.rebuild(now)
 }
 
-// mergeEndpoint keeps what never goes back, whichever control host tells it.
+// mergeEndpoint adds or updates an endpoint. The higher sequence number wins, and an
+// endpoint that was leaving or gone remains so, whichever control host sent it.
 func (c *ControlClient) mergeEndpoint(e fleet.Endpoint) {
 	old, known := c.endpoints[e.ID]
 	if known && e.Sequence < old.Sequence {
@@ -88,7 +90,10 @@
 	c.endpoints[e.ID] = e
 }
 
-// rebuild sorts the usable endpoints by service.
+// rebuild recomputes the usable endpoints of each service and their digest, and drops
+// endpoints and leave notices that are past their retention. Endpoints that reported their
+// leaving only to this host count in the digest, since the leader still lists them. The
+// caller holds mu.
 func (c *ControlClient) rebuild(now time.Time) {
 	c.byService = map[string][]fleet.Endpoint{}
 	usable := make([]fleet.Endpoint, 0, len(c.endpoints))
@@ -113,8 +118,8 @@
 	}
 }
 
-// decodeEndpoints returns the endpoints that a reply brings: all, or those that
-// changed.
+// decodeEndpoints returns the endpoints of a reply: all of them if it has a full list, and
+// those that changed otherwise.
 func decodeEndpoints(reply *rpc.SyncReply, now time.Time) ([]fleet.Endpoint, error) {
 	if !reply.GetWhole() {
 		return fleet.EndpointsFromWire(reply.GetEndpoints(), now), nil
@@ -130,11 +135,11 @@
 	return fleet.EndpointsFromWire(all.GetEndpoints(), now), nil
 }
 
-// applyLoads takes what all hosts have under way, this one's share off: that is
-// what it told with the call that is being answered.
+// applyLoads sets the load of the other hosts: the load of all hosts less this host's
+// share, which is what it reported with the call that is being answered.
 func (c *ControlClient) applyLoads(l *rpc.LoadTable) {
 	if l == nil || len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
-		return // not told this time
+		return // the reply has no load table
 	}
 	c.peerLoads = make(map[uint32]gateway.Load, len(l.GetEndpoints()))
 	for i, key := range l.GetEndpoints() {
@@ -154,7 +159,7 @@
 	c.baselineLoads = c.reportedLoads
 }
 
-// applyHosts takes which hosts callers may be told of, and how many there are.
+// applyHosts sets the addresses to which callers may be referred and the number of hosts.
 func (c *ControlClient) applyHosts(reply *rpc.SyncReply) {
 	if n := reply.GetHosts(); n > 0 {
 		c.hostCount = int(n)
--- a/pkg/fleetentry/view.go
+++ b/pkg/fleetentry/view.go
@@ -31,7 +31,8 @@
 	return c.byService[service]
 }
 
-// EndpointLeaving implements gateway.Source.
+// EndpointLeaving implements gateway.Source. An endpoint that control hosts report as gone
+// counts too.
 func (c *ControlClient) EndpointLeaving(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,10 +76,10 @@
 	return c.changed
 }
 
-// PeerLoad implements gateway.Source. What the other hosts told is up to two
-// calls old, or as many as it takes to tell of all endpoints. What this host has
-// begun since then, they are taken to have begun too: after a stop or a loss,
-// requests come to all hosts at once, and each would send them to the same
+// PeerLoad implements gateway.Source. The load that the other hosts reported is up to two
+// calls old, or as many as it takes to report on all endpoints. Each of them is assumed to
+// have added as much load since then as this host has: after an endpoint or a host is lost,
+// requests reach all hosts at once, and each host would otherwise send them to the same
 // endpoints.
 func (c *ControlClient) PeerLoad(id string) gateway.Load {
 	c.mu.Lock()
@@ -99,7 +100,7 @@
 	return max(1, c.hostCount)
 }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether callers should be referred to this host.
 func (c *ControlClient) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,8 +129,8 @@
 	return c.leaving
 }
 
-// Addresses returns where callers may connect: the ready hosts, or this one if
-// no other is known.
+// Addresses returns the addresses to which callers may connect: those of the ready hosts,
+// or this host's own if it is ready and no other is known.
 func (c *ControlClient) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/fleetentry/words.go
+++ b/pkg/fleetentry/words.go
@@ -9,17 +9,17 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// Backoffs is which endpoints asked this host for rest.
+// Backoffs holds the endpoints that asked this host for backoff.
 type Backoffs interface {
-	// Active returns for how much longer.
+	// Active returns the remaining time by endpoint.
 	Active() map[string]time.Duration
-	// Merge notes a rest that another process of this host was asked for.
+	// Merge adds a backoff that an endpoint asked of another process of this host.
 	Merge(id string, remaining time.Duration)
 }
 
-// MarkLeaving implements gateway.Source: an endpoint told this host itself that it leaves. The
-// host keeps that for good, whatever control hosts tell: they may be out of reach, and
-// what they were told by the endpoint may be older. They are told with the next call.
+// MarkLeaving implements gateway.Source: an endpoint reported to this host in an answer that
+// it is leaving. That stays, whatever control hosts report: they may be unreachable, and
+// what the endpoint reported to them may be older. The next call reports it to them.
 func (c *ControlClient) MarkLeaving(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,7 +29,7 @@
 	now := c.cfg.Timer.Now()
 	c.leavingSince[id] = now
 	if e, known := c.endpoints[id]; !known || !e.Usable() {
-		return // nothing changes now
+		return // it isn't in the list of usable endpoints
 	}
 	c.cfg.Log.Event(eventlog.EndpointLeaving, eventlog.Str("endpoint", id), eventlog.Str("why", "its own answer"))
 	c.rebuild(now)
@@ -40,7 +40,8 @@
 	return heard
 }
 
-// expireLeaving drops those of endpoints that aren't known any more.
+// expireLeaving drops the leave notices of endpoints that are no longer known, once they
+// are older than goneRetention.
 func (c *ControlClient) expireLeaving(now time.Time) {
 	for id, at := range c.leavingSince {
 		if _, known := c.endpoints[id]; !known && now.Sub(at) > goneRetention {
@@ -49,10 +50,11 @@
 	}
 }
 
-// addNotices adds to a call what endpoints told this host of themselves: to any leader
-// which of them leave, as far as it doesn't know; to one on this machine which rest, as
-// its questions and orders come from the same machine. Those that rest are no suspects:
-// they have just answered, and questions are what they don't want.
+// addNotices adds the notices that endpoints sent to this host. Any control host receives
+// the endpoints that are leaving, as long as it lists them as usable. Only a control process
+// on this host receives the endpoints in backoff, since its probes and orders come from the
+// same host. Endpoints in backoff aren't reported as suspects: they have just answered, and
+// a suspect would be probed.
 func (c *ControlClient) addNotices(q *rpc.SyncRequest, address string) {
 	for id := range c.leavingSince {
 		if e, known := c.endpoints[id]; known && e.Usable() {
@@ -71,14 +73,15 @@
 	q.Resting = rest.ToWire(backingOff)
 }
 
-// applyBackoffs takes what endpoints asked the control process of this machine for.
+// applyBackoffs merges the backoffs that endpoints asked of the control process on this
+// host.
 func (c *ControlClient) applyBackoffs(reply *rpc.SyncReply) {
 	for _, r := range reply.GetResting() {
 		c.backoffs.Merge(r.GetEndpoint(), rest.FromWire(r))
 	}
 }
 
-// sameHost reports whether two addresses are of one machine.
+// sameHost reports whether two addresses have the same host part.
 func sameHost(a, b string) bool {
 	one, _, err := net.SplitHostPort(a)
 	if err != nil {
