--- a/pkg/fleetentry/follower_test.go
+++ b/pkg/fleetentry/follower_test.go
@@ -38,7 +38,7 @@
 	return c, json.Unmarshal(content, c)
 }
 
-// fakeLoads has the same number of requests under way everywhere.
+// fakeLoads has the same number of requests in flight at every endpoint.
 type fakeLoads struct {
 	requests int
 }
@@ -58,14 +58,14 @@
 
 func (l *fakeLoads) Suspects() []string { return nil }
 
-// fakeControl answers held calls by a script.
+// fakeControl answers long polls by a script.
 type fakeControl struct {
-	rpc.Fleet // the calls that no test makes
+	rpc.Fleet // nil: a call that is not overridden panics
 	mu        sync.Mutex
 	answer    func(n int, q *rpc.SyncRequest) *rpc.SyncReply
 	calls     []*rpc.SyncRequest
 	fetches   []*rpc.StandingRequest
-	// refuseFetch says that no configuration is handed out.
+	// refuseFetch makes Standing fail.
 	refuseFetch bool
 }
 
@@ -77,13 +77,13 @@
 	return c.answer(n, q), nil
 }
 
-// Standing hands out version 8, as every replica that has applied it does.
+// Standing returns version 8, as every replica that has applied it does.
 func (c *fakeControl) Standing(_ context.Context, q *rpc.StandingRequest) (*rpc.StandingReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fetches = append(c.fetches, q)
 	if c.refuseFetch {
-		return nil, errors.New("the replica's storage is being opened again")
+		return nil, errors.New("the replica's storage is being reopened")
 	}
 	return &rpc.StandingReply{
 		Document: document(8),
@@ -96,14 +96,14 @@
 	return len(c.calls)
 }
 
-// withFleetServer serves control hosts' calls.
+// withFleetServer runs f with the address at which c is served.
 func withFleetServer(c rpc.Fleet, f func(address string)) {
 	s := httptest.NewServer(rpc.NewFleetServer(c))
 	defer s.Close()
 	f(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// withControl serves a scripted control host.
+// withControl runs f with a fakeControl that answers by the script.
 func withControl(answer func(n int, q *rpc.SyncRequest) *rpc.SyncReply, f func(c *fakeControl, address string)) {
 	c := &fakeControl{answer: answer}
 	withFleetServer(c, func(address string) { f(c, address) })
@@ -143,7 +143,7 @@
 	}
 }
 
-// packedEndpoints is a whole list of endpoints as it is sent.
+// packedEndpoints encodes a full list of endpoints as a control host sends it.
 func packedEndpoints(list ...*rpc.Announcement) []byte {
 	text, err := proto.Marshal(&rpc.SpreadRequest{Endpoints: list})
 	Expect(err).NotTo(HaveOccurred())
@@ -152,8 +152,8 @@
 	return out
 }
 
-var _ = Describe("what an entry host believes", func() {
-	It("is nothing before the first confirmation, and callers aren't sent to it", func() {
+var _ = Describe("an entry host's local state", func() {
+	It("is empty before the first confirmation, and callers aren't referred to the host", func() {
 		client := newTestClient(timer.NewManual(time.Unix(1000, 0)))
 		Expect(client.View().Index).To(BeNil())
 		Expect(client.View().Fresh).To(BeFalse())
@@ -161,7 +161,7 @@
 		Expect(client.Addresses()).To(BeEmpty())
 	})
 
-	It("goes stale step by step: final refusals first, then keys, then readiness", func() {
+	It("loses freshness first, and the trust in keys and readiness later, as the confirmation ages", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		Expect(client.applyReply("c", confirmedReply(3), clock.Now())).To(BeTrue())
@@ -174,7 +174,7 @@
 		Expect(client.Ready()).To(BeFalse())
 	})
 
-	It("counts a confirmation from when the call was sent, not from when its answer came", func() {
+	It("counts a confirmation from when the call was sent, not from when its reply arrived", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		sent := clock.Now()
@@ -185,7 +185,7 @@
 		Expect(client.View().Age).To(Equal(2600 * time.Millisecond))
 	})
 
-	It("isn't confirmed by a reply that knows a newer configuration and doesn't bring it", func() {
+	It("isn't confirmed by a reply that knows a newer configuration and doesn't contain it", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		client.applyReply("c", confirmedReply(3), clock.Now())
@@ -200,7 +200,7 @@
 		Expect(client.View().Age).To(BeZero())
 	})
 
-	It("takes other hosts to have begun what this host has begun since its last call", func() {
+	It("assumes that other hosts added as much load since the last call as this host", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		own := &fakeLoads{requests: 2}
@@ -236,7 +236,7 @@
 		Expect(client.View().Index.Version()).To(BeEquivalentTo(7))
 	})
 
-	It("keeps that an endpoint leaves, and loses endpoints only to a whole, settled list", func() {
+	It("keeps leaving endpoints as leaving, and removes endpoints only by a full list of a settled term", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		client.applyReply("c", confirmedReply(3), clock.Now())
@@ -244,24 +244,24 @@
 		leaving.PackedEndpoints = packedEndpoints(&rpc.Announcement{Id: "e1", Service: "s", Address: "10.1.0.1:80", Sequence: 3, Leaving: true})
 		client.applyReply("c", leaving, clock.Now())
 		client.applyReply("c", confirmedReply(3), clock.Now())
-		Expect(client.Endpoints("s")).To(HaveLen(1), "a whole, settled list tells how it is")
-		young := confirmedReply(3)
-		young.Epoch = 2
-		young.Settled = false
-		young.PackedEndpoints = packedEndpoints()
-		client.applyReply("c", young, clock.Now())
-		Expect(client.Endpoints("s")).To(HaveLen(1), "a leader that has just begun knows little")
+		Expect(client.Endpoints("s")).To(HaveLen(1), "a full list of a settled term replaces the one held")
+		unsettled := confirmedReply(3)
+		unsettled.Epoch = 2
+		unsettled.Settled = false
+		unsettled.PackedEndpoints = packedEndpoints()
+		client.applyReply("c", unsettled, clock.Now())
+		Expect(client.Endpoints("s")).To(HaveLen(1), "a list of a term that has not settled may be incomplete")
 	})
 
-	It("asks whom a control host names, and the next of all when one is silent", func() {
-		hole, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	It("calls the leader that a control host names, and the next control host when one doesn't answer", func() {
+		unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 		Expect(err).NotTo(HaveOccurred())
-		defer func() { _ = hole.Close() }() // the test is over
+		defer func() { _ = unresponsive.Close() }() // the test is over
 		withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply { return confirmedReply(3) }, func(_ *fakeControl, leader string) {
 			withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply {
 				return &rpc.SyncReply{Leader: leader}
 			}, func(_ *fakeControl, other string) {
-				client := newTestClient(timer.NewSystem(), hole.Addr().String(), other)
+				client := newTestClient(timer.NewSystem(), unresponsive.Addr().String(), other)
 				g := group.New(context.Background())
 				began := time.Now()
 				g.Go(client.Run)
@@ -272,7 +272,7 @@
 		})
 	})
 
-	It("takes a large configuration from a replica, and from the leader if none hands it out", func() {
+	It("fetches a large configuration from a replica, and from the leader if no replica returns it", func() {
 		cases := []struct {
 			none bool
 			asks int // replicas asked
@@ -309,7 +309,7 @@
 		}
 	})
 
-	It("asks for the whole once a patch was no good, and patches again after that", func() {
+	It("requests the full configuration after a patch that can't be applied, and accepts patches after that", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		client.applyReply("c", confirmedReply(3), clock.Now())
@@ -341,7 +341,7 @@
 		Expect(client.configVersion()).To(BeEquivalentTo(4))
 	})
 
-	It("keeps its endpoints where a new leader holds the same, and names their digest to it", func() {
+	It("keeps its endpoints if a new leader holds the same, and sends it their digest", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		client.applyReply("c", confirmedReply(3), clock.Now())
@@ -355,7 +355,7 @@
 		Expect(next.GetEndpointsDigest()).To(Equal(held.GetEndpointsDigest()))
 	})
 
-	It("tells at once that it leaves, though a call is held", func() {
+	It("reports at once that it is leaving, although a long poll is open", func() {
 		hold := make(chan struct{})
 		withControl(func(n int, q *rpc.SyncRequest) *rpc.SyncReply {
 			if n == 2 {
@@ -378,8 +378,8 @@
 	})
 })
 
-var _ = Describe("a host that stops", func() {
-	It("takes requests for a while, then refuses them with a time to come back, and ends when idle", func() {
+var _ = Describe("a stopping host", func() {
+	It("accepts requests for a while, then refuses them with a retry delay, and stops when idle", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		client.applyReply("c", confirmedReply(3), clock.Now())
@@ -413,7 +413,7 @@
 		g.Stop()
 	})
 
-	It("leaves its streams nearly all the time that there is, also where that is short", func() {
+	It("gives its streams nearly the whole grace period, also where that is short", func() {
 		cases := []struct {
 			grace time.Duration
 			least time.Duration
--- a/pkg/fleetentry/limits_test.go
+++ b/pkg/fleetentry/limits_test.go
@@ -16,7 +16,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// grantingControl lends by a script, and remembers what it was told.
+// grantingControl answers every request for permits with reply and records the requests.
 type grantingControl struct {
 	*fakeControl
 	mu       sync.Mutex
@@ -37,7 +37,8 @@
 	return len(c.requests)
 }
 
-// withGrantingControl runs f on a follower of a leader that lends by reply, and knows of e1's limit.
+// withGrantingControl runs f with a client of a leader that answers requests for permits
+// with reply. The client knows the rate limit of e1.
 func withGrantingControl(reply *rpc.BorrowReply, f func(client *ControlClient, holder *permit.Holder, c *grantingControl, clock *timer.Manual)) {
 	c := &grantingControl{fakeControl: &fakeControl{}, reply: reply}
 	withFleetServer(c, func(address string) {
@@ -54,8 +55,8 @@
 	})
 }
 
-var _ = Describe("an entry host's dealings with limits", func() {
-	It("tells words, demand and unused permits with each call, and what wasn't taken again", func() {
+var _ = Describe("an entry host's rate limits and permits", func() {
+	It("are reported with each call: observed limits, demand and unused permits; again if a call got no reply", func() {
 		withGrantingControl(nil, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, clock *timer.Manual) {
 			holder.Observe("e1", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 7}, clock.Now())
 			holder.CountRequest("s")
@@ -67,7 +68,7 @@
 			Expect(q.GetDemands()[0].GetRequests()).To(Equal(uint32(2)))
 			Expect(q.GetDemands()[0].GetWanted()).To(Equal([]uint32{permit.EndpointKey("e1")}))
 			q = client.syncRequest("10.0.0.9:80")
-			Expect(q.GetLimitWords()).To(HaveLen(1), "the call before got no answer")
+			Expect(q.GetLimitWords()).To(HaveLen(1), "the previous call got no reply")
 			reply := confirmedReply(3)
 			reply.LimitsTerm = 1
 			reply.LimitsVersion = 2
@@ -76,10 +77,10 @@
 		})
 	})
 
-	It("uses permits for their time, counted from when they were lent", func() {
+	It("allow calls for the lifetime of a permit, counted from when it was granted", func() {
 		withGrantingControl(nil, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, clock *timer.Manual) {
 			sent := clock.Now()
-			clock.Advance(800 * time.Millisecond) // of which the leader held the call 300
+			clock.Advance(800 * time.Millisecond) // the leader held the call open for 300 ms of it
 			reply := confirmedReply(3)
 			reply.LimitsTerm = 1
 			reply.HeldMs = 300
@@ -91,7 +92,7 @@
 		})
 	})
 
-	It("borrows from the leader, and tells when there will be a permit where there is none", func() {
+	It("are requested from the leader, which says when a permit is available if none is now", func() {
 		cases := []struct {
 			name  string
 			reply *rpc.BorrowReply
@@ -99,9 +100,9 @@
 			due   time.Duration
 			gap   time.Duration
 		}{
-			{name: "lent", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}},
-			{name: "none", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, DueMs: 700, GapMs: 1400}, due: 700 * time.Millisecond, gap: 1400 * time.Millisecond},
-			{name: "not by who doesn't lead", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, due: permitRetryDelay},
+			{name: "granted", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}},
+			{name: "none available", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, DueMs: 700, GapMs: 1400}, due: 700 * time.Millisecond, gap: 1400 * time.Millisecond},
+			{name: "granted by a replica that isn't the leader", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, due: permitRetryDelay},
 			{name: "no leader", lost: true, due: noLeaderRetryAfter},
 		}
 		for _, c := range cases {
@@ -117,7 +118,7 @@
 		}
 	})
 
-	It("tells the leader at once of a limit that it heard of, and later if it couldn't", func() {
+	It("are reported to the leader as soon as a limit is observed, and with the next call if that fails", func() {
 		withGrantingControl(&rpc.BorrowReply{Confirmed: true, Term: 1}, func(client *ControlClient, holder *permit.Holder, c *grantingControl, clock *timer.Manual) {
 			g := group.New(context.Background())
 			defer g.Stop()
--- a/pkg/fleetentry/silent_test.go
+++ b/pkg/fleetentry/silent_test.go
@@ -14,8 +14,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("connections to a control host that go silent", func() {
-	It("cost one time-out, however many were at rest, and whichever way is silent", func() {
+var _ = Describe("connections to a control host that stop responding", func() {
+	It("cost one time-out, however many were idle, and whichever direction is lost", func() {
 		for _, way := range []fakelink.Way{fakelink.Forth, fakelink.Back, fakelink.Both} {
 			gate := make(chan struct{})
 			withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply {
@@ -27,16 +27,16 @@
 				defer p.Close()
 				client := newTestClient(timer.NewSystem(), p.Address())
 				client.cfg.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-				const atRest = 5
+				const idle = 5
 				calls := sync.WaitGroup{}
-				for range atRest {
+				for range idle {
 					calls.Add(1)
 					background(func() {
 						defer calls.Done()
 						_, _ = rpc.NewFleetProtobufClient("http://"+p.Address(), client.cfg.Client).Sync(context.Background(), &rpc.SyncRequest{})
 					})
 				}
-				Eventually(p.Opened, "5s", "5ms").Should(Equal(atRest))
+				Eventually(p.Opened, "5s", "5ms").Should(Equal(idle))
 				close(gate)
 				calls.Wait()
 				p.Silence(way)
@@ -51,7 +51,7 @@
 	})
 })
 
-// background runs f beside the test, which sees to its end.
+// background runs f concurrently. The test makes sure that it ends.
 func background(f func()) {
 	group.New(context.Background()).Go(func(context.Context) {
 		f()
--- a/pkg/fleetentry/words_test.go
+++ b/pkg/fleetentry/words_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	sameHostControl  = "10.0.0.1:90" // a control process on the machine of newFollower
+	sameHostControl  = "10.0.0.1:90" // a control process on the host of newTestClient
 	otherHostControl = "10.0.0.9:90"
 )
 
-// suspectingLoads is fakeLoads of a host that suspects endpoints.
+// suspectingLoads is fakeLoads with a list of suspected endpoints.
 type suspectingLoads struct {
 	fakeLoads
 	list []string
@@ -27,7 +27,7 @@
 
 func (s *suspectingLoads) Suspects() []string { return s.list }
 
-// withTestClient runs f on a follower that believes in an endpoint e1 of service s.
+// withTestClient runs f with a client that knows an endpoint e1 of service s.
 func withTestClient(f func(client *ControlClient, backoffs *rest.Tracker, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	client := newTestClient(clock)
@@ -37,8 +37,8 @@
 	f(client, backoffs, clock)
 }
 
-var _ = Describe("an endpoint's own word that it leaves", func() {
-	It("takes it away at once, and stands whatever control hosts tell of that start", func() {
+var _ = Describe("an endpoint's own notice that it is leaving", func() {
+	It("removes it at once, whatever control hosts report of that incarnation", func() {
 		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			changed := client.Changed()
 			client.MarkLeaving("e1")
@@ -59,11 +59,11 @@
 			reply.PackedEndpoints = packedEndpoints()
 			client.applyReply("c", reply, clock.Now())
 			client.applyReply("c", confirmedReply(3), clock.Now())
-			Expect(client.Endpoints("s")).To(BeEmpty(), "a leader that hadn't heard of it names it again")
+			Expect(client.Endpoints("s")).To(BeEmpty(), "a leader that doesn't know of the notice lists it again")
 		})
 	})
 
-	It("doesn't hold for another start of it", func() {
+	It("doesn't apply to another incarnation of it", func() {
 		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			client.MarkLeaving(fleet.IncarnationID("e1", 100))
 			reply := confirmedReply(3)
@@ -73,14 +73,14 @@
 		})
 	})
 
-	It("is told to the leader until that knows, and changes nothing of what the host names as held", func() {
+	It("is reported to the leader until it knows, and doesn't change the digest of the list held", func() {
 		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			before := client.syncRequest(otherHostControl).GetEndpointsDigest()
 			client.MarkLeaving("e1")
 			for range 2 {
 				q := client.syncRequest(otherHostControl)
 				Expect(q.GetLeaving()).To(Equal([]string{"e1"}))
-				Expect(q.GetEndpointsDigest()).To(Equal(before), "or whole lists were sent again and again")
+				Expect(q.GetEndpointsDigest()).To(Equal(before), "another digest would have the full list sent with every reply")
 			}
 			reply := confirmedReply(3)
 			reply.PackedEndpoints = packedEndpoints(&rpc.Announcement{Id: "e1", Service: "s", Address: "10.1.0.1:80", Sequence: 3, Leaving: true})
@@ -89,7 +89,7 @@
 		})
 	})
 
-	It("is forgotten some time after the endpoint", func() {
+	It("is dropped some time after the endpoint is gone", func() {
 		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
 			for _, id := range []string{"gone-1", "gone-2", "e1"} {
 				client.MarkLeaving(id)
@@ -101,8 +101,8 @@
 	})
 })
 
-var _ = Describe("an endpoint's rest", func() {
-	It("is told to a control process of the same machine only, and makes no suspect", func() {
+var _ = Describe("an endpoint's backoff", func() {
+	It("is reported to a control process of the same host only, and the endpoint isn't reported as a suspect", func() {
 		withTestClient(func(client *ControlClient, backoffs *rest.Tracker, _ *timer.Manual) {
 			backoffs.Record("e1", 3*time.Second)
 			q := client.syncRequest(otherHostControl)
@@ -115,7 +115,7 @@
 		})
 	})
 
-	It("is taken from the control process of the same machine", func() {
+	It("is merged from the control process of the same host", func() {
 		withTestClient(func(client *ControlClient, backoffs *rest.Tracker, clock *timer.Manual) {
 			reply := confirmedReply(3)
 			reply.Resting = []*rpc.Resting{{Endpoint: "e1", LeftMs: 1500}}
