--- a/pkg/fleetentry/words.go
+++ b/pkg/fleetentry/words.go
@@ -36,8 +36,8 @@
 }
 
 func (c *ControlClient) announcedLeaving(id string) bool {
-	_, heard := c.leavingSince[id]
-	return heard
+	_, known := c.leavingSince[id]
+	return known
 }
 
 // expireLeaving drops the leave notices of endpoints that are no longer known, once they
