--- a/pkg/fleetentry/host.go
+++ b/pkg/fleetentry/host.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	// refuseAfter is how long after it was told to stop a host takes new
-	// requests: callers keep an address for seconds, and may be busy there.
+	// refuseAfter is how long a stopping host still accepts new requests: callers cache
+	// its address for seconds, and may have requests in flight there.
 	refuseAfter = 2500 * time.Millisecond
-	// leastStay is how long it listens at least.
-	leastStay = 3 * time.Second
-	// stayMargin is taken off the time that a stop may take, or stayShare of it where
-	// that is less: every stream that still runs when the process ends is cut.
-	stayMargin = 200 * time.Millisecond
-	stayShare  = 0.05
-	// elsewhere is when a caller that was sent away should come back, to
-	// another host.
-	elsewhere = 100 * time.Millisecond
-	idlePoll  = 50 * time.Millisecond
+	// minListenTime is how long a stopping host listens at least.
+	minListenTime = 3 * time.Second
+	// drainMargin is subtracted from the grace period, or drainMarginShare of the period
+	// where that is less, so that draining ends before the process is killed. It is small
+	// because every stream in progress when the process ends is cut off.
+	drainMargin      = 200 * time.Millisecond
+	drainMarginShare = 0.05
+	// drainRetryAfter is when a caller that was refused should retry at another host.
+	drainRetryAfter  = 100 * time.Millisecond
+	idlePollInterval = 50 * time.Millisecond
 )
 
-// Host is an entry host's own state: whether it is ready, and how it leaves.
+// Host is an entry host. It counts requests in flight and drains them before a stop.
 type Host struct {
 	*ControlClient
 	svc   timer.Service
 	log   *eventlog.Log
 	grace time.Duration
 
-	mu     sync.Mutex
-	active int
-	left   time.Time // when it was told to stop
+	mu            sync.Mutex
+	active        int
+	stoppingSince time.Time // when draining began; zero before that
 }
 
-// NewHost returns a host that may take grace to stop.
-func NewHost(f *ControlClient, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
+// NewHost returns a host with the given grace period for stopping.
+func NewHost(c *ControlClient, grace time.Duration, svc timer.Service, log *eventlog.Log) *Host {
 	return &Host{
-		ControlClient: f,
+		ControlClient: c,
 		svc:           svc,
 		log:           log,
 		grace:         grace,
 	}
 }
 
-// Begin counts a request; the function returned ends it.
+// Begin counts a request in flight until the returned function is called.
 func (h *Host) Begin() func() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,24 +61,25 @@
 	}
 }
 
-// Active returns how many requests are under way.
+// Active returns the number of requests in flight.
 func (h *Host) Active() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.active
 }
 
-// Refusal returns why a new request isn't taken, or nil.
+// Refusal returns the reason for which a new request must be refused, or nil.
 func (h *Host) Refusal() *failure.Error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.left.IsZero() || h.svc.Now().Sub(h.left) < refuseAfter {
+	if h.stoppingSince.IsZero() || h.svc.Now().Sub(h.stoppingSince) < refuseAfter {
 		return nil
 	}
-	return failure.New(failure.Draining, "this host is stopping").WithRetryAfter(elsewhere)
+	return failure.New(failure.Draining, "this host is stopping").WithRetryAfter(drainRetryAfter)
 }
 
-// Limits returns what callers may send.
+// Limits returns the size limits of callers' requests. They are zero before the first
+// configuration.
 func (h *Host) Limits() fleet.Limits {
 	v := h.View()
 	if v.Index == nil {
@@ -87,22 +88,22 @@
 	return v.Index.Limits()
 }
 
-// Drain makes the host unready and waits until no request is under way, or
-// the time for a stop is nearly over.
+// Drain makes the host unready and waits until no request is in flight, but for
+// minListenTime at least and for the grace period less its margin at most.
 func (h *Host) Drain(ctx context.Context) {
 	now := h.svc.Now()
-	end := now.Add(h.grace - min(stayMargin, time.Duration(stayShare*float64(h.grace))))
+	end := now.Add(h.grace - min(drainMargin, time.Duration(drainMarginShare*float64(h.grace))))
 	h.Leave(end)
 	h.mu.Lock()
-	h.left = now
+	h.stoppingSince = now
 	h.mu.Unlock()
 	h.log.Event(eventlog.Stopping, eventlog.Int("active", int64(h.Active())))
 	for ctx.Err() == nil {
 		now := h.svc.Now()
-		if now.After(end) || (h.Active() == 0 && now.Sub(h.left) >= leastStay) {
+		if now.After(end) || (h.Active() == 0 && now.Sub(h.stoppingSince) >= minListenTime) {
 			return
 		}
-		if timer.Sleep(ctx, h.svc, idlePoll) != nil {
+		if timer.Sleep(ctx, h.svc, idlePollInterval) != nil {
 			return
 		}
 	}
--- a/pkg/fleetentry/silent_test.go
+++ b/pkg/fleetentry/silent_test.go
@@ -14,44 +14,44 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("connections to a control host that go silent", func() {
-	It("cost one time-out, however many were at rest, and whichever way is silent", func() {
+var _ = Describe("connections to a control host that stop responding", func() {
+	It("cost one time-out, however many were idle, and whichever direction is lost", func() {
 		for _, way := range []fakelink.Way{fakelink.Forth, fakelink.Back, fakelink.Both} {
 			gate := make(chan struct{})
 			withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply {
 				<-gate
-				return confirmed(3)
+				return confirmedReply(3)
 			}, func(_ *fakeControl, address string) {
 				p, err := fakelink.New(address)
 				Expect(err).NotTo(HaveOccurred())
 				defer p.Close()
-				f := newFollower(timer.NewSystem(), p.Address())
-				f.cfg.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-				const atRest = 5
+				client := newTestClient(timer.NewSystem(), p.Address())
+				client.cfg.Client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+				const idle = 5
 				calls := sync.WaitGroup{}
-				for range atRest {
+				for range idle {
 					calls.Add(1)
 					background(func() {
 						defer calls.Done()
-						_, _ = rpc.NewFleetProtobufClient("http://"+p.Address(), f.cfg.Client).Sync(context.Background(), &rpc.SyncRequest{})
+						_, _ = rpc.NewFleetProtobufClient("http://"+p.Address(), client.cfg.Client).Sync(context.Background(), &rpc.SyncRequest{})
 					})
 				}
-				Eventually(p.Opened, "5s", "5ms").Should(Equal(atRest))
+				Eventually(p.Opened, "5s", "5ms").Should(Equal(idle))
 				close(gate)
 				calls.Wait()
 				p.Silence(way)
 				g := group.New(context.Background())
 				defer g.Stop()
 				began := time.Now()
-				g.Go(f.Run)
-				Eventually(f.Ready, "10s", "10ms").Should(BeTrue())
+				g.Go(client.Run)
+				Eventually(client.Ready, "10s", "10ms").Should(BeTrue())
 				Expect(time.Since(began)).To(BeNumerically("<", 2*syncTimeout))
 			})
 		}
 	})
 })
 
-// background runs f beside the test, which sees to its end.
+// background runs f concurrently. The test makes sure that it ends.
 func background(f func()) {
 	group.New(context.Background()).Go(func(context.Context) {
 		f()
