--- a/pkg/crowd/crowd.go
+++ b/pkg/crowd/crowd.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// memory is the time over which streams that begin count: callers whose hosts
+	// decayTime is the time over which streams that begin count: callers whose hosts
 	// all stopped come back within a second.
-	memory = 500 * time.Millisecond
-	// least is how many resumed streams make a crowd, if they aren't fewer than those
+	decayTime = 500 * time.Millisecond
+	// minBurst is how many resumed streams make a crowd, if they aren't fewer than those
 	// that begin: a host that is lost under a few dozen others leaves each of them one
 	// or none.
-	least = 2
-	// spread is the time over which a crowd is sent on: about what the first events of
+	minBurst = 2
+	// spreadTime is the time over which a crowd is sent on: about what the first events of
 	// all take that come at once.
-	spread = 800 * time.Millisecond
-	// most bounds how long after its arrival a resumed stream is held: callers give up
+	spreadTime = 800 * time.Millisecond
+	// maxHold bounds how long after its arrival a resumed stream is held: callers give up
 	// after two seconds without an event.
-	most = 1200 * time.Millisecond
+	maxHold = 1200 * time.Millisecond
 )
 
 // Clock tells the time.
@@ -38,48 +38,48 @@
 type Spreader struct {
 	clock Clock
 
-	mu      sync.Mutex
-	resumed float64 // lately: each counts less as time passes
-	begun   float64
-	at      time.Time
+	mu        sync.Mutex
+	resumed   float64 // lately: each counts less as time passes
+	started   float64
+	updatedAt time.Time
 }
 
 // New returns a crowd of none.
 func New(clock Clock) *Spreader {
 	return &Spreader{
-		clock: clock,
-		at:    clock.Now(),
+		clock:     clock,
+		updatedAt: clock.Now(),
 	}
 }
 
 // NoteNew notes a stream that begins.
-func (c *Spreader) NoteNew() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.fade()
-	c.begun++
+func (s *Spreader) NoteNew() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.decay()
+	s.started++
 }
 
 // ResumeDelay notes a stream that its caller resumes and that came in at a time, and
 // returns how long to hold it.
-func (c *Spreader) ResumeDelay(received time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.fade()
-	c.resumed++
-	if c.resumed < least || c.resumed < c.begun {
+func (s *Spreader) ResumeDelay(received time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.decay()
+	s.resumed++
+	if s.resumed < minBurst || s.resumed < s.started {
 		return 0
 	}
-	d := time.Duration(rand.Float64() * float64(spread))
-	return max(0, min(d, most-now.Sub(received)))
+	d := time.Duration(rand.Float64() * float64(spreadTime))
+	return max(0, min(d, maxHold-now.Sub(received)))
 }
 
-// fade lets what was noted count less, and returns the time.
-func (c *Spreader) fade() time.Time {
-	now := c.clock.Now()
-	f := math.Exp(-float64(now.Sub(c.at)) / float64(memory))
-	c.resumed *= f
-	c.begun *= f
-	c.at = now
+// decay lets what was noted count less, and returns the time.
+func (s *Spreader) decay() time.Time {
+	now := s.clock.Now()
+	f := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(decayTime))
+	s.resumed *= f
+	s.started *= f
+	s.updatedAt = now
 	return now
 }
--- a/pkg/crowd/crowd_test.go
+++ b/pkg/crowd/crowd_test.go
@@ -14,19 +14,19 @@
 	RunSpecs(t, "crowd")
 }
 
-// withCrowd runs f on a crowd whose time stands still.
-func withCrowd(f func(c *Spreader, clock *timer.Manual)) {
+// withSpreader runs f on a crowd whose time stands still.
+func withSpreader(f func(s *Spreader, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(New(clock), clock)
 }
 
 var _ = Describe("streams that callers resume", func() {
 	// held resumes n streams and returns how many were held.
-	held := func(c *Spreader, clock *timer.Manual, n int) int {
+	held := func(s *Spreader, clock *timer.Manual, n int) int {
 		count := 0
 		for range n {
-			if d := c.ResumeDelay(clock.Now()); d > 0 {
-				Expect(d).To(BeNumerically("<=", spread))
+			if d := s.ResumeDelay(clock.Now()); d > 0 {
+				Expect(d).To(BeNumerically("<=", spreadTime))
 				count++
 			}
 		}
@@ -34,35 +34,35 @@
 	}
 
 	It("are held where they come all at once", func() {
-		withCrowd(func(c *Spreader, clock *timer.Manual) {
-			Expect(held(c, clock, 8)).To(Equal(7), "the first may be the only one")
+		withSpreader(func(s *Spreader, clock *timer.Manual) {
+			Expect(held(s, clock, 8)).To(Equal(7), "the first may be the only one")
 		})
 	})
 
 	It("aren't held where they come one by one, or are fewer than those that begin", func() {
-		withCrowd(func(c *Spreader, clock *timer.Manual) {
+		withSpreader(func(s *Spreader, clock *timer.Manual) {
 			for range 10 {
-				Expect(held(c, clock, 1)).To(BeZero())
+				Expect(held(s, clock, 1)).To(BeZero())
 				clock.Advance(2 * time.Second)
 			}
 			for range 20 {
-				c.NoteNew()
+				s.NoteNew()
 			}
-			Expect(held(c, clock, 8)).To(BeZero())
+			Expect(held(s, clock, 8)).To(BeZero())
 		})
 	})
 
 	It("are held no longer than callers wait, with the time that they waited already", func() {
-		withCrowd(func(c *Spreader, clock *timer.Manual) {
-			held(c, clock, 8)
-			came := clock.Now()
-			clock.Advance(most - 100*time.Millisecond)
-			held(c, clock, 8)
+		withSpreader(func(s *Spreader, clock *timer.Manual) {
+			held(s, clock, 8)
+			received := clock.Now()
+			clock.Advance(maxHold - 100*time.Millisecond)
+			held(s, clock, 8)
 			for range 50 {
-				Expect(c.ResumeDelay(came)).To(BeNumerically("<=", 100*time.Millisecond))
+				Expect(s.ResumeDelay(received)).To(BeNumerically("<=", 100*time.Millisecond))
 			}
 			clock.Advance(time.Second)
-			Expect(c.ResumeDelay(came)).To(BeZero())
+			Expect(s.ResumeDelay(received)).To(BeZero())
 		})
 	})
 })
--- a/pkg/pathing/bench_test.go
+++ b/pkg/pathing/bench_test.go
@@ -12,7 +12,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e := engine()
 			e.Layers = 80
-			var stages []Candidate
+			var candidates []Candidate
 			for i := range n {
 				kind, held := "slow", 8
 				switch {
@@ -22,14 +22,14 @@
 					kind, held = "mid", 16
 				}
 				from := i * held % (80 - held + 1)
-				st := stage(fmt.Sprintf("e%d", i), string(rune('a'+i%3)), kind, from, from+held)
-				st.Requests = float64(i % 40)
-				st.Tokens = 800 * st.Requests
-				stages = append(stages, st)
+				c := candidate(fmt.Sprintf("e%d", i), string(rune('a'+i%3)), kind, from, from+held)
+				c.Requests = float64(i % 40)
+				c.Tokens = 800 * c.Requests
+				candidates = append(candidates, c)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				Choose(e, stages, demand, even)
+				Choose(e, candidates, demand, even)
 			}
 		})
 	}
--- a/pkg/pathing/pathing.go
+++ b/pkg/pathing/pathing.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// crossingMs is added for each change of failure domain, beyond its delay:
+	// domainCrossingMs is added for each change of failure domain, beyond its delay:
 	// the pipe between two domains carries every token of prompt and answer
 	// and is shared (docs/PLATFORM.md).
-	crossingMs = 3000
-	// awayMs is added for a path that begins in another failure domain than the
+	domainCrossingMs = 3000
+	// foreignStartMs is added for a path that begins in another failure domain than the
 	// host's. Its events cross between domains, and hosts that all prefer the
 	// fastest domain fill it, while loads tell of that 0.4 s later.
-	awayMs = 1000
-	// crowding is how often the time counts that requests share: once for the
+	foreignStartMs = 1000
+	// contention is how often the time counts that requests share: once for the
 	// request, which waits for the others in each pass, and once for the others,
 	// which wait for it: a pass holds about all requests of an endpoint.
-	crowding = 2
+	contention = 2
 	// waitWeight is how much a wait before the first event counts against the same
 	// time later: a caller's goal is for the first event, and what waits brings
 	// nothing to anybody meanwhile.
 	waitWeight = 2
-	// turnShare is the part of a pass for which a token waits at each endpoint: it
+	// passWaitShare is the part of a pass for which a token waits at each endpoint: it
 	// comes at any moment of the pass under way. It keeps paths from being cut small.
-	turnShare = 0.5
-	// fullPenalty multiplies the cost of a stage whose KV memory would be full.
-	fullPenalty = 8
-	// maxParts is the most endpoints that a path may name.
-	maxParts = 32
+	passWaitShare = 0.5
+	// fullMemoryPenalty multiplies the cost of a stage whose KV memory would be full.
+	fullMemoryPenalty = 8
+	// maxStages is the most endpoints that a path may name.
+	maxStages = 32
 )
 
 // Candidate is an endpoint that holds layers, with its load.
@@ -76,11 +76,11 @@
 // Choose returns the cheapest path, or nil if the stages don't cover every
 // layer. jitter returns a factor near 1 for each stage, so that hosts which
 // know the same don't all choose the same.
-func Choose(e *fleet.Engine, stages []Candidate, d Demand, jitter func() float64) []fleet.Stage {
-	if len(stages) == 0 || e.Layers <= 0 {
+func Choose(e *fleet.Engine, candidates []Candidate, d Demand, jitter func() float64) []fleet.Stage {
+	if len(candidates) == 0 || e.Layers <= 0 {
 		return nil
 	}
-	s := newSearch(e, stages, d, jitter)
+	s := newSearch(e, candidates, d, jitter)
 	if d.First != nil {
 		s.startAfter(d.First)
 	} else {
@@ -93,70 +93,70 @@
 // state is the cheapest way found to have run the layers below a boundary,
 // ending in a domain.
 type state struct {
-	cost   float64
-	prev   int // state before; -1 at the start
-	stage  int // last stage; -1 at the start
-	domain int // -1 at the start: any
-	bound  int // index of the boundary
-	parts  int
+	cost      float64
+	prev      int // state before; -1 at the start
+	candidate int // last stage; -1 at the start
+	domain    int // -1 at the start: any
+	boundary  int // index of the boundary
+	stages    int
 }
 
 type search struct {
-	engine  *fleet.Engine
-	stages  []Candidate
-	demand  Demand
-	unit    []float64 // expected ms for one layer, by stage
-	turn    []float64 // expected ms that its tokens wait for passes, by stage
-	domain  []int     // of each stage
-	fit     []int     // stages that may be on the cheapest path
-	bounds  []int
-	domains map[string]int
-	names   []string
-	home    int         // domain of the host that asks; -1 if any will do
-	hop     [][]float64 // ms from domain to domain
-	states  []state
-	at      [][]int // states by boundary
-	best    [][]int // state by boundary and domain+1; -1 if none
-	first   *fleet.Stage
+	engine      *fleet.Engine
+	candidates  []Candidate
+	demand      Demand
+	perLayer    []float64 // expected ms for one layer, by stage
+	passWait    []float64 // expected ms that its tokens wait for passes, by stage
+	domain      []int     // of each stage
+	useful      []int     // candidates that may be on the cheapest path
+	boundaries  []int
+	domains     map[string]int
+	domainNames []string
+	home        int         // domain of the host that asks; -1 if any will do
+	hop         [][]float64 // ms from domain to domain
+	states      []state
+	statesAt    [][]int // states by boundary
+	best        [][]int // state by boundary and domain+1; -1 if none
+	first       *fleet.Stage
 }
 
-func newSearch(e *fleet.Engine, stages []Candidate, d Demand, jitter func() float64) *search {
+func newSearch(e *fleet.Engine, candidates []Candidate, d Demand, jitter func() float64) *search {
 	s := &search{
-		engine:  e,
-		stages:  stages,
-		demand:  d,
-		unit:    make([]float64, len(stages)),
-		turn:    make([]float64, len(stages)),
-		domain:  make([]int, len(stages)),
-		domains: map[string]int{},
+		engine:     e,
+		candidates: candidates,
+		demand:     d,
+		perLayer:   make([]float64, len(candidates)),
+		passWait:   make([]float64, len(candidates)),
+		domain:     make([]int, len(candidates)),
+		domains:    map[string]int{},
 	}
 	seen := make([]bool, e.Layers+1)
-	for i := range stages {
-		st := &stages[i]
-		s.unit[i] = s.layerCost(st) * jitter()
-		s.turn[i] = s.turnCost(st)
-		if _, ok := s.domains[st.Domain]; !ok {
-			s.domains[st.Domain] = len(s.names)
-			s.names = append(s.names, st.Domain)
+	for i := range candidates {
+		c := &candidates[i]
+		s.perLayer[i] = s.layerCost(c) * jitter()
+		s.passWait[i] = s.passWaitCost(c)
+		if _, ok := s.domains[c.Domain]; !ok {
+			s.domains[c.Domain] = len(s.domainNames)
+			s.domainNames = append(s.domainNames, c.Domain)
 		}
-		s.domain[i] = s.domains[st.Domain]
-		seen[max(0, min(st.Layers.From, e.Layers))] = true
-		seen[max(0, min(st.Layers.To, e.Layers))] = true
+		s.domain[i] = s.domains[c.Domain]
+		seen[max(0, min(c.Layers.From, e.Layers))] = true
+		seen[max(0, min(c.Layers.To, e.Layers))] = true
 	}
 	if d.First != nil {
 		seen[max(0, min(d.First.Layers.To, e.Layers))] = true
 	}
 	for b, is := range seen {
 		if is {
-			s.bounds = append(s.bounds, b)
+			s.boundaries = append(s.boundaries, b)
 		}
 	}
-	s.findHops()
-	s.findFit()
-	s.at = make([][]int, len(s.bounds))
-	s.best = make([][]int, len(s.bounds))
+	s.computeHops()
+	s.prune()
+	s.statesAt = make([][]int, len(s.boundaries))
+	s.best = make([][]int, len(s.boundaries))
 	for b := range s.best {
-		s.best[b] = make([]int, len(s.names)+1)
+		s.best[b] = make([]int, len(s.domainNames)+1)
 		for d := range s.best[b] {
 			s.best[b][d] = -1
 		}
@@ -164,70 +164,70 @@
 	return s
 }
 
-// alike is what stages have in common that stand for each other on a path.
-type alike struct {
+// pruneKey is what stages have in common that stand for each other on a path.
+type pruneKey struct {
 	domain int
 	layers fleet.Range
 }
 
-// findFit keeps of stages that are alike the cheapest one, and the cheapest to begin
+// prune keeps of stages that are alike the cheapest one, and the cheapest to begin
 // with: a path has use for no other, but for the first part that stands. The search
 // takes as long as there are ranges then, and not endpoints.
-func (s *search) findFit() {
-	best := map[alike][2]int{}
-	for k := range s.stages {
-		if s.demand.First != nil && s.demand.First.ID == s.stages[k].ID {
+func (s *search) prune() {
+	best := map[pruneKey][2]int{}
+	for k := range s.candidates {
+		if s.demand.First != nil && s.demand.First.ID == s.candidates[k].ID {
 			continue
 		}
-		key := alike{
+		key := pruneKey{
 			domain: s.domain[k],
-			layers: s.stages[k].Layers,
+			layers: s.candidates[k].Layers,
 		}
 		kept, ok := best[key]
 		if !ok {
 			best[key] = [2]int{k, k}
 			continue
 		}
-		if s.wholeCost(k) < s.wholeCost(kept[0]) {
+		if s.fullCost(k) < s.fullCost(kept[0]) {
 			kept[0] = k
 		}
-		if s.wholeCost(k)+s.beginCost(k) < s.wholeCost(kept[1])+s.beginCost(kept[1]) {
+		if s.fullCost(k)+s.startCost(k) < s.fullCost(kept[1])+s.startCost(kept[1]) {
 			kept[1] = k
 		}
 		best[key] = kept
 	}
-	for k := range s.stages {
-		key := alike{
+	for k := range s.candidates {
+		key := pruneKey{
 			domain: s.domain[k],
-			layers: s.stages[k].Layers,
+			layers: s.candidates[k].Layers,
 		}
 		if kept, ok := best[key]; ok && (kept[0] == k || kept[1] == k) {
-			s.fit = append(s.fit, k)
+			s.useful = append(s.useful, k)
 		}
 	}
 }
 
-// wholeCost is the cost of all layers of a stage.
-func (s *search) wholeCost(k int) float64 {
-	return s.turn[k] + s.unit[k]*float64(s.stages[k].Layers.Len())
+// fullCost is the cost of all layers of a stage.
+func (s *search) fullCost(k int) float64 {
+	return s.passWait[k] + s.perLayer[k]*float64(s.candidates[k].Layers.Len())
 }
 
-// beginCost is the cost of what waits at a stage that a path begins with: requests
+// startCost is the cost of what waits at a stage that a path begins with: requests
 // that find a memory full anywhere on their path wait there.
-func (s *search) beginCost(k int) float64 {
-	return ms(s.stages[k].Wait) * waitWeight
+func (s *search) startCost(k int) float64 {
+	return ms(s.candidates[k].Wait) * waitWeight
 }
 
-// findHops works out what each change of failure domain costs, and none.
-func (s *search) findHops() {
+// computeHops works out what each change of failure domain costs, and none.
+func (s *search) computeHops() {
 	s.home = -1
-	s.hop = make([][]float64, len(s.names))
-	for a := range s.names {
-		if s.names[a] == s.demand.HomeDomain {
+	s.hop = make([][]float64, len(s.domainNames))
+	for a := range s.domainNames {
+		if s.domainNames[a] == s.demand.HomeDomain {
 			s.home = a
 		}
-		s.hop[a] = make([]float64, len(s.names))
-		for b := range s.names {
+		s.hop[a] = make([]float64, len(s.domainNames))
+		for b := range s.domainNames {
 			s.hop[a][b] = s.hopCost(a, b)
 		}
 	}
@@ -235,55 +235,55 @@
 
 // layerCost is the expected time in ms that one layer of a stage adds to the
 // whole request, and to those under way there.
-func (s *search) layerCost(st *Candidate) float64 {
+func (s *search) layerCost(c *Candidate) float64 {
 	e := s.engine
-	k := e.Kinds[st.Kind]
-	held := float64(max(st.LayersHeld, st.Layers.Len()))
+	k := e.Kinds[c.Kind]
+	held := float64(max(c.LayersHeld, c.Layers.Len()))
 	share := 1 / float64(e.Layers)
-	write := s.demand.Answer * k.Pace * share * (ms(e.StepTime) + crowding*s.sharedStep(st))
+	write := s.demand.Answer * k.Pace * share * (ms(e.StepTime) + contention*s.loadStepMs(c))
 	read := 0.0
 	if e.ReadPerSecond > 0 {
-		read = s.demand.Prompt / e.ReadPerSecond * 1000 * k.ReadFactor * share * crowding
+		read = s.demand.Prompt / e.ReadPerSecond * 1000 * k.ReadFactor * share * contention
 	}
-	cost := (write + read) * math.Max(1, st.Slowdown)
-	room := e.CacheTokens(st.Kind, int(held)) / math.Max(1, held)
-	need := st.Tokens + s.demand.MeanKVTokens()
+	cost := (write + read) * math.Max(1, c.Slowdown)
+	room := e.CacheTokens(c.Kind, int(held)) / math.Max(1, held)
+	need := c.Tokens + s.demand.MeanKVTokens()
 	if room <= 0 || need > room {
-		return cost * fullPenalty
+		return cost * fullMemoryPenalty
 	}
 	return cost * (1 + need/room)
 }
 
-// sharedStep is what the requests at a stage add to a step through all layers, in ms.
-func (s *search) sharedStep(st *Candidate) float64 {
-	return st.Requests*ms(s.engine.PerSequence) + st.Tokens/1000*ms(s.engine.PerContext)
+// loadStepMs is what the requests at a stage add to a step through all layers, in ms.
+func (s *search) loadStepMs(c *Candidate) float64 {
+	return c.Requests*ms(s.engine.PerSequence) + c.Tokens/1000*ms(s.engine.PerContext)
 }
 
-// turnCost is the expected time in ms for which a request's tokens wait at a stage
+// passWaitCost is the expected time in ms for which a request's tokens wait at a stage
 // for passes under way: these run the layers that the endpoint holds, however few of
 // them the path uses.
-func (s *search) turnCost(st *Candidate) float64 {
+func (s *search) passWaitCost(c *Candidate) float64 {
 	e := s.engine
-	share := float64(max(st.LayersHeld, st.Layers.Len())) / float64(e.Layers)
-	pass := share * e.Kinds[st.Kind].Pace * (ms(e.StepTime) + s.sharedStep(st))
-	return turnShare * s.demand.Answer * pass * math.Max(1, st.Slowdown)
+	share := float64(max(c.LayersHeld, c.Layers.Len())) / float64(e.Layers)
+	pass := share * e.Kinds[c.Kind].Pace * (ms(e.StepTime) + s.loadStepMs(c))
+	return passWaitShare * s.demand.Answer * pass * math.Max(1, c.Slowdown)
 }
 
 func (s *search) start() {
-	if s.bounds[0] != 0 {
+	if s.boundaries[0] != 0 {
 		return
 	}
 	s.push(state{
-		prev:   -1,
-		stage:  -1,
-		domain: -1,
+		prev:      -1,
+		candidate: -1,
+		domain:    -1,
 	})
 }
 
 // startAfter begins behind a part that is fixed.
 func (s *search) startAfter(first *fleet.Stage) {
-	i := sort.SearchInts(s.bounds, first.Layers.To)
-	if i == len(s.bounds) {
+	i := sort.SearchInts(s.boundaries, first.Layers.To)
+	if i == len(s.boundaries) {
 		return // it ends behind the last layer
 	}
 	s.first = first
@@ -292,16 +292,16 @@
 		d = -1
 	}
 	s.push(state{
-		prev:   -1,
-		stage:  -1,
-		domain: d,
-		bound:  i,
-		parts:  1,
+		prev:      -1,
+		candidate: -1,
+		domain:    d,
+		boundary:  i,
+		stages:    1,
 	})
 }
 
 func (s *search) push(n state) {
-	best := &s.best[n.bound][n.domain+1]
+	best := &s.best[n.boundary][n.domain+1]
 	if *best >= 0 {
 		if s.states[*best].cost > n.cost {
 			s.states[*best] = n
@@ -309,16 +309,16 @@
 		return
 	}
 	*best = len(s.states)
-	s.at[n.bound] = append(s.at[n.bound], len(s.states))
+	s.statesAt[n.boundary] = append(s.statesAt[n.boundary], len(s.states))
 	s.states = append(s.states, n)
 }
 
 // run extends states boundary by boundary; a state's cost is final once its
 // boundary is reached, since every step leads to a later one.
 func (s *search) run() {
-	for b := range s.bounds {
-		for _, i := range s.at[b] {
-			if s.bounds[b] < s.engine.Layers && s.states[i].parts < maxParts {
+	for b := range s.boundaries {
+		for _, i := range s.statesAt[b] {
+			if s.boundaries[b] < s.engine.Layers && s.states[i].stages < maxStages {
 				s.extend(i)
 			}
 		}
@@ -327,36 +327,36 @@
 
 func (s *search) extend(i int) {
 	from := s.states[i]
-	layer := s.bounds[from.bound]
-	for _, k := range s.fit {
-		st := &s.stages[k]
-		if st.Layers.From > layer || st.Layers.To <= layer || s.uses(i, k) {
+	layer := s.boundaries[from.boundary]
+	for _, k := range s.useful {
+		c := &s.candidates[k]
+		if c.Layers.From > layer || c.Layers.To <= layer || s.uses(i, k) {
 			continue
 		}
 		if s.demand.SingleDomain && from.domain >= 0 && from.domain != s.domain[k] {
 			continue
 		}
-		base := from.cost + s.enter(from.domain, s.domain[k]) + s.turn[k]
-		if from.parts == 0 {
-			base += s.beginCost(k)
+		base := from.cost + s.entryCost(from.domain, s.domain[k]) + s.passWait[k]
+		if from.stages == 0 {
+			base += s.startCost(k)
 		}
-		for b := from.bound + 1; b < len(s.bounds) && s.bounds[b] <= st.Layers.To; b++ {
+		for b := from.boundary + 1; b < len(s.boundaries) && s.boundaries[b] <= c.Layers.To; b++ {
 			s.push(state{
-				cost:   base + float64(s.bounds[b]-layer)*s.unit[k],
-				prev:   i,
-				stage:  k,
-				domain: s.domain[k],
-				bound:  b,
-				parts:  from.parts + 1,
+				cost:      base + float64(s.boundaries[b]-layer)*s.perLayer[k],
+				prev:      i,
+				candidate: k,
+				domain:    s.domain[k],
+				boundary:  b,
+				stages:    from.stages + 1,
 			})
 		}
 	}
 }
 
 // uses reports whether a stage is on the way to a state already.
-func (s *search) uses(i, stage int) bool {
+func (s *search) uses(i, candidate int) bool {
 	for ; i >= 0; i = s.states[i].prev {
-		if s.states[i].stage == stage {
+		if s.states[i].candidate == candidate {
 			return true
 		}
 	}
@@ -366,14 +366,14 @@
 // hopMs is what a hop inside a failure domain costs each token.
 const hopMs = 0.2
 
-// enter is the cost of going on in domain b from domain a; negative if the path
+// entryCost is the cost of going on in domain b from domain a; negative if the path
 // begins there.
-func (s *search) enter(a, b int) float64 {
+func (s *search) entryCost(a, b int) float64 {
 	if a >= 0 {
 		return s.hop[a][b]
 	}
 	if s.demand.HomeDomain != "" && b != s.home {
-		return awayMs
+		return foreignStartMs
 	}
 	return 0
 }
@@ -382,17 +382,17 @@
 	if a == b {
 		return hopMs * s.demand.Answer
 	}
-	delay := ms(s.engine.Delay(s.names[a], s.names[b]))
-	return crossingMs + (delay+hopMs)*s.demand.Answer
+	delay := ms(s.engine.Delay(s.domainNames[a], s.domainNames[b]))
+	return domainCrossingMs + (delay+hopMs)*s.demand.Answer
 }
 
 func (s *search) path() []fleet.Stage {
 	end := -1
-	last := len(s.bounds) - 1
-	if s.bounds[last] != s.engine.Layers {
+	last := len(s.boundaries) - 1
+	if s.boundaries[last] != s.engine.Layers {
 		return nil
 	}
-	for _, i := range s.at[last] {
+	for _, i := range s.statesAt[last] {
 		if end < 0 || s.states[i].cost < s.states[end].cost {
 			end = i
 		}
@@ -400,50 +400,50 @@
 	if end < 0 {
 		return nil
 	}
-	var parts []fleet.Stage
+	var stages []fleet.Stage
 	for i := end; s.states[i].prev >= 0; i = s.states[i].prev {
-		parts = append(parts, s.part(i))
+		stages = append(stages, s.stageOf(i))
 	}
 	if s.first != nil {
-		parts = append(parts, *s.first)
+		stages = append(stages, *s.first)
 	}
-	for i, j := 0, len(parts)-1; i < j; i, j = i+1, j-1 {
-		parts[i], parts[j] = parts[j], parts[i]
+	for i, j := 0, len(stages)-1; i < j; i, j = i+1, j-1 {
+		stages[i], stages[j] = stages[j], stages[i]
 	}
-	return parts
+	return stages
 }
 
-func (s *search) part(i int) fleet.Stage {
+func (s *search) stageOf(i int) fleet.Stage {
 	n := s.states[i]
-	st := &s.stages[n.stage]
+	c := &s.candidates[n.candidate]
 	return fleet.Stage{
-		ID:      st.ID,
-		Address: st.Address,
-		Domain:  st.Domain,
+		ID:      c.ID,
+		Address: c.Address,
+		Domain:  c.Domain,
 		Layers: fleet.Range{
-			From: s.bounds[s.states[n.prev].bound],
-			To:   s.bounds[n.bound],
+			From: s.boundaries[s.states[n.prev].boundary],
+			To:   s.boundaries[n.boundary],
 		},
 	}
 }
 
 // CoversAllLayers reports whether parts run every layer once, in order.
-func CoversAllLayers(e *fleet.Engine, parts []fleet.Stage) bool {
+func CoversAllLayers(e *fleet.Engine, stages []fleet.Stage) bool {
 	at := 0
-	for _, p := range parts {
-		if p.Layers.From != at || p.Layers.To <= at {
+	for _, stage := range stages {
+		if stage.Layers.From != at || stage.Layers.To <= at {
 			return false
 		}
-		at = p.Layers.To
+		at = stage.Layers.To
 	}
 	return at == e.Layers
 }
 
 // DomainCrossings returns how often a path changes the failure domain.
-func DomainCrossings(parts []fleet.Stage) int {
+func DomainCrossings(stages []fleet.Stage) int {
 	n := 0
-	for i := 1; i < len(parts); i++ {
-		if parts[i].Domain != parts[i-1].Domain {
+	for i := 1; i < len(stages); i++ {
+		if stages[i].Domain != stages[i-1].Domain {
 			n++
 		}
 	}
--- a/pkg/pathing/pathing_test.go
+++ b/pkg/pathing/pathing_test.go
@@ -40,7 +40,7 @@
 	return 1
 }
 
-func stage(id, domain, kind string, from, to int) Candidate {
+func candidate(id, domain, kind string, from, to int) Candidate {
 	return Candidate{
 		ID:      id,
 		Address: id,
@@ -62,14 +62,14 @@
 
 var _ = Describe("a path", func() {
 	It("takes the faster of two that hold the same layers", func() {
-		path := Choose(engine(), []Candidate{stage("s", "a", "slow", 0, 10), stage("f", "a", "fast", 0, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 0, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
 	})
 
 	It("begins in the host's own domain, unless another one's is much faster", func() {
 		home := demand
 		home.HomeDomain = "a"
-		near, far := stage("near", "a", "slow", 0, 10), stage("far", "b", "fast", 0, 10)
+		near, far := candidate("near", "a", "slow", 0, 10), candidate("far", "b", "fast", 0, 10)
 		Expect(ids(Choose(engine(), []Candidate{near, far}, home, even))).To(Equal([]string{"near=0-10"}))
 		Expect(ids(Choose(engine(), []Candidate{near, far}, demand, even))).To(Equal([]string{"far=0-10"}))
 		near.Slowdown = 10
@@ -77,37 +77,37 @@
 	})
 
 	It("cuts where ranges overlap so that the faster does more", func() {
-		path := Choose(engine(), []Candidate{stage("s", "a", "slow", 0, 10), stage("f", "a", "fast", 4, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 4, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"s=0-4", "f=4-10"}))
 	})
 
 	It("stays in a domain though a faster endpoint is in another", func() {
 		path := Choose(engine(), []Candidate{
-			stage("x", "a", "slow", 0, 5), stage("y", "a", "slow", 5, 10), stage("z", "b", "fast", 5, 10),
+			candidate("x", "a", "slow", 0, 5), candidate("y", "a", "slow", 5, 10), candidate("z", "b", "fast", 5, 10),
 		}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"x=0-5", "y=5-10"}))
 		Expect(DomainCrossings(path)).To(Equal(0))
 	})
 
 	It("crosses rather than fail", func() {
-		path := Choose(engine(), []Candidate{stage("x", "a", "slow", 0, 5), stage("z", "b", "fast", 5, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{candidate("x", "a", "slow", 0, 5), candidate("z", "b", "fast", 5, 10)}, demand, even)
 		Expect(DomainCrossings(path)).To(Equal(1))
 	})
 
 	It("is none if a layer isn't held", func() {
-		Expect(Choose(engine(), []Candidate{stage("x", "a", "fast", 0, 5), stage("y", "a", "fast", 6, 10)}, demand, even)).To(BeNil())
+		Expect(Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 5), candidate("y", "a", "fast", 6, 10)}, demand, even)).To(BeNil())
 	})
 
 	It("keeps a first part that stands", func() {
 		first := fleet.Stage{ID: "x", Address: "x", Domain: "a", Layers: fleet.Range{From: 0, To: 3}}
 		d := demand
 		d.First = &first
-		path := Choose(engine(), []Candidate{stage("x", "a", "fast", 0, 10), stage("y", "a", "slow", 2, 10)}, d, even)
+		path := Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 10), candidate("y", "a", "slow", 2, 10)}, d, even)
 		Expect(ids(path)).To(Equal([]string{"x=0-3", "y=3-10"}))
 	})
 
 	It("begins where less waits, and doesn't mind what waits at later parts", func() {
-		x, y, z := stage("x", "a", "fast", 0, 5), stage("y", "a", "slow", 0, 5), stage("z", "a", "fast", 5, 10)
+		x, y, z := candidate("x", "a", "fast", 0, 5), candidate("y", "a", "slow", 0, 5), candidate("z", "a", "fast", 5, 10)
 		z.Wait = time.Minute
 		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"x=0-5", "z=5-10"}))
 		x.Wait = time.Second
@@ -115,19 +115,19 @@
 	})
 
 	It("counts on the memory that a request holds in the mean", func() {
-		nearly := stage("f", "a", "fast", 0, 10)
+		nearly := candidate("f", "a", "fast", 0, 10)
 		nearly.Tokens = 98_500 // of 100,000
 		d := Demand{Prompt: 100, Answer: 2000}
-		Expect(ids(Choose(engine(), []Candidate{nearly, stage("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearly, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
 		nearly.Tokens = 99_500
-		Expect(ids(Choose(engine(), []Candidate{nearly, stage("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearly, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
 	})
 
 	It("goes by what a crowd costs it and it costs the crowd", func() {
-		crowded := stage("f", "a", "fast", 0, 10)
+		crowded := candidate("f", "a", "fast", 0, 10)
 		crowded.Requests = 450
 		crowded.Tokens = 80e3
-		idle := stage("m", "a", "mid", 0, 10)
+		idle := candidate("m", "a", "mid", 0, 10)
 		Expect(ids(Choose(engine(), []Candidate{crowded, idle}, demand, even))).To(Equal([]string{"m=0-10"}))
 		crowded.Requests = 40
 		crowded.Tokens = 8e3
@@ -135,22 +135,22 @@
 	})
 
 	It("counts whole passes where it would use few of an endpoint's layers", func() {
-		whole := stage("a", "d", "mid", 0, 10)
+		whole := candidate("a", "d", "mid", 0, 10)
 		whole.Requests = 30 // 24 in 100 more for a layer, by what a crowd costs
-		head, tail := stage("b", "d", "mid", 0, 5), stage("c", "d", "mid", 5, 10)
+		head, tail := candidate("b", "d", "mid", 0, 5), candidate("c", "d", "mid", 5, 10)
 		Expect(ids(Choose(engine(), []Candidate{whole, head, tail}, demand, even))).To(Equal([]string{"b=0-5", "c=5-10"}))
 		head.LayersHeld, tail.LayersHeld = 10, 10
 		Expect(ids(Choose(engine(), []Candidate{whole, head, tail}, demand, even))).To(Equal([]string{"a=0-10"}))
 	})
 
 	It("goes around a slow endpoint and one whose memory is full", func() {
-		slow := stage("s", "a", "fast", 0, 10)
+		slow := candidate("s", "a", "fast", 0, 10)
 		slow.Slowdown = 5
-		path := Choose(engine(), []Candidate{slow, stage("f", "a", "fast", 0, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{slow, candidate("f", "a", "fast", 0, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
-		full := stage("f", "a", "fast", 0, 10)
+		full := candidate("f", "a", "fast", 0, 10)
 		full.Tokens = 1e9
-		path = Choose(engine(), []Candidate{stage("s", "a", "fast", 0, 10), full}, demand, even)
+		path = Choose(engine(), []Candidate{candidate("s", "a", "fast", 0, 10), full}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"s=0-10"}))
 	})
 })
@@ -161,28 +161,28 @@
 func TestEveryLayerOnce(t *testing.T) {
 	e := engine()
 	rapid.Check(t, func(rt *rapid.T) {
-		var stages []Candidate
+		var candidates []Candidate
 		held := make([]bool, e.Layers)
-		for i := range rapid.IntRange(1, 12).Draw(rt, "stages") {
+		for i := range rapid.IntRange(1, 12).Draw(rt, "candidates") {
 			from := rapid.IntRange(0, 9).Draw(rt, "from")
 			to := rapid.IntRange(from+1, 10).Draw(rt, "to")
 			kind := rapid.SampledFrom([]string{"fast", "slow"}).Draw(rt, "kind")
-			s := stage(fmt.Sprint(i), rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "domain"), kind, from, to)
+			s := candidate(fmt.Sprint(i), rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "domain"), kind, from, to)
 			s.Requests = float64(rapid.IntRange(0, 200).Draw(rt, "requests"))
 			s.Tokens = s.Requests * 100
-			stages = append(stages, s)
+			candidates = append(candidates, s)
 			for l := from; l < to; l++ {
 				held[l] = true
 			}
 		}
-		path := Choose(e, stages, demand, even)
+		path := Choose(e, candidates, demand, even)
 		all := true
 		for _, h := range held {
 			all = all && h
 		}
 		if path == nil {
 			if all {
-				rt.Fatalf("no path though all layers are held: %v", stages)
+				rt.Fatalf("no path though all layers are held: %v", candidates)
 			}
 			return
 		}
@@ -195,7 +195,7 @@
 				rt.Fatalf("%s stands twice: %v", p.ID, ids(path))
 			}
 			seen[p.ID] = true
-			for _, s := range stages {
+			for _, s := range candidates {
 				if s.ID == p.ID && (p.Layers.From < s.Layers.From || p.Layers.To > s.Layers.To) {
 					rt.Fatalf("%s doesn't hold %v", p.ID, p.Layers)
 				}
--- a/pkg/pattern/clock.go
+++ b/pkg/pattern/clock.go
@@ -10,66 +10,66 @@
 // Invariant: now never falls; what is due at the same time runs in the order in
 // which it was asked for.
 type clock struct {
-	now   time.Duration
-	asked int
-	queue dueQueue
+	now       time.Duration
+	scheduled int
+	queue     timerQueue
 }
 
-// due is one function and when it runs.
-type due struct {
-	at    time.Duration
-	order int
-	run   func()
+// timer is one function and when it runs.
+type timer struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 // after runs f once d has passed.
 func (c *clock) after(d time.Duration, f func()) {
-	c.asked++
-	heap.Push(&c.queue, &due{
-		at:    c.now + max(0, d),
-		order: c.asked,
-		run:   f,
+	c.scheduled++
+	heap.Push(&c.queue, &timer{
+		at:       c.now + max(0, d),
+		sequence: c.scheduled,
+		run:      f,
 	})
 }
 
 // runUntil runs what is due up to end.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
-		d := heap.Pop(&c.queue).(*due)
-		c.now = d.at
-		d.run()
+		t := heap.Pop(&c.queue).(*timer)
+		c.now = t.at
+		t.run()
 	}
 	c.now = end
 }
 
-// dueQueue implements heap.Interface.
-type dueQueue []*due
+// timerQueue implements heap.Interface.
+type timerQueue []*timer
 
 // Len implements sort.Interface.
-func (q dueQueue) Len() int {
+func (q timerQueue) Len() int {
 	return len(q)
 }
 
 // Less implements sort.Interface.
-func (q dueQueue) Less(i, j int) bool {
+func (q timerQueue) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 
 // Swap implements sort.Interface.
-func (q dueQueue) Swap(i, j int) {
+func (q timerQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 }
 
 // Push implements heap.Interface.
-func (q *dueQueue) Push(x any) {
-	*q = append(*q, x.(*due))
+func (q *timerQueue) Push(x any) {
+	*q = append(*q, x.(*timer))
 }
 
 // Pop implements heap.Interface.
-func (q *dueQueue) Pop() any {
+func (q *timerQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/pkg/pattern/host.go
+++ b/pkg/pattern/host.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// tellEvery is how often a host is told of the others' loads, as entry hosts
+	// reportInterval is how often a host is told of the others' loads, as entry hosts
 	// are with their held calls.
-	tellEvery = 400 * time.Millisecond
+	reportInterval = 400 * time.Millisecond
 	// jitterWidth is how far hosts that know the same differ in their choice.
 	jitterWidth = 0.1
-	// sends bounds how often a stream is offered to endpoints before it is refused.
-	sends = 4
+	// maxPathAttempts bounds how often a stream is offered to endpoints before it is refused.
+	maxPathAttempts = 4
 )
 
 // load is work at an endpoint.
@@ -26,90 +26,90 @@
 
 // host is an entry host: it knows its own streams, and the others' of some time ago.
 type host struct {
-	m      *Model
-	domain string
-	own    map[string]load
-	others map[string]load
-	then   map[string]load // own, when it was told of the others
-	crowd  *crowd.Spreader
+	model       *Model
+	domain      string
+	own         map[string]load
+	others      map[string]load
+	ownAtReport map[string]load // own, when it was told of the others
+	spreader    *crowd.Spreader
 }
 
 func newHost(m *Model, domain string) *host {
 	return &host{
-		m:      m,
-		domain: domain,
-		own:    map[string]load{},
-		others: map[string]load{},
-		then:   map[string]load{},
-		crowd:  crowd.New(m),
+		model:       m,
+		domain:      domain,
+		own:         map[string]load{},
+		others:      map[string]load{},
+		ownAtReport: map[string]load{},
+		spreader:    crowd.New(m),
 	}
 }
 
-func (h *host) begin(id string, tokens float64) {
+func (h *host) addLoad(id string, tokens float64) {
 	l := h.own[id]
 	l.requests++
 	l.tokens += tokens
 	h.own[id] = l
 }
 
-func (h *host) end(id string, tokens float64) {
+func (h *host) removeLoad(id string, tokens float64) {
 	l := h.own[id]
 	l.requests--
 	l.tokens -= tokens
 	h.own[id] = l
 }
 
-// told takes in what all hosts have under way, and comes again.
-func (h *host) told() {
-	for _, e := range h.m.endpoints {
-		all := h.m.sums[e.id]
+// receiveReport takes in what all hosts have under way, and comes again.
+func (h *host) receiveReport() {
+	for _, e := range h.model.endpoints {
+		all := h.model.totals[e.id]
 		own := h.own[e.id]
 		h.others[e.id] = load{
 			requests: max(0, all.requests-own.requests),
 			tokens:   max(0, all.tokens-own.tokens),
 		}
-		h.then[e.id] = own
+		h.ownAtReport[e.id] = own
 	}
-	h.m.clock.after(tellEvery, h.told)
+	h.model.clock.after(reportInterval, h.receiveReport)
 }
 
-// stages returns the endpoints as this host sees them. What it has begun since it
+// candidates returns the endpoints as this host sees them. What it has begun since it
 // was told of the others, they are taken to have begun too.
-func (h *host) stages(avoid map[string]bool) []pathing.Candidate {
+func (h *host) candidates(avoid map[string]bool) []pathing.Candidate {
 	var list []pathing.Candidate
-	for _, e := range h.m.endpoints {
+	for _, e := range h.model.endpoints {
 		if avoid[e.id] || e.layers.Len() == 0 {
 			continue
 		}
-		own, others, then := h.own[e.id], h.others[e.id], h.then[e.id]
-		more := float64(len(h.m.hosts) - 1)
+		own, others, before := h.own[e.id], h.others[e.id], h.ownAtReport[e.id]
+		more := float64(len(h.model.hosts) - 1)
 		list = append(list, pathing.Candidate{
 			ID:       e.id,
 			Address:  e.id,
 			Domain:   e.domain,
 			Kind:     e.kind,
 			Layers:   e.layers,
-			Requests: float64(own.requests+others.requests) + more*float64(max(0, own.requests-then.requests)),
-			Tokens:   own.tokens + others.tokens + more*max(0, own.tokens-then.tokens),
+			Requests: float64(own.requests+others.requests) + more*float64(max(0, own.requests-before.requests)),
+			Tokens:   own.tokens + others.tokens + more*max(0, own.tokens-before.tokens),
 			Slowdown: 1,
 		})
 	}
 	return list
 }
 
-// choose returns a path all of whose endpoints have room, or nil.
-func (h *host) choose(s *stream) []fleet.Stage {
+// choosePath returns a path all of whose endpoints have room, or nil.
+func (h *host) choosePath(s *stream) []fleet.Stage {
 	avoid := map[string]bool{}
 	d := s.demand
 	d.HomeDomain = h.domain
-	for range sends {
-		path := pathing.Choose(h.m.shape.Engine, h.stages(avoid), d, h.jitter)
+	for range maxPathAttempts {
+		path := pathing.Choose(h.model.scenario.Engine, h.candidates(avoid), d, h.jitter)
 		if path == nil {
 			return nil
 		}
 		full := ""
 		for _, p := range path {
-			if e := h.m.byID[p.ID]; e.tokens+s.context() > e.room() {
+			if e := h.model.byID[p.ID]; e.tokens+s.contextTokens() > e.capacity() {
 				full = p.ID
 			}
 		}
@@ -122,5 +122,5 @@
 }
 
 func (h *host) jitter() float64 {
-	return 1 - jitterWidth + 2*jitterWidth*h.m.rand.Float64()
+	return 1 - jitterWidth + 2*jitterWidth*h.model.rand.Float64()
 }
--- a/pkg/pattern/limits.go
+++ b/pkg/pattern/limits.go
@@ -25,22 +25,22 @@
 )
 
 // String returns the way's name.
-func (w LimitStrategy) String() string {
-	return [...]string{"lent", "equal parts", "few hosts"}[w]
+func (s LimitStrategy) String() string {
+	return [...]string{"granted permits", "equal shares", "host subset"}[s]
 }
 
 const (
-	// limitCall is how long a host's call to the leader is held, and limitGather the time
+	// limitPollTime is how long a host's call to the leader is held, and limitGather the time
 	// for each host that it is held at least: what the control hosts do.
-	limitCall   = 400 * time.Millisecond
-	limitGather = time.Millisecond
-	// limitAnswer is how long an endpoint takes to answer, limitHop a message.
-	limitAnswer = 40 * time.Millisecond
-	limitHop    = time.Millisecond
-	// limitSweep is how often the leader ends limits that are over.
-	limitSweep = 300 * time.Millisecond
-	// limitBorrow is how long a request waits for a permit.
-	limitBorrow = 250 * time.Millisecond
+	limitPollTime   = 400 * time.Millisecond
+	limitBatchDelay = time.Millisecond
+	// limitResponseTime is how long an endpoint takes to answer, limitHop a message.
+	limitResponseTime = 40 * time.Millisecond
+	limitLatency      = time.Millisecond
+	// limitExpireInterval is how often the leader ends limits that are over.
+	limitExpireInterval = 300 * time.Millisecond
+	// limitPermitWait is how long a request waits for a permit.
+	limitPermitWait = 250 * time.Millisecond
 	// limitService is the service that all endpoints of a play are of.
 	limitService = "s"
 )
@@ -59,14 +59,14 @@
 // LimitModel is one play of endpoints that name limits: the permits are the product's own code,
 // the hosts, the leader's calls and the endpoints are a model.
 type LimitModel struct {
-	shape     LimitScenario
+	scenario  LimitScenario
 	clock     *clock
 	rand      *rand.Rand
 	hosts     []*limitHost
 	endpoints []*limitEndpoint
-	lender    *permit.Granter
+	granter   *permit.Granter
 	term      uint64
-	leads     bool // a leader is there
+	hasLeader bool // a leader is there
 	// Refused is when requests were refused, and Calls counts what the leader was called.
 	Refused []time.Duration
 	Calls   int
@@ -75,63 +75,63 @@
 // limitEndpoint is an endpoint, and when it was reached.
 type limitEndpoint struct {
 	id      string
-	n       int
+	index   int
 	reached []time.Duration
 }
 
 // limitHost is an entry host.
 type limitHost struct {
-	m     *LimitModel
-	n     int
-	book  *permit.Holder
-	cut   bool // it hears nothing of the leader, nor the leader of it
-	epoch int  // counts starts: what belongs to an older one is void
-	held  *limitHeld
-	parts map[string]*limitPart // by endpoint
+	model       *LimitModel
+	index       int
+	holder      *permit.Holder
+	partitioned bool // it hears nothing of the leader, nor the leader of it
+	epoch       int  // counts starts: what belongs to an older one is void
+	poll        *limitPoll
+	buckets     map[string]*limitBucket // by endpoint
 }
 
-// limitHeld is a call to the leader that wasn't answered yet.
-type limitHeld struct {
+// limitPoll is a call to the leader that wasn't answered yet.
+type limitPoll struct {
 	report permit.HostReport
-	sent   time.Duration
+	sentAt time.Duration
 	term   uint64 // of the leader that heard it; 0: none did
 }
 
-// limitPart is a host's own part of a limit, as the other ways have it.
-type limitPart struct {
-	tokens float64
-	at     time.Duration
+// limitBucket is a host's own part of a limit, as the other ways have it.
+type limitBucket struct {
+	tokens    float64
+	updatedAt time.Duration
 }
 
 // NewLimitModel returns a play whose hosts know nothing yet.
-func NewLimitModel(shape LimitScenario, seed uint64) *LimitModel {
+func NewLimitModel(scenario LimitScenario, seed uint64) *LimitModel {
 	m := &LimitModel{
-		shape: shape,
-		clock: &clock{},
-		rand:  rand.New(rand.NewPCG(seed, seed)),
-		term:  1,
-		leads: true,
+		scenario:  scenario,
+		clock:     &clock{},
+		rand:      rand.New(rand.NewPCG(seed, seed)),
+		term:      1,
+		hasLeader: true,
 	}
-	m.lender = permit.NewGranter(m)
-	m.lender.BeginTerm(m.term)
-	for n := range shape.Endpoints {
+	m.granter = permit.NewGranter(m)
+	m.granter.BeginTerm(m.term)
+	for n := range scenario.Endpoints {
 		m.endpoints = append(m.endpoints, &limitEndpoint{
-			id: fmt.Sprintf("e%d", n),
-			n:  n,
+			id:    fmt.Sprintf("e%d", n),
+			index: n,
 		})
 	}
-	for n := range shape.Hosts {
+	for n := range scenario.Hosts {
 		h := &limitHost{
-			m:     m,
-			n:     n,
-			book:  permit.NewHolder(m, uint64(n)),
-			parts: map[string]*limitPart{},
+			model:   m,
+			index:   n,
+			holder:  permit.NewHolder(m, uint64(n)),
+			buckets: map[string]*limitBucket{},
 		}
 		m.hosts = append(m.hosts, h)
-		m.clock.after(limitCall*time.Duration(n)/time.Duration(shape.Hosts), h.start)
+		m.clock.after(limitPollTime*time.Duration(n)/time.Duration(scenario.Hosts), h.restart)
 	}
-	m.clock.after(limitSweep, m.sweep)
-	m.clock.after(m.gap(), m.ask)
+	m.clock.after(limitExpireInterval, m.expire)
+	m.clock.after(m.interarrival(), m.newRequest)
 	return m
 }
 
@@ -147,144 +147,144 @@
 
 // StopLeader takes the leader away; another leads after a while, and knows nothing.
 func (m *LimitModel) StopLeader(d time.Duration) {
-	m.leads = false
+	m.hasLeader = false
 	m.clock.after(d, func() {
-		m.leads = true
+		m.hasLeader = true
 		m.term++
-		m.lender.BeginTerm(m.term)
+		m.granter.BeginTerm(m.term)
 	})
 }
 
 // SetPartitioned cuts a host off from the leader, or takes that back.
-func (m *LimitModel) SetPartitioned(host int, cut bool) {
-	m.hosts[host].cut = cut
+func (m *LimitModel) SetPartitioned(host int, partitioned bool) {
+	m.hosts[host].partitioned = partitioned
 }
 
 // Restart starts a host anew: it knows nothing.
 func (m *LimitModel) Restart(host int) {
-	m.hosts[host].start()
+	m.hosts[host].restart()
 }
 
-func (m *LimitModel) sweep() {
-	if m.leads && len(m.lender.Expire()) > 0 {
-		m.news()
+func (m *LimitModel) expire() {
+	if m.hasLeader && len(m.granter.Expire()) > 0 {
+		m.answerPolls()
 	}
-	m.clock.after(limitSweep, m.sweep)
+	m.clock.after(limitExpireInterval, m.expire)
 }
 
-func (m *LimitModel) gap() time.Duration {
-	return time.Duration(m.rand.ExpFloat64() / m.shape.PerSecond * float64(time.Second))
+func (m *LimitModel) interarrival() time.Duration {
+	return time.Duration(m.rand.ExpFloat64() / m.scenario.PerSecond * float64(time.Second))
 }
 
-// ask is one caller's request, at any host.
-func (m *LimitModel) ask() {
-	m.clock.after(m.gap(), m.ask)
+// newRequest is one caller's request, at any host.
+func (m *LimitModel) newRequest() {
+	m.clock.after(m.interarrival(), m.newRequest)
 	h := m.hosts[m.rand.IntN(len(m.hosts))]
-	h.book.CountRequest(limitService)
-	h.serve(m.clock.now + limitBorrow)
+	h.holder.CountRequest(limitService)
+	h.handle(m.clock.now + limitPermitWait)
 }
 
-// start begins a host anew.
-func (h *limitHost) start() {
+// restart begins a host anew.
+func (h *limitHost) restart() {
 	h.epoch++
-	h.book = permit.NewHolder(h.m, uint64(h.n))
-	h.parts = map[string]*limitPart{}
-	h.held = nil
-	h.call()
+	h.holder = permit.NewHolder(h.model, uint64(h.index))
+	h.buckets = map[string]*limitBucket{}
+	h.poll = nil
+	h.sendPoll()
 }
 
-// call calls the leader, which holds the call.
-func (h *limitHost) call() {
+// sendPoll calls the leader, which holds the call.
+func (h *limitHost) sendPoll() {
 	epoch := h.epoch
-	held := &limitHeld{
-		report: h.book.TakeReport(),
-		sent:   h.m.clock.now,
+	poll := &limitPoll{
+		report: h.holder.TakeReport(),
+		sentAt: h.model.clock.now,
 	}
-	h.held = held
-	h.m.Calls++
-	h.m.clock.after(limitHop, func() { h.m.hear(h, held) })
-	h.m.clock.after(limitCall, func() {
-		if h.epoch == epoch && h.held == held {
-			h.answer()
+	h.poll = poll
+	h.model.Calls++
+	h.model.clock.after(limitLatency, func() { h.model.receiveReport(h, poll) })
+	h.model.clock.after(limitPollTime, func() {
+		if h.epoch == epoch && h.poll == poll {
+			h.answerPoll()
 		}
 	})
 }
 
-// hear takes what a host reports.
-func (m *LimitModel) hear(h *limitHost, held *limitHeld) {
-	if !m.leads || h.cut {
+// receiveReport takes what a host reports.
+func (m *LimitModel) receiveReport(h *limitHost, poll *limitPoll) {
+	if !m.hasLeader || h.partitioned {
 		return
 	}
-	held.term = m.term
-	rep := held.report
-	news := m.lender.Observe(rep.LimitReports)
-	m.lender.ReturnUnused(rep.Term, rep.Unused)
-	if len(news) > 0 {
-		m.news()
+	poll.term = m.term
+	report := poll.report
+	changes := m.granter.Observe(report.LimitReports)
+	m.granter.ReturnUnused(report.Term, report.Unused)
+	if len(changes) > 0 {
+		m.answerPolls()
 	}
 }
 
-// news answers all calls that were held for long enough.
-func (m *LimitModel) news() {
-	gather := limitGather * time.Duration(len(m.hosts))
+// answerPolls answers all calls that were held for long enough.
+func (m *LimitModel) answerPolls() {
+	delay := limitBatchDelay * time.Duration(len(m.hosts))
 	for _, h := range m.hosts {
-		held, epoch := h.held, h.epoch
-		if held == nil || held.term != m.term {
+		poll, epoch := h.poll, h.epoch
+		if poll == nil || poll.term != m.term {
 			continue
 		}
-		m.clock.after(max(limitHop, held.sent+gather-m.clock.now), func() {
-			if h.epoch == epoch && h.held == held {
-				h.answer()
+		m.clock.after(max(limitLatency, poll.sentAt+delay-m.clock.now), func() {
+			if h.epoch == epoch && h.poll == poll {
+				h.answerPoll()
 			}
 		})
 	}
 }
 
-// answer has the leader answer the call of a host, which calls again.
-func (h *limitHost) answer() {
-	m, rep, heardBy := h.m, h.held.report, h.held.term
+// answerPoll has the leader answer the call of a host, which calls again.
+func (h *limitHost) answerPoll() {
+	m, report, pollTerm := h.model, h.poll.report, h.poll.term
 	epoch := h.epoch
-	h.held = nil
-	if !m.leads || h.cut || heardBy != m.term { // a leader confirms what it heard itself
-		m.clock.after(limitCall, func() { h.again(epoch) })
+	h.poll = nil
+	if !m.hasLeader || h.partitioned || pollTerm != m.term { // a leader confirms what it heard itself
+		m.clock.after(limitPollTime, func() { h.pollAgain(epoch) })
 		return
 	}
-	list, version, whole := m.lender.ChangesSince(rep.Term, rep.Version, rep.Digest)
-	lent := permit.Counts{}
-	for _, d := range rep.Demands {
-		lent = m.lender.Grant(d)
+	list, version, full := m.granter.ChangesSince(report.Term, report.Version, report.Digest)
+	granted := permit.Counts{}
+	for _, d := range report.Demands {
+		granted = m.granter.Grant(d)
 	}
 	end := m.Now().Add(permit.Lifetime)
 	term := m.term
-	m.clock.after(limitHop, func() {
-		if h.epoch != epoch || h.cut { // the answer is lost
-			h.again(epoch)
+	m.clock.after(limitLatency, func() {
+		if h.epoch != epoch || h.partitioned { // the answer is lost
+			h.pollAgain(epoch)
 			return
 		}
-		h.book.Acknowledge(term, rep.LimitReports)
-		h.book.ApplyChanges(term, version, whole, list)
-		h.book.AddPermits(term, lent, end)
-		h.again(epoch)
+		h.holder.Acknowledge(term, report.LimitReports)
+		h.holder.ApplyChanges(term, version, full, list)
+		h.holder.AddPermits(term, granted, end)
+		h.pollAgain(epoch)
 	})
 }
 
-func (h *limitHost) again(epoch int) {
-	if h.epoch == epoch && h.held == nil {
-		h.call()
+func (h *limitHost) pollAgain(epoch int) {
+	if h.epoch == epoch && h.poll == nil {
+		h.sendPoll()
 	}
 }
 
-// serve sends a request to one of the endpoints that may be called, and to one that has a
+// handle sends a request to one of the endpoints that may be called, and to one that has a
 // limit first; where there is none it waits for a permit until end.
-func (h *limitHost) serve(end time.Duration) {
+func (h *limitHost) handle(end time.Duration) {
 	var best *limitEndpoint
-	var scarce []*limitEndpoint
-	for _, i := range h.m.rand.Perm(len(h.m.endpoints)) {
-		e := h.m.endpoints[i]
+	var limited []*limitEndpoint
+	for _, i := range h.model.rand.Perm(len(h.model.endpoints)) {
+		e := h.model.endpoints[i]
 		switch {
-		case !h.may(e):
-			scarce = append(scarce, e)
-		case best == nil || h.book.HasLimit(e.id):
+		case !h.mayCall(e):
+			limited = append(limited, e)
+		case best == nil || h.holder.HasLimit(e.id):
 			best = e
 		}
 	}
@@ -292,102 +292,102 @@
 		h.send(best)
 		return
 	}
-	h.borrow(scarce, end)
+	h.requestPermit(limited, end)
 }
 
-// anyFree reports whether some endpoint may be called.
-func (h *limitHost) anyFree() bool {
-	return slices.ContainsFunc(h.m.endpoints, h.may)
+// anyCallable reports whether some endpoint may be called.
+func (h *limitHost) anyCallable() bool {
+	return slices.ContainsFunc(h.model.endpoints, h.mayCall)
 }
 
-// may reports whether an endpoint may be called.
-func (h *limitHost) may(e *limitEndpoint) bool {
-	if !h.book.HasLimit(e.id) {
+// mayCall reports whether an endpoint may be called.
+func (h *limitHost) mayCall(e *limitEndpoint) bool {
+	if !h.holder.HasLimit(e.id) {
 		return true
 	}
-	if h.m.shape.Strategy == GrantedPermits {
-		return h.book.MayCall(e.id)
+	if h.model.scenario.Strategy == GrantedPermits {
+		return h.holder.MayCall(e.id)
 	}
-	return h.part(e).tokens >= 1
+	return h.bucket(e).tokens >= 1
 }
 
-// part returns a host's own part of an endpoint's limit. It begins empty.
-func (h *limitHost) part(e *limitEndpoint) *limitPart {
-	now := h.m.clock.now
-	p := h.parts[e.id]
+// bucket returns a host's own part of an endpoint's limit. It begins empty.
+func (h *limitHost) bucket(e *limitEndpoint) *limitBucket {
+	now := h.model.clock.now
+	p := h.buckets[e.id]
 	if p == nil {
-		p = &limitPart{
-			at: now,
+		p = &limitBucket{
+			updatedAt: now,
 		}
-		h.parts[e.id] = p
+		h.buckets[e.id] = p
 	}
-	rate := math.Max(0, h.m.shape.Limit(e.n, now)) * h.shareOf(e)
-	p.tokens = math.Min(1, p.tokens+rate*(now-p.at).Seconds())
-	p.at = now
+	rate := math.Max(0, h.model.scenario.Limit(e.index, now)) * h.limitShare(e)
+	p.tokens = math.Min(1, p.tokens+rate*(now-p.updatedAt).Seconds())
+	p.updatedAt = now
 	return p
 }
 
-// shareOf returns a host's share of an endpoint's limit.
-func (h *limitHost) shareOf(e *limitEndpoint) float64 {
-	hosts := float64(len(h.m.hosts))
-	if h.m.shape.Strategy == EqualShares {
+// limitShare returns a host's share of an endpoint's limit.
+func (h *limitHost) limitShare(e *limitEndpoint) float64 {
+	hosts := float64(len(h.model.hosts))
+	if h.model.scenario.Strategy == EqualShares {
 		return 1 / hosts
 	}
-	few := math.Min(hosts, math.Max(1, math.Floor(h.m.shape.Limit(e.n, h.m.clock.now))))
-	if float64(fleet.LoadKey(fmt.Sprintf("%s %d", e.id, h.n)))/math.MaxUint32 >= few/hosts {
+	subset := math.Min(hosts, math.Max(1, math.Floor(h.model.scenario.Limit(e.index, h.model.clock.now))))
+	if float64(fleet.LoadKey(fmt.Sprintf("%s %d", e.id, h.index)))/math.MaxUint32 >= subset/hosts {
 		return 0
 	}
-	return 1 / few
+	return 1 / subset
 }
 
 // send sends a request, and hears the answer.
 func (h *limitHost) send(e *limitEndpoint) {
-	if h.book.HasLimit(e.id) {
-		if h.m.shape.Strategy == GrantedPermits && !h.book.TryAcquire(e.id) {
+	if h.holder.HasLimit(e.id) {
+		if h.model.scenario.Strategy == GrantedPermits && !h.holder.TryAcquire(e.id) {
 			return
 		}
-		if h.m.shape.Strategy != GrantedPermits {
-			h.part(e).tokens--
+		if h.model.scenario.Strategy != GrantedPermits {
+			h.bucket(e).tokens--
 		}
 	}
-	m, epoch, sent := h.m, h.epoch, h.m.Now()
+	m, epoch, sent := h.model, h.epoch, h.model.Now()
 	e.reached = append(e.reached, m.clock.now)
-	m.clock.after(limitAnswer, func() {
+	m.clock.after(limitResponseTime, func() {
 		if h.epoch != epoch {
 			return
 		}
 		l := fleet.Limit{
 			Status: fleet.LimitNone,
 		}
-		if n := m.shape.Limit(e.n, m.clock.now); n >= 0 {
+		if n := m.scenario.Limit(e.index, m.clock.now); n >= 0 {
 			l = fleet.Limit{
 				Status:    fleet.LimitSet,
 				PerSecond: n,
 			}
 		}
-		if h.book.Observe(e.id, limitService, l, sent) {
-			words := h.book.PendingReports()
-			m.clock.after(limitHop, func() { m.tell(h, words) })
+		if h.holder.Observe(e.id, limitService, l, sent) {
+			reports := h.holder.PendingReports()
+			m.clock.after(limitLatency, func() { m.reportLimits(h, reports) })
 		}
 	})
 }
 
-// tell tells the leader at once of limits that a host heard.
-func (m *LimitModel) tell(h *limitHost, words []permit.LimitReport) {
+// reportLimits tells the leader at once of limits that a host heard.
+func (m *LimitModel) reportLimits(h *limitHost, reports []permit.LimitReport) {
 	m.Calls++
-	if !m.leads || h.cut {
+	if !m.hasLeader || h.partitioned {
 		return
 	}
-	if len(m.lender.Observe(words)) > 0 {
-		m.news()
+	if len(m.granter.Observe(reports)) > 0 {
+		m.answerPolls()
 	}
-	h.book.Acknowledge(m.term, words)
+	h.holder.Acknowledge(m.term, reports)
 }
 
-// borrow asks the leader for a permit for any of the endpoints.
-func (h *limitHost) borrow(list []*limitEndpoint, end time.Duration) {
-	m := h.m
-	if m.shape.Strategy != GrantedPermits || !m.leads || h.cut {
+// requestPermit asks the leader for a permit for any of the endpoints.
+func (h *limitHost) requestPermit(list []*limitEndpoint, end time.Duration) {
+	m := h.model
+	if m.scenario.Strategy != GrantedPermits || !m.hasLeader || h.partitioned {
 		m.Refused = append(m.Refused, m.clock.now)
 		return
 	}
@@ -396,33 +396,33 @@
 		keys = append(keys, permit.EndpointKey(e.id))
 	}
 	m.Calls++
-	loan := m.lender.Enqueue(keys, false, 0)
-	m.clock.after(limitHop, func() { h.try(loan, end) })
+	waiter := m.granter.Enqueue(keys, false, 0)
+	m.clock.after(limitLatency, func() { h.tryGrant(waiter, end) })
 }
 
-// try tries to lend what is asked for, until end.
-func (h *limitHost) try(loan *permit.Waiter, end time.Duration) {
-	m, epoch := h.m, h.epoch
-	lent, due := m.lender.TryGrant(loan)
+// tryGrant tries to lend what is asked for, until end.
+func (h *limitHost) tryGrant(waiter *permit.Waiter, end time.Duration) {
+	m, epoch := h.model, h.epoch
+	granted, due := m.granter.TryGrant(waiter)
 	switch {
 	case due == 0:
-		m.lender.Dequeue(loan)
+		m.granter.Dequeue(waiter)
 		term, until := m.term, m.Now().Add(permit.Lifetime)
-		m.clock.after(limitHop, func() {
-			if h.epoch != epoch || h.cut {
+		m.clock.after(limitLatency, func() {
+			if h.epoch != epoch || h.partitioned {
 				return
 			}
-			h.book.AddPermits(term, lent, until)
-			h.serve(end)
+			h.holder.AddPermits(term, granted, until)
+			h.handle(end)
 		})
-	case m.clock.now+due > end && h.anyFree():
-		m.lender.Dequeue(loan)
-		h.serve(end)
+	case m.clock.now+due > end && h.anyCallable():
+		m.granter.Dequeue(waiter)
+		h.handle(end)
 	case m.clock.now+due > end:
-		m.lender.Dequeue(loan)
+		m.granter.Dequeue(waiter)
 		m.Refused = append(m.Refused, m.clock.now)
 	default:
-		m.clock.after(due, func() { h.try(loan, end) })
+		m.clock.after(due, func() { h.tryGrant(waiter, end) })
 	}
 }
 
@@ -456,7 +456,7 @@
 func (m *LimitModel) HostsAware(endpoint int) int {
 	n := 0
 	for _, h := range m.hosts {
-		if h.book.HasLimit(m.endpoints[endpoint].id) {
+		if h.holder.HasLimit(m.endpoints[endpoint].id) {
 			n++
 		}
 	}
--- a/pkg/pattern/limits_test.go
+++ b/pkg/pattern/limits_test.go
@@ -14,12 +14,12 @@
 )
 
 // allowedIn returns how many requests a limit allows in a window.
-func allowedIn(limit float64) int {
+func allowedInWindow(limit float64) int {
 	return int(1.5*limit*limitWindow.Seconds() + 5)
 }
 
-// namesFrom returns limits that the first endpoints name from limitFrom on.
-func namesFrom(endpoints int, limit float64) func(int, time.Duration) float64 {
+// limitFromStart returns limits that the first endpoints name from limitFrom on.
+func limitFromStart(endpoints int, limit float64) func(int, time.Duration) float64 {
 	return func(e int, now time.Duration) float64 {
 		if e < endpoints && now >= limitFrom {
 			return limit
@@ -28,23 +28,23 @@
 	}
 }
 
-var limitSizes = []int{11, 100, 300}
+var hostCounts = []int{11, 100, 300}
 
-// expectKept checks that no window of an endpoint holds more than a limit allows. What
+// expectWithinLimit checks that no window of an endpoint holds more than a limit allows. What
 // reached it before it was named doesn't count.
-func expectKept(m *LimitModel, endpoint int, limit float64, from, to time.Duration, about string) {
+func expectWithinLimit(m *LimitModel, endpoint int, limit float64, from, to time.Duration, about string) {
 	most := m.MaxInWindow(endpoint, limitWindow, from, to)
-	Expect(most).To(BeNumerically("<=", allowedIn(limit)), about)
+	Expect(most).To(BeNumerically("<=", allowedInWindow(limit)), about)
 }
 
 var _ = Describe("endpoints that name limits", func() {
-	for _, hosts := range limitSizes {
+	for _, hosts := range hostCounts {
 		for _, limit := range []float64{0, 0.05, 2, 8, 40} {
 			It(fmt.Sprintf("get no more than that, and where others have room nobody is refused: %d hosts, %v a second", hosts, limit), func() {
 				for _, seed := range seeds {
-					m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: namesFrom(1, limit)}, seed)
+					m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: limitFromStart(1, limit)}, seed)
 					m.Run(20 * time.Second)
-					expectKept(m, 0, limit, limitFrom+300*time.Millisecond, 20*time.Second, fmt.Sprint("seed ", seed))
+					expectWithinLimit(m, 0, limit, limitFrom+300*time.Millisecond, 20*time.Second, fmt.Sprint("seed ", seed))
 					Expect(m.Refused).To(BeEmpty())
 				}
 			})
@@ -54,10 +54,10 @@
 			It(fmt.Sprintf("get nearly that where all do and more is asked for: %d hosts, %v times the limits", hosts, demand), func() {
 				for _, seed := range seeds {
 					const limit = 8.0
-					m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: demand * 3 * limit, Limit: namesFrom(3, limit)}, seed)
+					m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: demand * 3 * limit, Limit: limitFromStart(3, limit)}, seed)
 					m.Run(30 * time.Second)
 					for e := range 3 {
-						expectKept(m, e, limit, limitFrom+300*time.Millisecond, 30*time.Second, fmt.Sprint("seed ", seed))
+						expectWithinLimit(m, e, limit, limitFrom+300*time.Millisecond, 30*time.Second, fmt.Sprint("seed ", seed))
 						Expect(m.ReachedIn(e, 10*time.Second, 30*time.Second)).To(BeNumerically(">=", 0.85*20*limit))
 					}
 				}
@@ -66,7 +66,7 @@
 
 		It(fmt.Sprintf("are known to all hosts within half a second, though one was told: %d hosts", hosts), func() {
 			for _, seed := range seeds {
-				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: namesFrom(1, 8)}, seed)
+				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: limitFromStart(1, 8)}, seed)
 				m.Run(limitFrom + 500*time.Millisecond)
 				Expect(m.HostsAware(0)).To(Equal(hosts))
 			}
@@ -82,7 +82,7 @@
 			for _, seed := range seeds {
 				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 1, PerSecond: 100, Limit: limit}, seed)
 				m.Run(20 * time.Second)
-				expectKept(m, 0, 8, limitFrom+300*time.Millisecond, 15*time.Second, fmt.Sprint("seed ", seed))
+				expectWithinLimit(m, 0, 8, limitFrom+300*time.Millisecond, 15*time.Second, fmt.Sprint("seed ", seed))
 				Expect(m.RefusedIn(17*time.Second, 20*time.Second)).To(BeZero())
 			}
 		})
@@ -90,7 +90,7 @@
 		It(fmt.Sprintf("get no more while leaders change, hosts are cut off and start anew: %d hosts", hosts), func() {
 			for _, seed := range seeds {
 				const limit = 8.0
-				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 2, PerSecond: 200, Limit: namesFrom(2, limit)}, seed)
+				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 2, PerSecond: 200, Limit: limitFromStart(2, limit)}, seed)
 				for at := 7 * time.Second; at < 40*time.Second; at += 700 * time.Millisecond {
 					m.Run(at)
 					switch m.rand.IntN(4) {
@@ -105,7 +105,7 @@
 					}
 				}
 				for e := range 2 {
-					expectKept(m, e, limit, limitFrom+300*time.Millisecond, 40*time.Second, fmt.Sprint("seed ", seed))
+					expectWithinLimit(m, e, limit, limitFrom+300*time.Millisecond, 40*time.Second, fmt.Sprint("seed ", seed))
 				}
 			}
 		})
@@ -129,7 +129,7 @@
 				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 2, PerSecond: 200, Limit: limit}, seed)
 				m.Run(30 * time.Second)
 				for e := range 2 {
-					expectKept(m, e, 10, limitFrom+300*time.Millisecond, 30*time.Second, fmt.Sprint("endpoint ", e, " seed ", seed))
+					expectWithinLimit(m, e, 10, limitFrom+300*time.Millisecond, 30*time.Second, fmt.Sprint("endpoint ", e, " seed ", seed))
 				}
 			}
 		})
@@ -140,24 +140,24 @@
 	// One endpoint names 8 a second and is asked for more: how much the fullest 4 s hold,
 	// and how much of the limit is used. The ways in which a host acts alone use little of
 	// it where requests are few for each host, or hold too much where they come at once.
-	for _, way := range []LimitStrategy{GrantedPermits, EqualShares, HostSubset} {
-		It("are told apart: "+way.String(), func() {
+	for _, strategy := range []LimitStrategy{GrantedPermits, EqualShares, HostSubset} {
+		It("are told apart: "+strategy.String(), func() {
 			fits := true
-			for _, hosts := range limitSizes {
+			for _, hosts := range hostCounts {
 				for _, demand := range []float64{12, 80} {
 					most, used := 0, 0
 					for _, seed := range seeds {
-						m := NewLimitModel(LimitScenario{Strategy: way, Hosts: hosts, Endpoints: 1, PerSecond: demand, Limit: namesFrom(1, 8)}, seed)
+						m := NewLimitModel(LimitScenario{Strategy: strategy, Hosts: hosts, Endpoints: 1, PerSecond: demand, Limit: limitFromStart(1, 8)}, seed)
 						m.Run(45 * time.Second)
 						most = max(most, m.MaxInWindow(0, limitWindow, limitFrom+300*time.Millisecond, 45*time.Second))
 						used += m.ReachedIn(0, 15*time.Second, 45*time.Second)
 					}
 					share := float64(used) / float64(len(seeds)) / (30 * 8)
-					GinkgoWriter.Printf("%s, %d hosts, asked for %v: fullest 4 s %d, used %.2f\n", way, hosts, demand, most, share)
-					fits = fits && most <= allowedIn(8) && share >= 0.85
+					GinkgoWriter.Printf("%s, %d hosts, asked for %v: fullest 4 s %d, used %.2f\n", strategy, hosts, demand, most, share)
+					fits = fits && most <= allowedInWindow(8) && share >= 0.85
 				}
 			}
-			Expect(fits).To(Equal(way == GrantedPermits))
+			Expect(fits).To(Equal(strategy == GrantedPermits))
 		})
 	}
 })
--- a/pkg/pattern/pattern.go
+++ b/pkg/pattern/pattern.go
@@ -50,13 +50,13 @@
 
 // Model is one play.
 type Model struct {
-	shape     *Scenario
+	scenario  *Scenario
 	clock     *clock
 	rand      *rand.Rand
 	endpoints []*endpoint
 	byID      map[string]*endpoint
 	hosts     []*host
-	sums      map[string]load // of all hosts' streams, by endpoint
+	totals    map[string]load // of all hosts' streams, by endpoint
 	streams   []*stream
 	refused   int
 	// down says that no host answers.
@@ -64,54 +64,54 @@
 }
 
 // New returns a model whose layers are placed.
-func New(shape *Scenario, seed uint64) *Model {
+func New(scenario *Scenario, seed uint64) *Model {
 	m := &Model{
-		shape: shape,
-		clock: &clock{},
-		rand:  rand.New(rand.NewPCG(seed, seed)),
-		byID:  map[string]*endpoint{},
-		sums:  map[string]load{},
+		scenario: scenario,
+		clock:    &clock{},
+		rand:     rand.New(rand.NewPCG(seed, seed)),
+		byID:     map[string]*endpoint{},
+		totals:   map[string]load{},
 	}
 	domains := map[string]bool{}
-	for _, g := range shape.Groups {
+	for _, g := range scenario.Groups {
 		for range g.Count {
 			m.addEndpoint(g)
 		}
 		if !domains[g.Domain] {
 			domains[g.Domain] = true
-			for range shape.Hosts {
+			for range scenario.Hosts {
 				m.hosts = append(m.hosts, newHost(m, g.Domain))
 			}
 		}
 	}
 	m.place()
-	m.begin()
+	m.startTimers()
 	return m
 }
 
 func (m *Model) addEndpoint(g Group) {
 	e := &endpoint{
-		clock:  m.clock,
-		engine: m.shape.Engine,
-		shape:  m.shape,
-		id:     fmt.Sprintf("%s-%s-%d", g.Kind, g.Domain, len(m.endpoints)),
-		domain: g.Domain,
-		kind:   g.Kind,
-		slow:   1,
+		clock:    m.clock,
+		engine:   m.scenario.Engine,
+		scenario: m.scenario,
+		id:       fmt.Sprintf("%s-%s-%d", g.Kind, g.Domain, len(m.endpoints)),
+		domain:   g.Domain,
+		kind:     g.Kind,
+		slowdown: 1,
 	}
 	m.endpoints = append(m.endpoints, e)
 	m.byID[e.id] = e
 }
 
-// placements bounds how often a plan is asked for: the store serves a few at a time.
-const placements = 1000
+// maxPlacementRounds bounds how often a plan is asked for: the store serves a few at a time.
+const maxPlacementRounds = 1000
 
 // place carries out plans until nothing is due.
 func (m *Model) place() {
-	for range placements {
-		var servers []placement.EndpointState
+	for range maxPlacementRounds {
+		var states []placement.EndpointState
 		for _, e := range m.endpoints {
-			servers = append(servers, placement.EndpointState{
+			states = append(states, placement.EndpointState{
 				ID:       e.id,
 				Domain:   e.domain,
 				Kind:     e.kind,
@@ -119,7 +119,7 @@
 				Slowdown: 1,
 			})
 		}
-		orders := placement.Plan(m.shape.Engine, servers)
+		orders := placement.Plan(m.scenario.Engine, states)
 		if len(orders) == 0 {
 			return
 		}
@@ -134,58 +134,58 @@
 	return time.Unix(0, int64(m.clock.now))
 }
 
-// begin starts what comes again and again: loads that are told, and callers.
-func (m *Model) begin() {
-	m.clock.after(tellEvery/2, m.sum)
+// startTimers starts what comes again and again: loads that are told, and callers.
+func (m *Model) startTimers() {
+	m.clock.after(reportInterval/2, m.sumLoads)
 	for i, h := range m.hosts {
-		m.clock.after(tellEvery*time.Duration(i)/time.Duration(len(m.hosts)), h.told)
+		m.clock.after(reportInterval*time.Duration(i)/time.Duration(len(m.hosts)), h.receiveReport)
 	}
-	m.clock.after(m.gap(), m.ask)
+	m.clock.after(m.interarrival(), m.newRequest)
 }
 
-// sum adds up what all hosts have under way, as a leader does.
-func (m *Model) sum() {
-	m.sums = map[string]load{}
+// sumLoads adds up what all hosts have under way, as a leader does.
+func (m *Model) sumLoads() {
+	m.totals = map[string]load{}
 	for _, h := range m.hosts {
 		for id, l := range h.own {
-			all := m.sums[id]
+			all := m.totals[id]
 			all.requests += l.requests
 			all.tokens += l.tokens
-			m.sums[id] = all
+			m.totals[id] = all
 		}
 	}
-	m.clock.after(tellEvery/2, m.sum)
+	m.clock.after(reportInterval/2, m.sumLoads)
 }
 
-// gap draws the time until the next request.
-func (m *Model) gap() time.Duration {
-	return time.Duration(m.rand.ExpFloat64() / m.shape.PerSecond * float64(time.Second))
+// interarrival draws the time until the next request.
+func (m *Model) interarrival() time.Duration {
+	return time.Duration(m.rand.ExpFloat64() / m.scenario.PerSecond * float64(time.Second))
 }
 
-// ask is one caller's first try.
-func (m *Model) ask() {
-	m.clock.after(m.gap(), m.ask)
-	events := max(1, int(m.draw(m.shape.Events)))
+// newRequest is one caller's first try.
+func (m *Model) newRequest() {
+	m.clock.after(m.interarrival(), m.newRequest)
+	events := max(1, int(m.sampleSize(m.scenario.Events)))
 	s := &stream{
-		m:    m,
-		host: m.hosts[m.rand.IntN(len(m.hosts))],
+		model: m,
+		host:  m.hosts[m.rand.IntN(len(m.hosts))],
 		demand: pathing.Demand{
-			Prompt: math.Ceil(m.draw(m.shape.Prompt)),
-			Answer: float64(events * m.shape.TokensPerEvent),
+			Prompt: math.Ceil(m.sampleSize(m.scenario.Prompt)),
+			Answer: float64(events * m.scenario.TokensPerEvent),
 		},
-		events: events,
-		asked:  m.clock.now,
+		events:      events,
+		requestedAt: m.clock.now,
 	}
 	m.streams = append(m.streams, s)
 	if !m.down {
-		s.come(m.clock.now)
+		s.arrive(m.clock.now)
 	}
 }
 
-// draw draws a size by its mean.
-func (m *Model) draw(mean float64) float64 {
-	spread := m.shape.SizeSigma
-	return mean * math.Exp(spread*m.rand.NormFloat64()-spread*spread/2)
+// sampleSize draws a size by its mean.
+func (m *Model) sampleSize(mean float64) float64 {
+	sigma := m.scenario.SizeSigma
+	return mean * math.Exp(sigma*m.rand.NormFloat64()-sigma*sigma/2)
 }
 
 // Run plays on until a time.
@@ -201,27 +201,27 @@
 	m.down = true
 	for _, h := range m.hosts {
 		h.others = map[string]load{}
-		h.then = map[string]load{}
+		h.ownAtReport = map[string]load{}
 	}
 	for _, s := range m.streams {
-		if s.ended || !s.sent {
+		if s.ended || !s.active {
 			continue
 		}
-		s.leave()
-		s.cut = true
+		s.release()
+		s.interrupted = true
 		m.clock.after(max(patience, down), func() {
-			s.come(stop + settle)
+			s.arrive(stop + settle)
 		})
 	}
 	m.clock.after(settle, func() {
 		m.down = false
 		for _, s := range m.streams {
 			switch {
-			case s.sent || s.ended || s.cut:
-			case s.asked < stop+down: // found no host; tries again as others do
-				m.clock.after(max(0, stop+patience-m.clock.now), s.start)
+			case s.active || s.ended || s.interrupted:
+			case s.requestedAt < stop+down: // found no host; tries again as others do
+				m.clock.after(max(0, stop+patience-m.clock.now), s.send)
 			default:
-				s.come(m.clock.now)
+				s.arrive(m.clock.now)
 			}
 		}
 	})
@@ -245,19 +245,19 @@
 	sum := time.Duration(0)
 	parts := 0
 	for _, s := range m.streams {
-		if s.asked < from || s.asked >= to {
+		if s.requestedAt < from || s.requestedAt >= to {
 			continue
 		}
 		r.Requested++
 		switch {
-		case s.ended && s.given >= s.events:
+		case s.ended && s.delivered >= s.events:
 			r.Completed++
-			sum += s.took()
-			parts += len(s.parts)
+			sum += s.duration()
+			parts += len(s.endpoints)
 		case s.ended:
 			r.Refused++
 		}
-		if s.inTime() {
+		if s.onTime() {
 			r.InTime++
 		}
 	}
--- a/pkg/pattern/pattern_test.go
+++ b/pkg/pattern/pattern_test.go
@@ -14,10 +14,10 @@
 	RunSpecs(t, "pattern")
 }
 
-// mixed is a deployment of three kinds of accelerators in three failure domains, with
+// mixedDeployment is a deployment of three kinds of accelerators in three failure domains, with
 // figures of the users' pages: 8 of the fastest, 30, and 48 of the slowest, before
 // 255 streams a second of 800 tokens in and 47 events of 5 tokens out.
-func mixed() *Scenario {
+func mixedDeployment() *Scenario {
 	return &Scenario{
 		Engine: &fleet.Engine{
 			Layers:        80,
@@ -68,7 +68,7 @@
 	It("runs by paths of few parts, and streams are short", func() {
 		parts, took := 0.0, time.Duration(0)
 		for _, seed := range seeds {
-			m := New(mixed(), seed)
+			m := New(mixedDeployment(), seed)
 			m.Run(14 * time.Second)
 			r := m.Between(5*time.Second, 7*time.Second)
 			Expect(r.Refused).To(BeZero())
@@ -87,7 +87,7 @@
 	It("who asks once the hosts are back is in time, though all others come back then", func() {
 		asked, inTime := 0, 0
 		for _, seed := range seeds {
-			m := New(mixed(), seed)
+			m := New(mixedDeployment(), seed)
 			m.Run(7 * time.Second)
 			m.StopAllHosts(500*time.Millisecond, time.Second, 100*time.Millisecond)
 			m.Run(12 * time.Second)
--- a/pkg/pattern/stream.go
+++ b/pkg/pattern/stream.go
@@ -8,135 +8,135 @@
 
 // stream is one request for a generation, from its caller's first try on.
 type stream struct {
-	m      *Model
+	model  *Model
 	host   *host
 	demand pathing.Demand
 	events int // of the whole answer
 
-	asked  time.Duration // the caller's first try
-	given  int           // events
-	firstT time.Duration // of the first event; 0 before it
-	lastT  time.Duration
-	pause  time.Duration
-	epoch  int // counts sends: what belongs to an older one is void
-	sent   bool
-	parts  []*endpoint
-	layers []int
-	ended  bool
-	cut    bool // at least once
+	requestedAt  time.Duration // the caller's first try
+	delivered    int           // events
+	firstEventAt time.Duration // of the first event; 0 before it
+	lastEventAt  time.Duration
+	longestPause time.Duration
+	epoch        int // counts sends: what belongs to an older one is void
+	active       bool
+	endpoints    []*endpoint
+	stageLayers  []int
+	ended        bool
+	interrupted  bool // at least once
 }
 
-// context returns the tokens that the stream holds at each endpoint.
-func (s *stream) context() float64 {
-	return s.demand.Prompt + float64(s.given*s.m.shape.TokensPerEvent)
+// contextTokens returns the tokens that the stream holds at each endpoint.
+func (s *stream) contextTokens() float64 {
+	return s.demand.Prompt + float64(s.delivered*s.model.scenario.TokensPerEvent)
 }
 
-// come has the host take the stream from a time on: one that is resumed may have to
+// arrive has the host take the stream from a time on: one that is resumed may have to
 // wait for others.
-func (s *stream) come(ready time.Duration) {
-	s.m.clock.after(ready-s.m.clock.now, func() {
-		if !s.cut {
-			s.host.crowd.NoteNew()
-			s.start()
+func (s *stream) arrive(ready time.Duration) {
+	s.model.clock.after(ready-s.model.clock.now, func() {
+		if !s.interrupted {
+			s.host.spreader.NoteNew()
+			s.send()
 			return
 		}
-		s.m.clock.after(s.host.crowd.ResumeDelay(s.m.Now()), s.start)
+		s.model.clock.after(s.host.spreader.ResumeDelay(s.model.Now()), s.send)
 	})
 }
 
-// start sends the stream along a path, or reports that there is no room.
-func (s *stream) start() {
+// send sends the stream along a path, or reports that there is no room.
+func (s *stream) send() {
 	s.epoch++
-	path := s.host.choose(s)
+	path := s.host.choosePath(s)
 	if path == nil {
-		s.m.refused++
+		s.model.refused++
 		s.ended = true
 		return
 	}
-	s.sent = true
-	s.parts = nil
-	s.layers = nil
+	s.active = true
+	s.endpoints = nil
+	s.stageLayers = nil
 	for _, p := range path {
-		e := s.m.byID[p.ID]
-		s.parts = append(s.parts, e)
-		s.layers = append(s.layers, p.Layers.Len())
+		e := s.model.byID[p.ID]
+		s.endpoints = append(s.endpoints, e)
+		s.stageLayers = append(s.stageLayers, p.Layers.Len())
 		e.requests++
-		e.tokens += s.context()
-		s.host.begin(e.id, s.demand.MeanKVTokens())
+		e.tokens += s.contextTokens()
+		s.host.addLoad(e.id, s.demand.MeanKVTokens())
 	}
-	s.visit(0, s.context())
+	s.runStage(0, s.contextTokens())
 }
 
-// visit goes to a part of the path: to read so many tokens, or to write.
-func (s *stream) visit(part int, read float64) {
-	e := s.parts[part]
-	e.visit(&visit{
-		s:      s,
-		layers: s.layers[part],
-		read:   read,
-		epoch:  s.epoch,
+// runStage goes to a part of the path: to read so many tokens, or to write.
+func (s *stream) runStage(stage int, promptTokens float64) {
+	e := s.endpoints[stage]
+	e.enqueue(&task{
+		stream:       s,
+		layers:       s.stageLayers[stage],
+		promptTokens: promptTokens,
+		epoch:        s.epoch,
 		done: func() {
-			s.visited(part, read)
+			s.stageDone(stage, promptTokens)
 		},
 	})
 }
 
-// visited goes on behind a part.
-func (s *stream) visited(part int, read float64) {
-	if part+1 == len(s.parts) {
-		s.event()
+// stageDone goes on behind a part.
+func (s *stream) stageDone(stage int, promptTokens float64) {
+	if stage+1 == len(s.endpoints) {
+		s.deliver()
 		return
 	}
 	epoch := s.epoch
-	hop := s.m.shape.Hop + s.m.shape.Engine.Delay(s.parts[part].domain, s.parts[part+1].domain)
-	s.m.clock.after(hop, func() {
+	hop := s.model.scenario.Hop + s.model.scenario.Engine.Delay(s.endpoints[stage].domain, s.endpoints[stage+1].domain)
+	s.model.clock.after(hop, func() {
 		if epoch == s.epoch {
-			s.visit(part+1, read)
+			s.runStage(stage+1, promptTokens)
 		}
 	})
 }
 
-// event is one that the caller gets.
-func (s *stream) event() {
-	now := s.m.clock.now
-	if s.firstT == 0 {
-		s.firstT = now
+// deliver is one that the caller gets.
+func (s *stream) deliver() {
+	now := s.model.clock.now
+	if s.firstEventAt == 0 {
+		s.firstEventAt = now
 	} else {
-		s.pause = max(s.pause, now-s.lastT)
+		s.longestPause = max(s.longestPause, now-s.lastEventAt)
 	}
-	s.lastT = now
-	s.given++
-	for _, e := range s.parts {
-		e.tokens += float64(s.m.shape.TokensPerEvent)
+	s.lastEventAt = now
+	s.delivered++
+	for _, e := range s.endpoints {
+		e.tokens += float64(s.model.scenario.TokensPerEvent)
 	}
-	if s.given >= s.events {
-		s.leave()
+	if s.delivered >= s.events {
+		s.release()
 		s.ended = true
 		return
 	}
-	s.visit(0, 0)
+	s.runStage(0, 0)
 }
 
-// leave gives back what the present send holds.
-func (s *stream) leave() {
-	if !s.sent {
+// release gives back what the present send holds.
+func (s *stream) release() {
+	if !s.active {
 		return
 	}
-	for _, e := range s.parts {
+	for _, e := range s.endpoints {
 		e.requests--
-		e.tokens -= s.context()
-		s.host.end(e.id, s.demand.MeanKVTokens())
+		e.tokens -= s.contextTokens()
+		s.host.removeLoad(e.id, s.demand.MeanKVTokens())
 	}
-	s.sent = false
+	s.active = false
 	s.epoch++
 }
 
-// inTime reports whether the caller got all it asked for as it should.
-func (s *stream) inTime() bool {
-	return s.ended && s.firstT > 0 && s.firstT-s.asked <= s.m.shape.FirstEventGoal && s.pause <= s.m.shape.PauseGoal
+// onTime reports whether the caller got all it asked for as it should.
+func (s *stream) onTime() bool {
+	return s.ended && s.firstEventAt > 0 && s.firstEventAt-s.requestedAt <= s.model.scenario.FirstEventGoal && s.longestPause <= s.model.scenario.PauseGoal
 }
 
-// took returns how long the answer took.
-func (s *stream) took() time.Duration {
-	return s.lastT - s.asked
+// duration returns how long the answer took.
+func (s *stream) duration() time.Duration {
+	return s.lastEventAt - s.requestedAt
 }
--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -14,8 +14,8 @@
 	for _, domains := range []int{1, 7, 28, 82} {
 		var list []placement.EndpointState
 		for d := range domains {
-			list = append(list, servers(fmt.Sprint("d", d), "small", 20)...)
-			list = append(list, servers(fmt.Sprint("d", d), "tiny", 19)...)
+			list = append(list, emptyEndpoints(fmt.Sprint("d", d), "small", 20)...)
+			list = append(list, emptyEndpoints(fmt.Sprint("d", d), "tiny", 19)...)
 		}
 		list = apply(list, placement.Plan(e, list))
 		kept := list[:0]
--- a/pkg/placement/bridge.go
+++ b/pkg/placement/bridge.go
@@ -2,100 +2,100 @@
 
 import "github.com/larchwinch/larchwinch/pkg/fleet"
 
-// bridge fills the layers that no server serves in any group and that none is
+// recoverLayers fills the layers that no server serves in any group and that none is
 // loading: until they are served, no request can be. Any group's server may go
 // there whose own layers others serve meanwhile; where there is none, servers of
 // all groups shift along the layers.
-func (p *planner) bridge() []Order {
+func (p *planner) recoverLayers() []Order {
 	var orders []Order
-	if !p.running() {
+	if !p.anyLayerServed() {
 		return nil
 	}
 	from := 0
-	bare := false
+	unserved := false
 	for {
-		hole, ok := p.missing(from)
+		gap, ok := p.nextUnserved(from)
 		if !ok {
 			break
 		}
-		if i := p.bridgeServer(hole); i >= 0 {
-			orders = append(orders, p.move(i, hole))
+		if i := p.recoveryEndpoint(gap); i >= 0 {
+			orders = append(orders, p.moveInto(i, gap))
 			continue
 		}
-		bare = bare || p.unheld(hole)
-		from = hole.To
+		unserved = unserved || p.hasUnservedLayer(gap)
+		from = gap.To
 	}
-	if bare && len(orders) == 0 {
+	if unserved && len(orders) == 0 {
 		orders = p.repackAll()
 	}
 	return orders
 }
 
-// running reports whether any layer is served: before that, every server is
+// anyLayerServed reports whether any layer is served: before that, every server is
 // being loaded for the first time.
-func (p *planner) running() bool {
+func (p *planner) anyLayerServed() bool {
 	for l := range p.serving {
-		if p.serving[l]+p.limping[l] > 0 {
+		if p.serving[l]+p.degraded[l] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// broken reports whether some layer isn't served by anything, slow or not.
-func (p *planner) broken() bool {
-	return p.running() && p.unheld(fleet.Range{To: p.engine.Layers})
+// anyLayerUnserved reports whether some layer isn't served by anything, slow or not.
+func (p *planner) anyLayerUnserved() bool {
+	return p.anyLayerServed() && p.hasUnservedLayer(fleet.Range{To: p.engine.Layers})
 }
 
-// unheld reports whether nothing serves some layer of a range.
-func (p *planner) unheld(r fleet.Range) bool {
+// hasUnservedLayer reports whether nothing serves some layer of a range.
+func (p *planner) hasUnservedLayer(r fleet.Range) bool {
 	for l := r.From; l < r.To; l++ {
-		if p.serving[l]+p.limping[l] == 0 {
+		if p.serving[l]+p.degraded[l] == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// missing returns the first layers at or after one that nothing serves as it
+// nextUnserved returns the first layers at or after one that nothing serves as it
 // should, and that nothing is loading.
-func (p *planner) missing(from int) (fleet.Range, bool) {
+func (p *planner) nextUnserved(from int) (fleet.Range, bool) {
 	for l := from; l < p.engine.Layers; l++ {
-		if p.serving[l]+p.coming[l] > 0 {
+		if p.serving[l]+p.loading[l] > 0 {
 			continue
 		}
-		hole := fleet.Range{
+		gap := fleet.Range{
 			From: l,
 			To:   l,
 		}
-		for hole.To < p.engine.Layers && p.serving[hole.To]+p.coming[hole.To] == 0 {
-			hole.To++
+		for gap.To < p.engine.Layers && p.serving[gap.To]+p.loading[gap.To] == 0 {
+			gap.To++
 		}
-		return hole, true
+		return gap, true
 	}
 	return fleet.Range{}, false
 }
 
-// bridgeServer returns the server that best fills a hole and takes nothing from
+// recoveryEndpoint returns the server that best fills a hole and takes nothing from
 // service: the one that fills most of it, an empty one before one that must give
 // up layers, one that streams can leave before one that they begin at, and the
 // smallest of those. It returns -1 if there is none.
-func (p *planner) bridgeServer(hole fleet.Range) int {
+func (p *planner) recoveryEndpoint(gap fleet.Range) int {
 	best := -1
-	for i, s := range p.servers {
-		if s.OrderPending || s.BelowDemand || s.Slowdown >= slowLimit || p.room(s) == 0 || !p.servedWithout(s) {
+	for i, s := range p.endpoints {
+		if s.OrderPending || s.BelowDemand || s.Slowdown >= slowLimit || p.capacity(s) == 0 || !p.servedByOthers(s) {
 			continue
 		}
-		if best < 0 || p.betterBridge(s, p.servers[best], hole) {
+		if best < 0 || p.betterRecovery(s, p.endpoints[best], gap) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (p *planner) betterBridge(a, b EndpointState, hole fleet.Range) bool {
-	fillA := min(hole.Len(), p.room(a))
-	fillB := min(hole.Len(), p.room(b))
+func (p *planner) betterRecovery(a, b EndpointState, gap fleet.Range) bool {
+	fillA := min(gap.Len(), p.capacity(a))
+	fillB := min(gap.Len(), p.capacity(b))
 	if fillA != fillB {
 		return fillA > fillB
 	}
@@ -105,12 +105,12 @@
 	if firstA, firstB := a.Layers.From == 0, b.Layers.From == 0; firstA != firstB {
 		return firstB
 	}
-	return p.room(a) < p.room(b)
+	return p.capacity(a) < p.capacity(b)
 }
 
-// servedWithout reports whether every layer of a server is served by another one
+// servedByOthers reports whether every layer of a server is served by another one
 // now, in whatever group.
-func (p *planner) servedWithout(s EndpointState) bool {
+func (p *planner) servedByOthers(s EndpointState) bool {
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		if p.serving[l] < 2 {
 			return false
@@ -119,15 +119,15 @@
 	return true
 }
 
-// servedBeside reports whether every layer that is served now still is while all
+// servedWhileLoading reports whether every layer that is served now still is while all
 // of some servers load.
-func (p *planner) servedBeside(list []int) bool {
-	left := append([]int(nil), p.serving...)
+func (p *planner) servedWhileLoading(list []int) bool {
+	remaining := append([]int(nil), p.serving...)
 	for _, i := range list {
-		s := p.servers[i]
+		s := p.endpoints[i]
 		for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
-			left[l]--
-			if left[l] <= 0 {
+			remaining[l]--
+			if remaining[l] <= 0 {
 				return false
 			}
 		}
@@ -135,44 +135,44 @@
 	return true
 }
 
-// budget bounds loads: the store serves a few at a time, and more than that only
+// loadBudget bounds loads: the store serves a few at a time, and more than that only
 // lengthen each other, those that are waited for most too.
-type budget struct {
-	left int // -1: no bound
+type loadBudget struct {
+	remaining int // -1: no bound
 }
 
-// loadSlack is how many loads are ordered for each one that the store serves at
+// loadOvercommit is how many loads are ordered for each one that the store serves at
 // full speed: the end of one is seen up to 0.6 s later, when it reports and the
 // next orders are given.
-const loadSlack = 1.5
+const loadOvercommit = 1.5
 
-// loads returns the budget of loads beside those under way. There is none while
+// newLoadBudget returns the budget of loads beside those under way. There is none while
 // nothing is served yet.
-func (p *planner) loads() *budget {
-	if p.engine.LoadsAtOnce <= 0 || !p.running() {
-		return &budget{
-			left: -1,
+func (p *planner) newLoadBudget() *loadBudget {
+	if p.engine.LoadsAtOnce <= 0 || !p.anyLayerServed() {
+		return &loadBudget{
+			remaining: -1,
 		}
 	}
-	moving := 0
-	for _, s := range p.servers {
+	pending := 0
+	for _, s := range p.endpoints {
 		if s.OrderPending {
-			moving++
+			pending++
 		}
 	}
-	return &budget{
-		left: max(0, int(loadSlack*float64(p.engine.LoadsAtOnce))-moving),
+	return &loadBudget{
+		remaining: max(0, int(loadOvercommit*float64(p.engine.LoadsAtOnce))-pending),
 	}
 }
 
-// take takes n loads, if any is left. What belongs together isn't parted.
-func (b *budget) take(n int) bool {
-	if b.left < 0 {
+// reserve takes n loads, if any is left. What belongs together isn't parted.
+func (b *loadBudget) reserve(n int) bool {
+	if b.remaining < 0 {
 		return true
 	}
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return false
 	}
-	b.left = max(0, b.left-n)
+	b.remaining = max(0, b.remaining-n)
 	return true
 }
--- a/pkg/placement/bridge_test.go
+++ b/pkg/placement/bridge_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// placed returns three domains of 13 servers each, with all layers loaded.
-func placed(e *fleet.Engine) []placement.EndpointState {
+// loadedDomains returns three domains of 13 servers each, with all layers loaded.
+func loadedDomains(e *fleet.Engine) []placement.EndpointState {
 	var list []placement.EndpointState
 	for d := range 3 {
-		list = append(list, servers(fmt.Sprint("d", d), "mid", 2)...)
-		list = append(list, servers(fmt.Sprint("d", d), "small", 6)...)
-		list = append(list, servers(fmt.Sprint("d", d), "tiny", 5)...)
+		list = append(list, emptyEndpoints(fmt.Sprint("d", d), "mid", 2)...)
+		list = append(list, emptyEndpoints(fmt.Sprint("d", d), "small", 6)...)
+		list = append(list, emptyEndpoints(fmt.Sprint("d", d), "tiny", 5)...)
 	}
 	return apply(list, placement.Plan(e, list))
 }
@@ -32,8 +32,8 @@
 	return out
 }
 
-// serving counts by layer the servers that hold it and stand still.
-func serving(list []placement.EndpointState, orders []placement.Order, layers int) []int {
+// countServing counts by layer the servers that hold it and stand still.
+func countServing(list []placement.EndpointState, orders []placement.Order, layers int) []int {
 	moved := map[string]bool{}
 	for _, o := range orders {
 		moved[o.ID] = true
@@ -50,8 +50,8 @@
 	return n
 }
 
-// unserved returns how many layers have a count of 0.
-func unserved(counts []int) int {
+// countUnserved returns how many layers have a count of 0.
+func countUnserved(counts []int) int {
 	n := 0
 	for _, c := range counts {
 		if c == 0 {
@@ -61,8 +61,8 @@
 	return n
 }
 
-// begin returns the servers with orders under way.
-func begin(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
+// withPending returns the servers with orders under way.
+func withPending(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
 	out := apply(list, orders)
 	for _, o := range orders {
 		for i := range out {
@@ -82,8 +82,8 @@
 	It("is loaded first, from whatever domain, and nothing else is ordered until it is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
-		list := without(placed(e), holdsLost)
-		empty := servers("d0", "tiny", 3)
+		list := without(loadedDomains(e), holdsLost)
+		empty := emptyEndpoints("d0", "tiny", 3)
 		for i := range empty {
 			empty[i].ID += "-new"
 		}
@@ -92,17 +92,17 @@
 		Expect(orders).NotTo(BeEmpty())
 		Expect(len(orders)).To(BeNumerically("<=", 3))
 		for _, o := range orders {
-			Expect(serving(list, nil, e.Layers)[o.Layers.From:o.Layers.To]).To(ContainElement(0), "each brings a layer that is missing")
+			Expect(countServing(list, nil, e.Layers)[o.Layers.From:o.Layers.To]).To(ContainElement(0), "each brings a layer that is missing")
 		}
-		Expect(unserved(serving(apply(list, orders), nil, e.Layers))).To(BeZero())
-		Expect(placement.Plan(e, begin(list, orders))).To(BeEmpty(), "others would lengthen the loads that are waited for")
+		Expect(countUnserved(countServing(apply(list, orders), nil, e.Layers))).To(BeZero())
+		Expect(placement.Plan(e, withPending(list, orders))).To(BeEmpty(), "others would lengthen the loads that are waited for")
 		Expect(placement.Plan(e, apply(list, orders))).NotTo(BeEmpty(), "then the domains' own copies are mended")
 	})
 
 	It("takes nothing from service, whatever was lost, as long as a layer is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
-		all := placed(e)
+		all := loadedDomains(e)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			gone := rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 0, 20, rapid.ID[int]).Draw(t, "lost")
 			moving := rapid.SliceOfN(rapid.IntRange(0, len(all)-1), 0, 4).Draw(t, "moving")
@@ -115,11 +115,11 @@
 				taken[all[i].ID] = true
 			}
 			list = without(list, func(s placement.EndpointState) bool { return taken[s.ID] })
-			before := serving(list, nil, e.Layers)
-			if unserved(before) > 0 {
+			before := countServing(list, nil, e.Layers)
+			if countUnserved(before) > 0 {
 				return // what is shifted then serves nobody anyway
 			}
-			if n := unserved(serving(list, placement.Plan(e, list), e.Layers)); n > 0 {
+			if n := countUnserved(countServing(list, placement.Plan(e, list), e.Layers)); n > 0 {
 				t.Fatalf("%d layers are served no longer", n)
 			}
 		})
@@ -184,7 +184,7 @@
 	It("is served again after a few rounds of loads, whatever was lost, if what is left can hold the model", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
-		all := placed(e)
+		all := loadedDomains(e)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			gone := rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 0, 24, rapid.ID[int]).Draw(t, "lost")
 			taken := map[string]bool{}
@@ -195,7 +195,7 @@
 			for range 4 {
 				list = apply(list, placement.Plan(e, list))
 			}
-			if n := unserved(serving(list, nil, e.Layers)); n > 0 {
+			if n := countUnserved(countServing(list, nil, e.Layers)); n > 0 {
 				t.Fatalf("%d layers are still missing with %d servers", n, len(list))
 			}
 		})
@@ -206,17 +206,17 @@
 	It("are bounded by what the store serves at once, but not before anything is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 2
-		fresh := append(servers("d0", "small", 12), servers("d1", "small", 12)...)
+		fresh := append(emptyEndpoints("d0", "small", 12), emptyEndpoints("d1", "small", 12)...)
 		Expect(placement.Plan(e, fresh)).To(HaveLen(24))
-		list := placed(e)
-		empty := servers("d0", "small", 9)
+		list := loadedDomains(e)
+		empty := emptyEndpoints("d0", "small", 9)
 		for i := range empty {
 			empty[i].ID += "-new"
 		}
 		list = append(list, empty...)
 		first := placement.Plan(e, list)
 		Expect(first).To(HaveLen(3))
-		Expect(placement.Plan(e, begin(list, first))).To(BeEmpty())
+		Expect(placement.Plan(e, withPending(list, first))).To(BeEmpty())
 		Expect(placement.Plan(e, apply(list, first))).To(HaveLen(3))
 		e.LoadsAtOnce = 0
 		Expect(placement.Plan(e, list)).To(HaveLen(9))
@@ -226,7 +226,7 @@
 var _ = Describe("a server that takes less than is asked for", func() {
 	It("isn't moved into a hole, though it would fill that best", func() {
 		e := engine()
-		list := without(placed(e), func(s placement.EndpointState) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
+		list := without(loadedDomains(e), func(s placement.EndpointState) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
 		orders := placement.Plan(e, list)
 		Expect(orders).NotTo(BeEmpty())
 		for i := range list {
--- a/pkg/placement/falls_test.go
+++ b/pkg/placement/falls_test.go
@@ -11,30 +11,30 @@
 
 var _ = ginkgo.Describe("falls", func() {
 	ginkgo.It("let an address rest longer with each one, up to a bound, and count none that held its layers", func() {
-		f := newFalls()
+		tracker := newCrashTracker()
 		now := time.Unix(1000, 0)
 		loading := func(string) bool { return true }
 		holding := func(string) bool { return false }
 		next := 0
-		come := func(loads func(string) bool) bool {
+		join := func(isLoading func(string) bool) bool {
 			next++
-			return f.see(&fleet.Endpoint{ID: strconv.Itoa(next), Address: "a"}, now, loads)
+			return tracker.observe(&fleet.Endpoint{ID: strconv.Itoa(next), Address: "a"}, now, isLoading)
 		}
-		Expect(come(holding)).To(BeFalse())
+		Expect(join(holding)).To(BeFalse())
 		for range 10 { // crashes of endpoints that hold their layers
-			Expect(come(holding)).To(BeFalse())
+			Expect(join(holding)).To(BeFalse())
 		}
-		Expect(come(loading)).To(BeFalse())
-		Expect(come(loading)).To(BeFalse())
-		for rest := firstRest; rest < 4*mostRest; rest *= 2 {
-			Expect(come(loading)).To(BeTrue())
+		Expect(join(loading)).To(BeFalse())
+		Expect(join(loading)).To(BeFalse())
+		for backoff := minBackoff; backoff < 4*maxBackoff; backoff *= 2 {
+			Expect(join(loading)).To(BeTrue())
 			same := &fleet.Endpoint{ID: strconv.Itoa(next), Address: "a"}
-			now = now.Add(min(rest, mostRest) - time.Millisecond)
-			Expect(f.see(same, now, loading)).To(BeTrue())
+			now = now.Add(min(backoff, maxBackoff) - time.Millisecond)
+			Expect(tracker.observe(same, now, loading)).To(BeTrue())
 			now = now.Add(time.Millisecond)
-			Expect(f.see(same, now, loading)).To(BeFalse())
+			Expect(tracker.observe(same, now, loading)).To(BeFalse())
 		}
-		f.see(&fleet.Endpoint{ID: strconv.Itoa(next), Address: "a", Layers: fleet.Range{From: 0, To: 8}}, now, loading)
-		Expect(come(loading)).To(BeFalse(), "one has carried its order out since")
+		tracker.observe(&fleet.Endpoint{ID: strconv.Itoa(next), Address: "a", Layers: fleet.Range{From: 0, To: 8}}, now, loading)
+		Expect(join(loading)).To(BeFalse(), "one has carried its order out since")
 	})
 })
--- a/pkg/placement/keeper_test.go
+++ b/pkg/placement/keeper_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeOrderer takes every order and remembers it.
-type fakeOrderer struct {
+// fakeClient takes every order and remembers it.
+type fakeClient struct {
 	mu     sync.Mutex
 	orders []placement.Order
 	// gate, if set, holds every answer until it is closed; waiting is how many
@@ -27,15 +27,15 @@
 	most    int
 }
 
-func (o *fakeOrderer) Place(_ context.Context, order placement.Order, _ string, _ uint64) (placement.Outcome, error) {
-	o.hold()
+func (o *fakeClient) Place(_ context.Context, order placement.Order, _ string, _ uint64) (placement.Outcome, error) {
+	o.block()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.orders = append(o.orders, order)
 	return placement.Accepted, nil
 }
 
-func (o *fakeOrderer) hold() {
+func (o *fakeClient) block() {
 	if o.gate == nil {
 		return
 	}
@@ -49,60 +49,60 @@
 	o.mu.Unlock()
 }
 
-// held returns how many answers are held, and how many were at once at most.
-func (o *fakeOrderer) held() (now, most int) {
+// blocked returns how many answers are held, and how many were at once at most.
+func (o *fakeClient) blocked() (now, most int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.waiting, o.most
 }
 
-func (o *fakeOrderer) Report(context.Context, string, string) (placement.Report, error) {
+func (o *fakeClient) Report(context.Context, string, string) (placement.Report, error) {
 	return placement.Report{
 		Busy:     true,
 		Slowdown: 1,
 	}, nil
 }
 
-func (o *fakeOrderer) given() []placement.Order {
+func (o *fakeClient) sent() []placement.Order {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]placement.Order(nil), o.orders...)
 }
 
-// beat is how often endpoints announce themselves.
-const beat = time.Second
+// heartbeat is how often endpoints announce themselves.
+const heartbeat = time.Second
 
-// keeping is a keeper over a table and an orderer that takes everything.
-type keeping struct {
-	keeper  *placement.Controller
-	orderer *fakeOrderer
-	table   *registry.Table
-	clock   *timer.Manual
-	group   *group.Group
+// fixture is a keeper over a table and an orderer that takes everything.
+type fixture struct {
+	controller *placement.Controller
+	client     *fakeClient
+	table      *registry.Table
+	clock      *timer.Manual
+	group      *group.Group
 }
 
-// withKeeper runs f on a keeper that has just begun to lead.
-func withKeeper(f func(k *keeping)) {
+// withController runs f on a keeper that has just begun to lead.
+func withController(run func(f *fixture)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	g := group.New(context.Background())
 	defer g.Stop()
-	k := &keeping{
-		orderer: &fakeOrderer{},
-		table:   registry.New(clock, nil, beat),
-		clock:   clock,
-		group:   g,
+	f := &fixture{
+		client: &fakeClient{},
+		table:  registry.New(clock, nil, heartbeat),
+		clock:  clock,
+		group:  g,
 	}
-	k.keeper = placement.NewController(k.orderer, k.table, func(string) bool { return false }, beat, clock, nil, g)
-	f(k)
+	f.controller = placement.NewController(f.client, f.table, func(string) bool { return false }, heartbeat, clock, nil, g)
+	run(f)
 }
 
 // announce has an endpoint of kind small tell what it holds.
-func (k *keeping) announce(id, address string, layers fleet.Range) {
-	k.announceKind("small", id, address, layers)
+func (f *fixture) announce(id, address string, layers fleet.Range) {
+	f.announceKind("small", id, address, layers)
 }
 
-func (k *keeping) announceKind(kind, id, address string, layers fleet.Range) {
-	k.table.Announce(fleet.Endpoint{
+func (f *fixture) announceKind(kind, id, address string, layers fleet.Range) {
+	f.table.Announce(fleet.Endpoint{
 		ID:       id,
 		Address:  address,
 		Service:  "llm",
@@ -113,8 +113,8 @@
 	})
 }
 
-// tend plans once, and waits until the orders given were answered.
-func (k *keeping) tend() {
+// reconcile plans once, and waits until the orders given were answered.
+func (f *fixture) reconcile() {
 	cfg := &fleet.Configuration{
 		Services: []fleet.Service{
 			{
@@ -123,14 +123,14 @@
 			},
 		},
 	}
-	k.keeper.Reconcile(context.Background(), cfg, func() bool { return true })
-	k.group.Wait()
+	f.controller.Reconcile(context.Background(), cfg, func() bool { return true })
+	f.group.Wait()
 }
 
 // cover announces ten endpoints that hold every layer once.
-func (k *keeping) cover() {
+func (f *fixture) cover() {
 	for i := range 10 {
-		k.announce(fmt.Sprintf("e%d", i), fmt.Sprintf("10.0.0.%d:80", i), fleet.Range{
+		f.announce(fmt.Sprintf("e%d", i), fmt.Sprintf("10.0.0.%d:80", i), fleet.Range{
 			From: 8 * i,
 			To:   8*i + 8,
 		})
@@ -139,106 +139,106 @@
 
 var _ = Describe("the first placement of many endpoints", func() {
 	It("waits for a bounded number of answers at once, and orders all", func() {
-		withKeeper(func(k *keeping) {
+		withController(func(f *fixture) {
 			const many = 300
-			k.orderer.gate = make(chan struct{})
+			f.client.gate = make(chan struct{})
 			for i := range many {
-				k.announce(fmt.Sprint("e", i), fmt.Sprint("10.0.0.1:", i), fleet.Range{})
+				f.announce(fmt.Sprint("e", i), fmt.Sprint("10.0.0.1:", i), fleet.Range{})
 			}
-			k.clock.Advance(2 * beat)
+			f.clock.Advance(2 * heartbeat)
 			done := make(chan bool, 1)
 			group.New(context.Background()).Go(func(context.Context) {
-				k.tend()
-				k.clock.Advance(2 * beat)
-				k.tend()
+				f.reconcile()
+				f.clock.Advance(2 * heartbeat)
+				f.reconcile()
 				done <- true
 			})
-			Eventually(func() int { now, _ := k.orderer.held(); return now }, "5s", "5ms").Should(Equal(64))
-			Consistently(func() int { _, most := k.orderer.held(); return most }, "50ms", "5ms").Should(Equal(64))
-			close(k.orderer.gate)
+			Eventually(func() int { now, _ := f.client.blocked(); return now }, "5s", "5ms").Should(Equal(64))
+			Consistently(func() int { _, most := f.client.blocked(); return most }, "50ms", "5ms").Should(Equal(64))
+			close(f.client.gate)
 			Eventually(done, "5s").Should(Receive())
-			Expect(k.orderer.given()).To(HaveLen(many))
+			Expect(f.client.sent()).To(HaveLen(many))
 		})
 	})
 })
 
 var _ = Describe("a keeper", func() {
 	It("keeps a new endpoint for a hole, but places one that came back to its address at once", func() {
-		withKeeper(func(k *keeping) {
-			k.cover()
-			k.tend()
-			Expect(k.orderer.given()).To(BeEmpty())
-			k.clock.Advance(time.Second)
-			k.announce("new", "10.0.0.50:80", fleet.Range{})
-			k.tend()
-			Expect(k.orderer.given()).To(BeEmpty())
-			k.announce("extra", "10.0.0.51:80", fleet.Range{From: 0, To: 8})
-			k.tend()
-			k.clock.Advance(time.Second)
-			k.announce("extra-again", "10.0.0.51:80", fleet.Range{})
-			k.tend()
-			Expect(k.orderer.given()).To(HaveLen(1))
-			Expect(k.orderer.given()[0].ID).To(Equal("extra-again"))
-			Expect(k.orderer.given()[0].InterruptStreams).To(BeFalse())
+		withController(func(f *fixture) {
+			f.cover()
+			f.reconcile()
+			Expect(f.client.sent()).To(BeEmpty())
+			f.clock.Advance(time.Second)
+			f.announce("new", "10.0.0.50:80", fleet.Range{})
+			f.reconcile()
+			Expect(f.client.sent()).To(BeEmpty())
+			f.announce("extra", "10.0.0.51:80", fleet.Range{From: 0, To: 8})
+			f.reconcile()
+			f.clock.Advance(time.Second)
+			f.announce("extra-again", "10.0.0.51:80", fleet.Range{})
+			f.reconcile()
+			Expect(f.client.sent()).To(HaveLen(1))
+			Expect(f.client.sent()[0].ID).To(Equal("extra-again"))
+			Expect(f.client.sent()[0].InterruptStreams).To(BeFalse())
 		})
 	})
 
 	It("gives a service that holds nothing its first orders once no endpoint came for a beat", func() {
-		withKeeper(func(k *keeping) {
+		withController(func(f *fixture) {
 			for i := range 10 {
-				k.announce(fmt.Sprintf("e%d", i), fmt.Sprintf("10.0.0.%d:80", i), fleet.Range{})
+				f.announce(fmt.Sprintf("e%d", i), fmt.Sprintf("10.0.0.%d:80", i), fleet.Range{})
 			}
-			k.tend()
-			k.clock.Advance(beat / 2)
-			k.announceKind("big", "late", "10.0.0.70:80", fleet.Range{})
-			k.tend()
-			k.clock.Advance(beat / 2)
-			k.tend()
-			Expect(k.orderer.given()).To(BeEmpty())
-			k.clock.Advance(beat / 2)
-			k.tend()
-			Expect(k.orderer.given()).To(HaveLen(11))
-			Expect(k.orderer.given()).To(ContainElement(And(
+			f.reconcile()
+			f.clock.Advance(heartbeat / 2)
+			f.announceKind("big", "late", "10.0.0.70:80", fleet.Range{})
+			f.reconcile()
+			f.clock.Advance(heartbeat / 2)
+			f.reconcile()
+			Expect(f.client.sent()).To(BeEmpty())
+			f.clock.Advance(heartbeat / 2)
+			f.reconcile()
+			Expect(f.client.sent()).To(HaveLen(11))
+			Expect(f.client.sent()).To(ContainElement(And(
 				HaveField("ID", "late"), HaveField("Layers.From", 0),
 			)), "the fastest begins, though it came last")
 		})
 	})
 
 	It("makes an order known at once, and counts on it for as long as the endpoint loads", func() {
-		withKeeper(func(k *keeping) {
-			k.cover()
-			k.announce("spare", "10.0.0.60:80", fleet.Range{From: 40, To: 48})
-			k.tend()
-			k.table.MarkGone("e0")
-			k.tend()
-			Expect(k.orderer.given()).To(HaveLen(1))
-			moved := k.orderer.given()[0]
+		withController(func(f *fixture) {
+			f.cover()
+			f.announce("spare", "10.0.0.60:80", fleet.Range{From: 40, To: 48})
+			f.reconcile()
+			f.table.MarkGone("e0")
+			f.reconcile()
+			Expect(f.client.sent()).To(HaveLen(1))
+			moved := f.client.sent()[0]
 			Expect(moved.Layers).To(Equal(fleet.Range{From: 0, To: 8}))
 			Expect(moved.InterruptStreams).To(BeTrue(), "a hole can't wait for streams that stand still")
-			e, _ := k.table.Get(moved.ID)
+			e, _ := f.table.Get(moved.ID)
 			Expect(e.Loading).To(BeTrue())
 			Expect(e.Layers.Len()).To(Equal(0))
-			k.announce("other", "10.0.0.61:80", fleet.Range{From: 40, To: 48})
-			k.clock.Advance(time.Minute)
-			k.tend()
-			Expect(k.orderer.given()).To(HaveLen(1), "the hole is on its way to be filled")
+			f.announce("other", "10.0.0.61:80", fleet.Range{From: 40, To: 48})
+			f.clock.Advance(time.Minute)
+			f.reconcile()
+			Expect(f.client.sent()).To(HaveLen(1), "the hole is on its way to be filled")
 		})
 	})
 
 	It("leaves an endpoint alone that carries out an order it doesn't know, and fills the hole by another", func() {
-		withKeeper(func(k *keeping) {
-			k.cover()
-			k.table.MarkGone("e0")
-			k.announce("busy", "10.0.0.60:80", fleet.Range{})
-			k.table.UpdateStatus("busy", registry.Status{
+		withController(func(f *fixture) {
+			f.cover()
+			f.table.MarkGone("e0")
+			f.announce("busy", "10.0.0.60:80", fleet.Range{})
+			f.table.UpdateStatus("busy", registry.Status{
 				Busy:     true,
 				Slowdown: 1,
 			})
-			k.announce("spare", "10.0.0.61:80", fleet.Range{From: 40, To: 48})
-			k.tend()
-			Expect(k.orderer.given()).To(HaveLen(1))
-			Expect(k.orderer.given()[0].Layers).To(Equal(fleet.Range{From: 0, To: 8}))
-			Expect(k.orderer.given()[0].ID).NotTo(Equal("busy"))
+			f.announce("spare", "10.0.0.61:80", fleet.Range{From: 40, To: 48})
+			f.reconcile()
+			Expect(f.client.sent()).To(HaveLen(1))
+			Expect(f.client.sent()[0].Layers).To(Equal(fleet.Range{From: 0, To: 8}))
+			Expect(f.client.sent()[0].ID).NotTo(Equal("busy"))
 		})
 	})
 })
@@ -247,30 +247,30 @@
 	// The same cause as that of requests which end endpoints: each start of an endpoint
 	// is a new one, and nothing remembered what had ended the one before.
 	It("gets fewer and fewer orders", func() {
-		withKeeper(func(k *keeping) {
-			k.cover()
-			k.tend()
+		withController(func(f *fixture) {
+			f.cover()
+			f.reconcile()
 			for i := range 60 {
-				k.clock.Advance(time.Second)
+				f.clock.Advance(time.Second)
 				for n := range 10 { // the others go on
 					if n != 4 {
-						e, _ := k.table.Get(fmt.Sprintf("e%d", n))
+						e, _ := f.table.Get(fmt.Sprintf("e%d", n))
 						e.Sequence++
-						k.table.Announce(e)
+						f.table.Announce(e)
 					}
 				}
-				k.announce(fmt.Sprintf("again-%d", i), "10.0.0.4:80", fleet.Range{})
-				k.tend()
+				f.announce(fmt.Sprintf("again-%d", i), "10.0.0.4:80", fleet.Range{})
+				f.reconcile()
 			}
-			Expect(k.ordersTo("again-")).To(BeNumerically("<=", 7)) // one each before
+			Expect(f.ordersTo("again-")).To(BeNumerically("<=", 7)) // one each before
 		})
 	})
 })
 
 // ordersTo counts the orders to endpoints whose names begin so.
-func (k *keeping) ordersTo(prefix string) int {
+func (f *fixture) ordersTo(prefix string) int {
 	n := 0
-	for _, o := range k.orderer.given() {
+	for _, o := range f.client.sent() {
 		if strings.HasPrefix(o.ID, prefix) {
 			n++
 		}
--- a/pkg/placement/orders.go
+++ b/pkg/placement/orders.go
@@ -8,63 +8,63 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// order sends one order without waiting for its answer.
-func (k *Controller) order(o Order, e *fleet.Endpoint, load time.Duration) {
-	k.mu.Lock()
-	s := k.known[o.ID]
+// sendAsync sends one order without waiting for its answer.
+func (c *Controller) sendAsync(o Order, e *fleet.Endpoint, load time.Duration) {
+	c.mu.Lock()
+	s := c.orders[o.ID]
 	if s == nil {
-		s = &standing{
-			taken: e.Orders,
-			shown: true,
+		s = &orderState{
+			accepted: e.Orders,
+			applied:  true,
 		}
-		k.known[o.ID] = s
+		c.orders[o.ID] = s
 	}
 	s.layers = o.Layers
-	s.taken = max(s.taken, e.Orders)
-	s.asking = true
-	doubt := s.doubt
-	k.mu.Unlock()
-	k.group.Go(func(ctx context.Context) {
+	s.accepted = max(s.accepted, e.Orders)
+	s.calling = true
+	unconfirmed := s.unconfirmed
+	c.mu.Unlock()
+	c.group.Go(func(ctx context.Context) {
 		select {
-		case k.slots <- struct{}{}:
-			defer func() { <-k.slots }()
+		case c.inFlight <- struct{}{}:
+			defer func() { <-c.inFlight }()
 		case <-ctx.Done():
 			return
 		}
-		if doubt && k.resolve(ctx, s, o.Layers, e) {
+		if unconfirmed && c.checkReport(ctx, s, o.Layers, e) {
 			return
 		}
-		k.send(ctx, s, o, e, load)
+		c.send(ctx, s, o, e, load)
 	})
 }
 
-// resolve asks an endpoint what it holds. It reports whether nothing need be
+// checkReport asks an endpoint what it holds. It reports whether nothing need be
 // ordered now.
-func (k *Controller) resolve(ctx context.Context, s *standing, wanted fleet.Range, e *fleet.Endpoint) bool {
+func (c *Controller) checkReport(ctx context.Context, s *orderState, wanted fleet.Range, e *fleet.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	report, err := k.orders.Report(ctx, e.ID, e.Address)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	report, err := c.client.Report(ctx, e.ID, e.Address)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		s.asking = false
-		s.until = k.svc.Now().Add(askAgain)
-		k.log.Event(eventlog.OrderFailed, eventlog.Str("endpoint", e.ID), eventlog.Str("what", "report"), eventlog.Err(err))
+		s.calling = false
+		s.pendingUntil = c.svc.Now().Add(recheckDelay)
+		c.log.Event(eventlog.OrderFailed, eventlog.Str("endpoint", e.ID), eventlog.Str("what", "report"), eventlog.Err(err))
 		return true
 	}
-	s.taken = report.Orders
-	k.table.UpdateStatus(e.ID, report)
+	s.accepted = report.Orders
+	c.table.UpdateStatus(e.ID, report)
 	if report.Busy || report.Layers == wanted {
-		s.asking = false
-		s.until = k.svc.Now().Add(askAgain)
+		s.calling = false
+		s.pendingUntil = c.svc.Now().Add(recheckDelay)
 		return true
 	}
-	s.doubt = false
+	s.unconfirmed = false
 	return false
 }
 
-// streamsOf says for the log what an order does with streams.
-func streamsOf(o Order) string {
+// streamsField says for the log what an order does with streams.
+func streamsField(o Order) string {
 	if o.InterruptStreams {
 		return "cut"
 	}
@@ -72,39 +72,39 @@
 }
 
 // send gives an order, and notes what is known of it then.
-func (k *Controller) send(ctx context.Context, s *standing, o Order, e *fleet.Endpoint, load time.Duration) {
+func (c *Controller) send(ctx context.Context, s *orderState, o Order, e *fleet.Endpoint, load time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	k.mu.Lock()
-	taken := s.taken
-	k.mu.Unlock()
-	outcome, err := k.orders.Place(ctx, o, e.Address, taken)
+	c.mu.Lock()
+	accepted := s.accepted
+	c.mu.Unlock()
+	outcome, err := c.client.Place(ctx, o, e.Address, accepted)
 	fields := []eventlog.Field{
 		eventlog.Str("endpoint", o.ID), eventlog.Str("address", e.Address),
 		eventlog.Int("from", int64(o.Layers.From)), eventlog.Int("to", int64(o.Layers.To)),
-		eventlog.Str("streams", streamsOf(o)),
-		eventlog.Int("expected_orders", int64(taken)), eventlog.Str("outcome", outcome.String()),
+		eventlog.Str("streams", streamsField(o)),
+		eventlog.Int("expected_orders", int64(accepted)), eventlog.Str("outcome", outcome.String()),
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s.asking = false
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s.calling = false
 	switch outcome {
 	case Accepted:
-		s.taken = taken + 1
-		s.shown = false
-		s.doubt = true // asked for if no heartbeat has told of it by then
-		s.until = k.svc.Now().Add(load + askAgain)
-		k.table.MarkReassigned(o.ID, s.taken)
+		s.accepted = accepted + 1
+		s.applied = false
+		s.unconfirmed = true // asked for if no heartbeat has told of it by then
+		s.pendingUntil = c.svc.Now().Add(load + recheckDelay)
+		c.table.MarkReassigned(o.ID, s.accepted)
 	case Conflict:
-		s.doubt = true
-		s.until = k.svc.Now()
+		s.unconfirmed = true
+		s.pendingUntil = c.svc.Now()
 	default:
-		s.doubt = true
-		s.until = k.svc.Now().Add(askAgain)
+		s.unconfirmed = true
+		s.pendingUntil = c.svc.Now().Add(recheckDelay)
 	}
 	if err != nil {
-		k.log.Event(eventlog.OrderFailed, append(fields, eventlog.Err(err))...)
+		c.log.Event(eventlog.OrderFailed, append(fields, eventlog.Err(err))...)
 		return
 	}
-	k.log.Event(eventlog.OrderSent, fields...)
+	c.log.Event(eventlog.OrderSent, fields...)
 }
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -13,9 +13,9 @@
 	// tokens or more of the layers it holds, three times the users' load in
 	// a failure domain (docs/PLATFORM.md).
 	weightShare = 0.66
-	// ownWeight is how much more a layer that the own group of domains covers
+	// ownGroupWeight is how much more a layer that the own group of domains covers
 	// counts than one that another covers.
-	ownWeight = 16
+	ownGroupWeight = 16
 	// lossWeight is how much a layer's chance to be lost counts, against one
 	// holder in another group. Each server is as likely to be lost, so a layer
 	// whose holder has few layers is worth more to cover again.
@@ -57,55 +57,55 @@
 // of whose layers others hold too, or else servers shift until their overlaps fill
 // it, if others serve their layers meanwhile; nothing else is moved. No more is
 // loaded at once than the store serves.
-func Plan(e *fleet.Engine, servers []EndpointState) []Order {
+func Plan(e *fleet.Engine, endpoints []EndpointState) []Order {
 	if e.Layers <= 0 || e.LayerMB <= 0 {
 		return nil
 	}
-	p := newPlanner(e, servers)
-	budget := p.loads()
-	orders := p.bridge()
-	budget.take(len(orders))
-	if len(orders) > 0 || p.broken() {
+	p := newPlanner(e, endpoints)
+	budget := p.newLoadBudget()
+	orders := p.recoverLayers()
+	budget.reserve(len(orders))
+	if len(orders) > 0 || p.anyLayerUnserved() {
 		return orders
 	}
-	for _, s := range p.empty() {
-		if budget.left == 0 {
+	for _, s := range p.emptyEndpoints() {
+		if budget.remaining == 0 {
 			return orders
 		}
-		if o, ok := p.place(s); ok && budget.take(1) {
+		if o, ok := p.place(s); ok && budget.reserve(1) {
 			orders = append(orders, o)
 		}
 	}
-	return append(orders, p.mend(budget)...)
+	return append(orders, p.fillGaps(budget)...)
 }
 
 type planner struct {
-	engine  *fleet.Engine
-	servers []EndpointState
-	group   map[string]int // by domain
-	cover   [][]int        // by group, then layer
-	held    [][]int        // the same, with servers that are slow
-	total   []int          // by layer
+	engine    *fleet.Engine
+	endpoints []EndpointState
+	group     map[string]int // by domain
+	cover     [][]int        // by group, then layer
+	held      [][]int        // the same, with endpoints that are slow
+	total     []int          // by layer
 	// serving, limping and coming count the servers of all groups by layer: those
 	// that serve it as they should, those that serve it slowly or too little, and
 	// those that are loading it.
-	serving []int
-	limping []int
-	coming  []int
-	chance  [][]float64 // by group, then layer: sum of 1/layers of its holders
+	serving  []int
+	degraded []int
+	loading  []int
+	lossRisk [][]float64 // by group, then layer: sum of 1/layers of its holders
 }
 
-func newPlanner(e *fleet.Engine, servers []EndpointState) *planner {
+func newPlanner(e *fleet.Engine, endpoints []EndpointState) *planner {
 	p := &planner{
-		engine:  e,
-		servers: append([]EndpointState(nil), servers...),
-		total:   make([]int, e.Layers),
-		serving: make([]int, e.Layers),
-		limping: make([]int, e.Layers),
-		coming:  make([]int, e.Layers),
+		engine:    e,
+		endpoints: append([]EndpointState(nil), endpoints...),
+		total:     make([]int, e.Layers),
+		serving:   make([]int, e.Layers),
+		degraded:  make([]int, e.Layers),
+		loading:   make([]int, e.Layers),
 	}
 	p.findGroups()
-	for _, s := range p.servers {
+	for _, s := range p.endpoints {
 		p.count(s)
 	}
 	return p
@@ -125,36 +125,36 @@
 	g := p.group[s.Domain]
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		p.held[g][l] += n
-		p.standing(s)[l] += n
+		p.countsFor(s)[l] += n
 		if s.Slowdown >= slowLimit {
 			continue
 		}
 		p.cover[g][l] += n
-		p.chance[g][l] += float64(n) / float64(s.Layers.Len())
+		p.lossRisk[g][l] += float64(n) / float64(s.Layers.Len())
 		p.total[l] += n
 	}
 }
 
-// standing returns the counts that a server's layers belong to.
-func (p *planner) standing(s EndpointState) []int {
+// countsFor returns the counts that a server's layers belong to.
+func (p *planner) countsFor(s EndpointState) []int {
 	switch {
 	case s.OrderPending:
-		return p.coming
+		return p.loading
 	case s.Slowdown >= slowLimit || s.BelowDemand:
-		return p.limping
+		return p.degraded
 	default:
 		return p.serving
 	}
 }
 
-// room is how many layers a server should hold.
-func (p *planner) room(s EndpointState) int {
-	return p.roomAt(s, weightShare)
+// capacity is how many layers a server should hold.
+func (p *planner) capacity(s EndpointState) int {
+	return p.capacityAt(s, weightShare)
 }
 
-// roomAt is how many layers a server holds if weights may take a share of its
+// capacityAt is how many layers a server holds if weights may take a share of its
 // memory.
-func (p *planner) roomAt(s EndpointState, share float64) int {
+func (p *planner) capacityAt(s EndpointState, share float64) int {
 	n := int(p.engine.Kinds[s.Kind].MB * share / p.engine.LayerMB)
 	if n == 0 && p.engine.MaxLayers(s.Kind) > 1 {
 		n = 1
@@ -165,49 +165,49 @@
 // findGroups gives each domain that can hold every layer a group of its own,
 // and puts the others together.
 func (p *planner) findGroups() {
-	rooms := map[string]int{}
-	for _, s := range p.servers {
-		rooms[s.Domain] += max(p.roomAt(s, repackShares[len(repackShares)-1]), s.Layers.Len())
+	capacities := map[string]int{}
+	for _, s := range p.endpoints {
+		capacities[s.Domain] += max(p.capacityAt(s, repackShares[len(repackShares)-1]), s.Layers.Len())
 	}
-	domains := make([]string, 0, len(rooms))
-	for d := range rooms {
+	domains := make([]string, 0, len(capacities))
+	for d := range capacities {
 		domains = append(domains, d)
 	}
 	sort.Slice(domains, func(i, j int) bool {
-		if rooms[domains[i]] != rooms[domains[j]] {
-			return rooms[domains[i]] > rooms[domains[j]]
+		if capacities[domains[i]] != capacities[domains[j]] {
+			return capacities[domains[i]] > capacities[domains[j]]
 		}
 		return domains[i] < domains[j]
 	})
 	p.group = map[string]int{}
 	shared := -1
-	sharedRoom := 0
+	sharedCapacity := 0
 	for _, d := range domains {
-		if rooms[d] >= p.engine.Layers {
+		if capacities[d] >= p.engine.Layers {
 			p.group[d] = p.addGroup()
 			continue
 		}
-		if shared < 0 || sharedRoom >= p.engine.Layers {
+		if shared < 0 || sharedCapacity >= p.engine.Layers {
 			shared = p.addGroup()
-			sharedRoom = 0
+			sharedCapacity = 0
 		}
 		p.group[d] = shared
-		sharedRoom += rooms[d]
+		sharedCapacity += capacities[d]
 	}
 }
 
 func (p *planner) addGroup() int {
 	p.cover = append(p.cover, make([]int, p.engine.Layers))
 	p.held = append(p.held, make([]int, p.engine.Layers))
-	p.chance = append(p.chance, make([]float64, p.engine.Layers))
+	p.lossRisk = append(p.lossRisk, make([]float64, p.engine.Layers))
 	return len(p.cover) - 1
 }
 
-// empty returns the servers that hold nothing: group by group, fastest first.
-func (p *planner) empty() []EndpointState {
+// emptyEndpoints returns the servers that hold nothing: group by group, fastest first.
+func (p *planner) emptyEndpoints() []EndpointState {
 	var list []EndpointState
-	for _, s := range p.servers {
-		if s.Layers.Len() == 0 && p.room(s) > 0 {
+	for _, s := range p.endpoints {
+		if s.Layers.Len() == 0 && p.capacity(s) > 0 {
 			list = append(list, s)
 		}
 	}
@@ -228,8 +228,8 @@
 // place gives a server the group's first hole, and where there is none the
 // window of layers that is covered least.
 func (p *planner) place(s EndpointState) (Order, bool) {
-	n := p.room(s)
-	from, ok := p.hole(s)
+	n := p.capacity(s)
+	from, ok := p.firstGap(s)
 	switch {
 	case ok:
 		from = min(from, p.engine.Layers-n)
@@ -253,8 +253,8 @@
 	}, true
 }
 
-// hole returns the first layer that nothing in the group holds.
-func (p *planner) hole(s EndpointState) (int, bool) {
+// firstGap returns the first layer that nothing in the group holds.
+func (p *planner) firstGap(s EndpointState) (int, bool) {
 	for l, n := range p.cover[p.group[s.Domain]] {
 		if n == 0 {
 			return l, true
@@ -284,9 +284,9 @@
 	sum := 0.0
 	for l := from; l < from+n; l++ {
 		own := p.cover[g][l]
-		sum += float64(ownWeight*own*own + p.total[l])
+		sum += float64(ownGroupWeight*own*own + p.total[l])
 		if own == 1 {
-			sum -= lossWeight * p.chance[g][l]
+			sum -= lossWeight * p.lossRisk[g][l]
 		}
 	}
 	return sum
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// servers returns n empty servers of a kind in a domain.
-func servers(domain, kind string, n int) []placement.EndpointState {
+// emptyEndpoints returns n empty servers of a kind in a domain.
+func emptyEndpoints(domain, kind string, n int) []placement.EndpointState {
 	var list []placement.EndpointState
 	for i := range n {
 		list = append(list, placement.EndpointState{
@@ -72,34 +72,34 @@
 	return true
 }
 
-func users() []placement.EndpointState {
-	list := servers("a", "mid", 2)
-	list = append(list, servers("a", "small", 4)...)
-	list = append(list, servers("a", "tiny", 7)...)
-	list = append(list, servers("b", "big", 1)...)
-	list = append(list, servers("b", "mid", 1)...)
-	list = append(list, servers("b", "small", 5)...)
-	list = append(list, servers("b", "tiny", 7)...)
-	list = append(list, servers("c", "mid", 1)...)
-	list = append(list, servers("c", "small", 8)...)
-	return append(list, servers("c", "tiny", 3)...)
+func userDeployment() []placement.EndpointState {
+	list := emptyEndpoints("a", "mid", 2)
+	list = append(list, emptyEndpoints("a", "small", 4)...)
+	list = append(list, emptyEndpoints("a", "tiny", 7)...)
+	list = append(list, emptyEndpoints("b", "big", 1)...)
+	list = append(list, emptyEndpoints("b", "mid", 1)...)
+	list = append(list, emptyEndpoints("b", "small", 5)...)
+	list = append(list, emptyEndpoints("b", "tiny", 7)...)
+	list = append(list, emptyEndpoints("c", "mid", 1)...)
+	list = append(list, emptyEndpoints("c", "small", 8)...)
+	return append(list, emptyEndpoints("c", "tiny", 3)...)
 }
 
 var _ = Describe("a plan", func() {
 	It("gives each domain that can hold the model a whole copy", func() {
-		list := apply(users(), placement.Plan(engine(), users()))
+		list := apply(userDeployment(), placement.Plan(engine(), userDeployment()))
 		for _, d := range []string{"a", "b", "c"} {
 			Expect(covered(list, d, 80)).To(BeTrue(), d)
 		}
 	})
 
 	It("orders nothing more once all is placed", func() {
-		list := apply(users(), placement.Plan(engine(), users()))
+		list := apply(userDeployment(), placement.Plan(engine(), userDeployment()))
 		Expect(placement.Plan(engine(), list)).To(BeEmpty())
 	})
 
 	It("lets domains share a copy that can't hold one each", func() {
-		list := append(servers("a", "small", 6), servers("b", "small", 6)...)
+		list := append(emptyEndpoints("a", "small", 6), emptyEndpoints("b", "small", 6)...)
 		list = apply(list, placement.Plan(engine(), list))
 		for i := range list {
 			list[i].Domain = "both"
@@ -109,7 +109,7 @@
 
 	It("keeps a server that has just come for the hole that the old one leaves", func() {
 		e := engine()
-		list := apply(users(), placement.Plan(e, users()))
+		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
 		fresh := placement.EndpointState{ID: "new", Domain: "c", Kind: "small", JustJoined: true}
 		Expect(placement.Plan(e, append(list, fresh))).To(BeEmpty())
 		var old placement.EndpointState
@@ -129,7 +129,7 @@
 
 	It("copies layers that only servers hold which take too little, and leaves these where they are", func() {
 		e := engine()
-		list := apply(users(), placement.Plan(e, users()))
+		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
 		short := map[string]bool{}
 		last := ""
 		for i := range list {
@@ -156,7 +156,7 @@
 
 	It("covers what a slow server holds by one that isn't needed, but shifts nothing for it", func() {
 		e := engine()
-		list := apply(users(), placement.Plan(e, users()))
+		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
 		for i := range list {
 			if list[i].ID == "b-mid-0" {
 				list[i].Slowdown = 12
@@ -176,7 +176,7 @@
 			}
 		}
 		Expect(covered(fast, "b", 80)).To(BeTrue())
-		none := apply(servers("a", "small", 10), placement.Plan(e, servers("a", "small", 10)))
+		none := apply(emptyEndpoints("a", "small", 10), placement.Plan(e, emptyEndpoints("a", "small", 10)))
 		none[3].Slowdown = 12
 		Expect(placement.Plan(e, none)).To(BeEmpty())
 	})
@@ -184,9 +184,9 @@
 	It("shifts servers along where a hole is left that no single one can fill", func() {
 		e := engine()
 		// Of 83 layers' room, all but three are needed: the overlaps lie elsewhere.
-		list := servers("a", "mid", 2)
-		list = append(list, servers("a", "small", 4)...)
-		list = append(list, servers("a", "tiny", 5)...)
+		list := emptyEndpoints("a", "mid", 2)
+		list = append(list, emptyEndpoints("a", "small", 4)...)
+		list = append(list, emptyEndpoints("a", "tiny", 5)...)
 		at := []int{0, 13, 26, 34, 42, 61, 50, 55, 69, 72, 75}
 		for i := range list {
 			n := map[string]int{"mid": 13, "small": 8, "tiny": 5}[list[i].Kind]
@@ -207,7 +207,7 @@
 
 	It("gives weights more of the memories when what is left can't hold the model otherwise", func() {
 		e := engine()
-		list := apply(servers("a", "small", 10), placement.Plan(e, servers("a", "small", 10)))
+		list := apply(emptyEndpoints("a", "small", 10), placement.Plan(e, emptyEndpoints("a", "small", 10)))
 		Expect(covered(list, "a", 80)).To(BeTrue())
 		rest := list[:9]
 		after := apply(rest, placement.Plan(e, rest))
@@ -219,7 +219,7 @@
 
 	It("moves a server that isn't needed into a hole that no empty one fills", func() {
 		e := engine()
-		list := apply(users(), placement.Plan(e, users()))
+		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
 		var rest []placement.EndpointState
 		for _, s := range list {
 			if s.ID != "b-small-2" {
@@ -240,7 +240,7 @@
 
 	It("leaves alone what an order is under way for", func() {
 		e := engine()
-		list := apply(users(), placement.Plan(e, users()))
+		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
 		var rest []placement.EndpointState
 		for _, s := range list {
 			s.OrderPending = true
@@ -252,9 +252,9 @@
 	})
 })
 
-// TestNeverTooMuch checks for any servers that no order exceeds a memory, goes
+// TestOrdersFitMemory checks for any servers that no order exceeds a memory, goes
 // beyond the model, or takes a layer's last holder away.
-func TestNeverTooMuch(t *testing.T) {
+func TestOrdersFitMemory(t *testing.T) {
 	e := engine()
 	kinds := []string{"big", "mid", "small", "tiny"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -272,7 +272,7 @@
 			}
 			list = append(list, s)
 		}
-		before := total(list)
+		before := countHolders(list)
 		orders := placement.Plan(e, list)
 		for _, o := range orders {
 			kind := ""
@@ -288,7 +288,7 @@
 				rt.Fatalf("%v is no range of layers", o)
 			}
 		}
-		after := total(apply(list, orders))
+		after := countHolders(apply(list, orders))
 		for l := range before {
 			if before[l] > 0 && after[l] == 0 {
 				rt.Fatalf("layer %d has no holder any more", l)
@@ -297,7 +297,7 @@
 	})
 }
 
-func total(list []placement.EndpointState) []int {
+func countHolders(list []placement.EndpointState) []int {
 	n := make([]int, 80)
 	for _, s := range list {
 		for l := s.Layers.From; l < s.Layers.To; l++ {
--- a/pkg/placement/repack.go
+++ b/pkg/placement/repack.go
@@ -16,9 +16,9 @@
 	// moveCost is what a move costs beside the layers that it loads, in layers:
 	// the endpoint serves nothing until its streams have left.
 	moveCost = 2
-	// firstCost is added for an endpoint that holds the first layers: streams
+	// firstLayerCost is added for an endpoint that holds the first layers: streams
 	// can't leave it.
-	firstCost = 20
+	firstLayerCost = 20
 )
 
 // repack fills a group's holes where no single server can be spared: servers
@@ -27,28 +27,28 @@
 // server of the group still carries out an order, or if some layer would be served
 // nowhere meanwhile.
 func (p *planner) repack(g int) []Order {
-	list, still := p.holders(func(s EndpointState) bool { return p.group[s.Domain] == g })
-	if !still {
+	list, idle := p.holders(func(s EndpointState) bool { return p.group[s.Domain] == g })
+	if !idle {
 		return nil
 	}
-	return p.repackRow(list, p.servedBeside)
+	return p.repackEndpoints(list, p.servedWhileLoading)
 }
 
 // repackAll does the same over all groups, for layers that nothing serves: what
 // is shifted serves no request meanwhile, but no request could be served anyway.
 func (p *planner) repackAll() []Order {
-	list, still := p.holders(func(EndpointState) bool { return true })
-	if !still {
+	list, idle := p.holders(func(EndpointState) bool { return true })
+	if !idle {
 		return nil
 	}
-	return p.repackRow(list, func([]int) bool { return true })
+	return p.repackEndpoints(list, func([]int) bool { return true })
 }
 
 // holders returns the servers of a kind that hold layers, and whether all of them
 // stand still: one that carries out an order may change the picture.
-func (p *planner) holders(of func(s EndpointState) bool) (list []int, still bool) {
-	for i, s := range p.servers {
-		if !of(s) || s.Layers.Len() == 0 {
+func (p *planner) holders(match func(s EndpointState) bool) (list []int, idle bool) {
+	for i, s := range p.endpoints {
+		if !match(s) || s.Layers.Len() == 0 {
 			continue
 		}
 		if s.OrderPending {
@@ -59,42 +59,42 @@
 	return list, true
 }
 
-// repackRow shifts the servers of a list, if the ones that are shifted may be.
-func (p *planner) repackRow(list []int, may func(shifted []int) bool) []Order {
+// repackEndpoints shifts the servers of a list, if the ones that are shifted may be.
+func (p *planner) repackEndpoints(list []int, allowed func(shifted []int) bool) []Order {
 	sort.Slice(list, func(a, b int) bool {
-		x, y := p.servers[list[a]], p.servers[list[b]]
+		x, y := p.endpoints[list[a]], p.endpoints[list[b]]
 		if x.Layers != y.Layers {
 			return x.Layers.From < y.Layers.From || x.Layers.From == y.Layers.From && x.Layers.To < y.Layers.To
 		}
 		return x.ID < y.ID
 	})
 	for _, share := range repackShares {
-		r := p.newRow(list, share)
+		r := p.newRepacking(list, share)
 		if !r.solve() {
 			continue
 		}
-		if !may(r.shifted()) {
+		if !allowed(r.shifted()) {
 			return nil
 		}
-		return p.shift(r)
+		return p.shiftOrders(r)
 	}
 	return nil
 }
 
-// row is servers in the order of their layers, and the cheapest way to cover
+// repacking is servers in the order of their layers, and the cheapest way to cover
 // the layers from the first on with them.
-type row struct {
+type repacking struct {
 	layers int
-	items  []rowItem
+	items  []repackItem
 	// best[i][c] is the cheapest way to cover layers below c with the first i
 	// items.
 	best [][]step
 }
 
-type rowItem struct {
-	server int // index
-	held   fleet.Range
-	room   int
+type repackItem struct {
+	index    int // index
+	held     fleet.Range
+	capacity int
 }
 
 // step is how a state was reached: from the covered layers before it, and
@@ -105,22 +105,22 @@
 	shifted bool
 }
 
-func (p *planner) newRow(list []int, share float64) *row {
-	r := &row{
+func (p *planner) newRepacking(list []int, share float64) *repacking {
+	r := &repacking{
 		layers: p.engine.Layers,
 	}
 	for _, i := range list {
-		r.items = append(r.items, rowItem{
-			server: i,
-			held:   p.servers[i].Layers,
-			room:   p.roomAt(p.servers[i], share),
+		r.items = append(r.items, repackItem{
+			index:    i,
+			held:     p.endpoints[i].Layers,
+			capacity: p.capacityAt(p.endpoints[i], share),
 		})
 	}
 	return r
 }
 
 // solve finds the cheapest cover, and reports whether there is one.
-func (r *row) solve() bool {
+func (r *repacking) solve() bool {
 	r.best = make([][]step, len(r.items)+1)
 	for i := range r.best {
 		r.best[i] = make([]step, r.layers+1)
@@ -132,7 +132,7 @@
 	for i, item := range r.items {
 		for c := range r.best[i] {
 			if r.best[i][c].cost >= 0 {
-				r.stay(i, c, item)
+				r.keep(i, c, item)
 				r.move(i, c, item)
 			}
 		}
@@ -140,29 +140,29 @@
 	return r.best[len(r.items)][r.layers].cost >= 0
 }
 
-// stay leaves an item where it is.
-func (r *row) stay(i, c int, item rowItem) {
+// keep leaves an item where it is.
+func (r *repacking) keep(i, c int, item repackItem) {
 	to := c
 	if item.held.From <= c {
 		to = max(c, min(item.held.To, r.layers))
 	}
-	r.reach(i, to, step{
+	r.update(i, to, step{
 		cost: r.best[i][c].cost,
 		from: c,
 	})
 }
 
 // move shifts an item to the first layers that aren't covered.
-func (r *row) move(i, c int, item rowItem) {
+func (r *repacking) move(i, c int, item repackItem) {
 	target, ok := r.target(c, item)
 	if !ok || target == item.held {
 		return
 	}
 	cost := moveCost + target.Len() - overlap(target, item.held)
 	if item.held.From == 0 {
-		cost += firstCost
+		cost += firstLayerCost
 	}
-	r.reach(i, target.To, step{
+	r.update(i, target.To, step{
 		cost:    r.best[i][c].cost + cost,
 		from:    c,
 		shifted: true,
@@ -170,18 +170,18 @@
 }
 
 // target is where a shifted item goes that continues from layer c on.
-func (r *row) target(c int, item rowItem) (fleet.Range, bool) {
-	if item.room <= 0 || c >= r.layers {
+func (r *repacking) target(c int, item repackItem) (fleet.Range, bool) {
+	if item.capacity <= 0 || c >= r.layers {
 		return fleet.Range{}, false
 	}
-	from := min(c, r.layers-item.room)
+	from := min(c, r.layers-item.capacity)
 	return fleet.Range{
 		From: from,
-		To:   from + item.room,
+		To:   from + item.capacity,
 	}, true
 }
 
-func (r *row) reach(i, c int, s step) {
+func (r *repacking) update(i, c int, s step) {
 	if old := &r.best[i+1][c]; old.cost < 0 || s.cost < old.cost {
 		*old = s
 	}
@@ -193,28 +193,28 @@
 }
 
 // shifted returns the servers that a solved row shifts.
-func (r *row) shifted() []int {
+func (r *repacking) shifted() []int {
 	var list []int
 	c := r.layers
 	for i := len(r.items) - 1; i >= 0; i-- {
 		s := r.best[i+1][c]
 		if s.shifted {
-			list = append(list, r.items[i].server)
+			list = append(list, r.items[i].index)
 		}
 		c = s.from
 	}
 	return list
 }
 
-// shift returns the orders of a solved row, and counts them.
-func (p *planner) shift(r *row) []Order {
+// shiftOrders returns the orders of a solved row, and counts them.
+func (p *planner) shiftOrders(r *repacking) []Order {
 	var orders []Order
 	c := r.layers
 	for i := len(r.items) - 1; i >= 0; i-- {
 		s := r.best[i+1][c]
 		if s.shifted {
 			target, _ := r.target(s.from, r.items[i])
-			orders = append(orders, p.moveTo(r.items[i].server, target))
+			orders = append(orders, p.moveTo(r.items[i].index, target))
 		}
 		c = s.from
 	}
