--- a/pkg/crowd/crowd.go
+++ b/pkg/crowd/crowd.go
@@ -1,4 +1,5 @@
-// Package crowd decides which streams wait where callers come back all at once.
+// Package crowd delays resumed streams where many callers resume theirs at once, so
+// that new streams aren't held up by them.
 package crowd
 
 import (
@@ -9,42 +10,42 @@
 )
 
 const (
-	// decayTime is the time over which streams that begin count: callers whose hosts
-	// all stopped come back within a second.
+	// decayTime is the time constant with which counted streams decay: callers resume
+	// within a second after all hosts have stopped.
 	decayTime = 500 * time.Millisecond
-	// minBurst is how many resumed streams make a crowd, if they aren't fewer than those
-	// that begin: a host that is lost under a few dozen others leaves each of them one
-	// or none.
+	// minBurst is how many resumed streams make a burst, if they aren't fewer than the
+	// new ones: after the loss of one host, each of a few dozen others gets one resumed
+	// stream or none.
 	minBurst = 2
-	// spreadTime is the time over which a crowd is sent on: about what the first events of
-	// all take that come at once.
+	// spreadTime is the time over which a burst is spread: about as long as the first
+	// events of all its streams take.
 	spreadTime = 800 * time.Millisecond
-	// maxHold bounds how long after its arrival a resumed stream is held: callers give up
-	// after two seconds without an event.
+	// maxHold bounds how long after its arrival a resumed stream is held: callers give
+	// up after two seconds without an event.
 	maxHold = 1200 * time.Millisecond
 )
 
-// Clock tells the time.
+// Clock returns the time.
 type Clock interface {
 	Now() time.Time
 }
 
-// Spreader holds streams back that callers resume, where these come all at once, as after
-// a stop of all hosts. Their pause has made them late already; streams that begin can
-// still be in time, but not behind the prompts of all others. It is safe for use by
-// several goroutines.
+// Spreader delays resumed streams where they arrive in a burst, as after a stop of all
+// hosts. The interruption has made these streams late already; new streams can still be
+// on time, but not if they wait behind the prompts of all resumed ones. It is safe for
+// concurrent use.
 //
-// Invariant: a stream that begins is never held.
+// Invariant: a new stream is never held.
 type Spreader struct {
 	clock Clock
 
 	mu        sync.Mutex
-	resumed   float64 // lately: each counts less as time passes
-	started   float64
+	resumed   float64 // decaying count
+	started   float64 // decaying count
 	updatedAt time.Time
 }
 
-// New returns a crowd of none.
+// New returns a spreader that has counted no stream.
 func New(clock Clock) *Spreader {
 	return &Spreader{
 		clock:     clock,
@@ -52,7 +53,7 @@
 	}
 }
 
-// NoteNew notes a stream that begins.
+// NoteNew counts a new stream.
 func (s *Spreader) NoteNew() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +61,7 @@
 	s.started++
 }
 
-// ResumeDelay notes a stream that its caller resumes and that came in at a time, and
+// ResumeDelay counts a stream that its caller resumes, received at the given time, and
 // returns how long to hold it.
 func (s *Spreader) ResumeDelay(received time.Time) time.Duration {
 	s.mu.Lock()
@@ -74,7 +75,7 @@
 	return max(0, min(d, maxHold-now.Sub(received)))
 }
 
-// decay lets what was noted count less, and returns the time.
+// decay decays the counts to the current time, which it returns.
 func (s *Spreader) decay() time.Time {
 	now := s.clock.Now()
 	f := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(decayTime))
--- a/pkg/crowd/crowd_test.go
+++ b/pkg/crowd/crowd_test.go
@@ -14,14 +14,14 @@
 	RunSpecs(t, "crowd")
 }
 
-// withSpreader runs f on a crowd whose time stands still.
+// withSpreader runs f with a spreader and its clock, which stands still.
 func withSpreader(f func(s *Spreader, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(New(clock), clock)
 }
 
-var _ = Describe("streams that callers resume", func() {
-	// held resumes n streams and returns how many were held.
+var _ = Describe("resumed streams", func() {
+	// held resumes n streams and returns how many of them are held.
 	held := func(s *Spreader, clock *timer.Manual, n int) int {
 		count := 0
 		for range n {
@@ -33,13 +33,13 @@
 		return count
 	}
 
-	It("are held where they come all at once", func() {
+	It("are held if they arrive all at once", func() {
 		withSpreader(func(s *Spreader, clock *timer.Manual) {
-			Expect(held(s, clock, 8)).To(Equal(7), "the first may be the only one")
+			Expect(held(s, clock, 8)).To(Equal(7), "the first one isn't a burst yet")
 		})
 	})
 
-	It("aren't held where they come one by one, or are fewer than those that begin", func() {
+	It("aren't held if they arrive one by one, or are fewer than the new streams", func() {
 		withSpreader(func(s *Spreader, clock *timer.Manual) {
 			for range 10 {
 				Expect(held(s, clock, 1)).To(BeZero())
@@ -52,7 +52,7 @@
 		})
 	})
 
-	It("are held no longer than callers wait, with the time that they waited already", func() {
+	It("are held no longer than callers wait, counted from their arrival", func() {
 		withSpreader(func(s *Spreader, clock *timer.Manual) {
 			held(s, clock, 8)
 			received := clock.Now()
--- a/pkg/pathing/bench_test.go
+++ b/pkg/pathing/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkChoose chooses among endpoints of three kinds in three failure domains, as
-// many as a deployment of today has, ten times as many, and 3,200.
+// BenchmarkChoose chooses among 86, 860 and 3,200 endpoints of three kinds in three
+// failure domains.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{86, 860, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pkg/pathing/pathing.go
+++ b/pkg/pathing/pathing.go
@@ -1,5 +1,5 @@
-// Package pathing chooses the endpoints through which a request passes every
-// layer once, in order: the path of least expected finish.
+// Package pathing chooses the endpoints through which a request passes every layer
+// once, in order: the path with the least expected completion time.
 package pathing
 
 import (
@@ -12,46 +12,49 @@
 
 const (
 	// domainCrossingMs is added for each change of failure domain, beyond its delay:
-	// the pipe between two domains carries every token of prompt and answer
-	// and is shared (docs/PLATFORM.md).
+	// the link between two domains is shared, and carries every token of prompt and
+	// answer.
 	domainCrossingMs = 3000
 	// foreignStartMs is added for a path that begins in another failure domain than the
-	// host's. Its events cross between domains, and hosts that all prefer the
-	// fastest domain fill it, while loads tell of that 0.4 s later.
+	// host's. Its events cross between domains, and hosts that all prefer the fastest
+	// domain would fill it before reported loads show that, 0.4 s later.
 	foreignStartMs = 1000
-	// contention is how often the time counts that requests share: once for the
-	// request, which waits for the others in each pass, and once for the others,
-	// which wait for it: a pass holds about all requests of an endpoint.
+	// contention is how often the time counts that the requests of an endpoint add to
+	// each other's steps: once for the request, which waits for the others in each
+	// pass, and once for the others, which wait for it. A pass contains about all
+	// requests of an endpoint.
 	contention = 2
-	// waitWeight is how much a wait before the first event counts against the same
-	// time later: a caller's goal is for the first event, and what waits brings
-	// nothing to anybody meanwhile.
+	// waitWeight is how much a wait before the first event counts against the same time
+	// later on: callers set a goal for the first event, and a request that waits makes
+	// no progress for anybody.
 	waitWeight = 2
-	// passWaitShare is the part of a pass for which a token waits at each endpoint: it
-	// comes at any moment of the pass under way. It keeps paths from being cut small.
+	// passWaitShare is the share of a pass for which a token waits at each endpoint,
+	// since it arrives at any moment of the pass in progress. It keeps paths from being
+	// split into many short stages.
 	passWaitShare = 0.5
-	// fullMemoryPenalty multiplies the cost of a stage whose KV memory would be full.
+	// fullMemoryPenalty multiplies the cost of a candidate whose KV cache would
+	// overflow.
 	fullMemoryPenalty = 8
-	// maxStages is the most endpoints that a path may name.
+	// maxStages is the most stages that a path may have.
 	maxStages = 32
 )
 
-// Candidate is an endpoint that holds layers, with its load.
+// Candidate is an endpoint that may become a stage of a path, with its load.
 type Candidate struct {
 	ID      string
 	Address string
 	Domain  string
 	Kind    string
-	// Layers are those that a path may use. Held is how many the endpoint holds,
-	// if more: its memory is shared by all of them.
+	// Layers are those that a path may use. LayersHeld is how many the endpoint holds,
+	// if more than those: all of them share its memory.
 	Layers     fleet.Range
 	LayersHeld int
-	Requests   float64 // under way
-	Tokens     float64 // in KV memory in the mean, of requests under way
-	// Slowdown multiplies its times; 1 is as expected.
+	Requests   float64 // in flight
+	Tokens     float64 // mean number in the KV cache, of the requests in flight
+	// Slowdown multiplies the expected times; 1 is normal for the kind.
 	Slowdown float64
-	// Wait is how long a request that begins there waits for its first event, by
-	// what was seen.
+	// Wait is how long a request that begins there waits for its first event, as
+	// observed.
 	Wait time.Duration
 }
 
@@ -59,23 +62,23 @@
 type Demand struct {
 	Prompt float64 // tokens to read
 	Answer float64 // tokens to write
-	// First, if set, fixes the first part: endpoint and layers.
+	// First, if set, fixes the first stage: endpoint and layers.
 	First *fleet.Stage
 	// SingleDomain keeps the path in one failure domain.
 	SingleDomain bool
-	// HomeDomain is the failure domain of the host that asks; empty if any will do.
+	// HomeDomain is the failure domain of the requesting host; empty for no preference.
 	HomeDomain string
 }
 
-// MeanKVTokens returns how many tokens' KV cache the request holds in the mean while it
-// runs: the answer's comes with its tokens.
+// MeanKVTokens returns how many tokens the request holds in the KV cache on average
+// while it runs: those of the answer are added one by one.
 func (d *Demand) MeanKVTokens() float64 {
 	return d.Prompt + d.Answer/2
 }
 
-// Choose returns the cheapest path, or nil if the stages don't cover every
-// layer. jitter returns a factor near 1 for each stage, so that hosts which
-// know the same don't all choose the same.
+// Choose returns the cheapest path, or nil if the candidates don't cover every layer.
+// jitter returns a factor near 1 for each candidate, so that hosts with the same
+// information don't all choose the same path.
 func Choose(e *fleet.Engine, candidates []Candidate, d Demand, jitter func() float64) []fleet.Stage {
 	if len(candidates) == 0 || e.Layers <= 0 {
 		return nil
@@ -94,8 +97,8 @@
 // ending in a domain.
 type state struct {
 	cost      float64
-	prev      int // state before; -1 at the start
-	candidate int // last stage; -1 at the start
+	prev      int // previous state; -1 at the start
+	candidate int // of the last stage; -1 at the start
 	domain    int // -1 at the start: any
 	boundary  int // index of the boundary
 	stages    int
@@ -105,14 +108,14 @@
 	engine      *fleet.Engine
 	candidates  []Candidate
 	demand      Demand
-	perLayer    []float64 // expected ms for one layer, by stage
-	passWait    []float64 // expected ms that its tokens wait for passes, by stage
-	domain      []int     // of each stage
+	perLayer    []float64 // expected ms for one layer, by candidate
+	passWait    []float64 // expected ms for which tokens wait for passes, by candidate
+	domain      []int     // of each candidate
 	useful      []int     // candidates that may be on the cheapest path
 	boundaries  []int
 	domains     map[string]int
 	domainNames []string
-	home        int         // domain of the host that asks; -1 if any will do
+	home        int         // domain of the requesting host; -1 for no preference
 	hop         [][]float64 // ms from domain to domain
 	states      []state
 	statesAt    [][]int // states by boundary
@@ -164,15 +167,16 @@
 	return s
 }
 
-// pruneKey is what stages have in common that stand for each other on a path.
+// pruneKey is what candidates have in common that can replace each other on a path.
 type pruneKey struct {
 	domain int
 	layers fleet.Range
 }
 
-// prune keeps of stages that are alike the cheapest one, and the cheapest to begin
-// with: a path has use for no other, but for the first part that stands. The search
-// takes as long as there are ranges then, and not endpoints.
+// prune keeps, of candidates with the same domain and layers, the cheapest one and the
+// cheapest one to begin a path with. No other one can be on the cheapest path, apart
+// from a fixed first stage. So the search takes time by the number of ranges, not of
+// endpoints.
 func (s *search) prune() {
 	best := map[pruneKey][2]int{}
 	for k := range s.candidates {
@@ -207,18 +211,19 @@
 	}
 }
 
-// fullCost is the cost of all layers of a stage.
+// fullCost is the cost of all layers of a candidate.
 func (s *search) fullCost(k int) float64 {
 	return s.passWait[k] + s.perLayer[k]*float64(s.candidates[k].Layers.Len())
 }
 
-// startCost is the cost of what waits at a stage that a path begins with: requests
-// that find a memory full anywhere on their path wait there.
+// startCost is the cost of the wait at the first stage of a path: that is where
+// requests wait if the memory of any endpoint on the path is full.
 func (s *search) startCost(k int) float64 {
 	return ms(s.candidates[k].Wait) * waitWeight
 }
 
-// computeHops works out what each change of failure domain costs, and none.
+// computeHops computes the cost of a hop between each two failure domains, and within
+// each one.
 func (s *search) computeHops() {
 	s.home = -1
 	s.hop = make([][]float64, len(s.domainNames))
@@ -233,8 +238,8 @@
 	}
 }
 
-// layerCost is the expected time in ms that one layer of a stage adds to the
-// whole request, and to those under way there.
+// layerCost is the expected time in ms that one layer of a candidate adds to the whole
+// request, and to the requests that are in flight there.
 func (s *search) layerCost(c *Candidate) float64 {
 	e := s.engine
 	k := e.Kinds[c.Kind]
@@ -254,14 +259,15 @@
 	return cost * (1 + need/room)
 }
 
-// loadStepMs is what the requests at a stage add to a step through all layers, in ms.
+// loadStepMs is what the requests at a candidate add to a step through all layers, in
+// ms.
 func (s *search) loadStepMs(c *Candidate) float64 {
 	return c.Requests*ms(s.engine.PerSequence) + c.Tokens/1000*ms(s.engine.PerContext)
 }
 
-// passWaitCost is the expected time in ms for which a request's tokens wait at a stage
-// for passes under way: these run the layers that the endpoint holds, however few of
-// them the path uses.
+// passWaitCost is the expected time in ms for which the tokens of a request wait for
+// passes in progress. A pass runs all layers that the endpoint holds, even if the path
+// uses few of them.
 func (s *search) passWaitCost(c *Candidate) float64 {
 	e := s.engine
 	share := float64(max(c.LayersHeld, c.Layers.Len())) / float64(e.Layers)
@@ -280,11 +286,11 @@
 	})
 }
 
-// startAfter begins behind a part that is fixed.
+// startAfter begins the search behind a fixed first stage.
 func (s *search) startAfter(first *fleet.Stage) {
 	i := sort.SearchInts(s.boundaries, first.Layers.To)
 	if i == len(s.boundaries) {
-		return // it ends behind the last layer
+		return // the first stage ends behind the last layer
 	}
 	s.first = first
 	d, ok := s.domains[first.Domain]
@@ -313,8 +319,8 @@
 	s.states = append(s.states, n)
 }
 
-// run extends states boundary by boundary; a state's cost is final once its
-// boundary is reached, since every step leads to a later one.
+// run extends states boundary by boundary. The cost of a state is final once its
+// boundary is reached, since every extension leads to a later one.
 func (s *search) run() {
 	for b := range s.boundaries {
 		for _, i := range s.statesAt[b] {
@@ -353,7 +359,7 @@
 	}
 }
 
-// uses reports whether a stage is on the way to a state already.
+// uses reports whether the path to a state already contains a candidate.
 func (s *search) uses(i, candidate int) bool {
 	for ; i >= 0; i = s.states[i].prev {
 		if s.states[i].candidate == candidate {
@@ -363,11 +369,11 @@
 	return false
 }
 
-// hopMs is what a hop inside a failure domain costs each token.
+// hopMs is what a hop within a failure domain adds for each token.
 const hopMs = 0.2
 
-// entryCost is the cost of going on in domain b from domain a; negative if the path
-// begins there.
+// entryCost is the cost of a hop from domain a to domain b; a is negative if the path
+// begins in b.
 func (s *search) entryCost(a, b int) float64 {
 	if a >= 0 {
 		return s.hop[a][b]
@@ -427,7 +433,7 @@
 	}
 }
 
-// CoversAllLayers reports whether parts run every layer once, in order.
+// CoversAllLayers reports whether stages run every layer once, in order.
 func CoversAllLayers(e *fleet.Engine, stages []fleet.Stage) bool {
 	at := 0
 	for _, stage := range stages {
@@ -450,7 +456,6 @@
 	return n
 }
 
-// ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
--- a/pkg/pathing/pathing_test.go
+++ b/pkg/pathing/pathing_test.go
@@ -61,7 +61,7 @@
 }
 
 var _ = Describe("a path", func() {
-	It("takes the faster of two that hold the same layers", func() {
+	It("uses the faster of two endpoints with the same layers", func() {
 		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 0, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
 	})
@@ -76,7 +76,7 @@
 		Expect(ids(Choose(engine(), []Candidate{near, far}, home, even))).To(Equal([]string{"far=0-10"}))
 	})
 
-	It("cuts where ranges overlap so that the faster does more", func() {
+	It("splits overlapping ranges so that the faster endpoint runs more layers", func() {
 		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 4, 10)}, demand, even)
 		Expect(ids(path)).To(Equal([]string{"s=0-4", "f=4-10"}))
 	})
@@ -89,16 +89,16 @@
 		Expect(DomainCrossings(path)).To(Equal(0))
 	})
 
-	It("crosses rather than fail", func() {
+	It("crosses failure domains if there is no other path", func() {
 		path := Choose(engine(), []Candidate{candidate("x", "a", "slow", 0, 5), candidate("z", "b", "fast", 5, 10)}, demand, even)
 		Expect(DomainCrossings(path)).To(Equal(1))
 	})
 
-	It("is none if a layer isn't held", func() {
+	It("is nil if no endpoint holds some layer", func() {
 		Expect(Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 5), candidate("y", "a", "fast", 6, 10)}, demand, even)).To(BeNil())
 	})
 
-	It("keeps a first part that stands", func() {
+	It("keeps a fixed first stage", func() {
 		first := fleet.Stage{ID: "x", Address: "x", Domain: "a", Layers: fleet.Range{From: 0, To: 3}}
 		d := demand
 		d.First = &first
@@ -106,7 +106,7 @@
 		Expect(ids(path)).To(Equal([]string{"x=0-3", "y=3-10"}))
 	})
 
-	It("begins where less waits, and doesn't mind what waits at later parts", func() {
+	It("begins where the wait is shorter, and ignores waits at later stages", func() {
 		x, y, z := candidate("x", "a", "fast", 0, 5), candidate("y", "a", "slow", 0, 5), candidate("z", "a", "fast", 5, 10)
 		z.Wait = time.Minute
 		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"x=0-5", "z=5-10"}))
@@ -114,36 +114,36 @@
 		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"y=0-5", "z=5-10"}))
 	})
 
-	It("counts on the memory that a request holds in the mean", func() {
-		nearly := candidate("f", "a", "fast", 0, 10)
-		nearly.Tokens = 98_500 // of 100,000
+	It("counts the memory that a request holds on average", func() {
+		nearlyFull := candidate("f", "a", "fast", 0, 10)
+		nearlyFull.Tokens = 98_500 // of 100,000
 		d := Demand{Prompt: 100, Answer: 2000}
-		Expect(ids(Choose(engine(), []Candidate{nearly, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
-		nearly.Tokens = 99_500
-		Expect(ids(Choose(engine(), []Candidate{nearly, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearlyFull, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
+		nearlyFull.Tokens = 99_500
+		Expect(ids(Choose(engine(), []Candidate{nearlyFull, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
 	})
 
-	It("goes by what a crowd costs it and it costs the crowd", func() {
-		crowded := candidate("f", "a", "fast", 0, 10)
-		crowded.Requests = 450
-		crowded.Tokens = 80e3
+	It("weighs what requests at a loaded endpoint cost each other", func() {
+		loaded := candidate("f", "a", "fast", 0, 10)
+		loaded.Requests = 450
+		loaded.Tokens = 80e3
 		idle := candidate("m", "a", "mid", 0, 10)
-		Expect(ids(Choose(engine(), []Candidate{crowded, idle}, demand, even))).To(Equal([]string{"m=0-10"}))
-		crowded.Requests = 40
-		crowded.Tokens = 8e3
-		Expect(ids(Choose(engine(), []Candidate{crowded, idle}, demand, even))).To(Equal([]string{"f=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{loaded, idle}, demand, even))).To(Equal([]string{"m=0-10"}))
+		loaded.Requests = 40
+		loaded.Tokens = 8e3
+		Expect(ids(Choose(engine(), []Candidate{loaded, idle}, demand, even))).To(Equal([]string{"f=0-10"}))
 	})
 
-	It("counts whole passes where it would use few of an endpoint's layers", func() {
-		whole := candidate("a", "d", "mid", 0, 10)
-		whole.Requests = 30 // 24 in 100 more for a layer, by what a crowd costs
+	It("counts full passes even where it uses few of an endpoint's layers", func() {
+		single := candidate("a", "d", "mid", 0, 10)
+		single.Requests = 30 // 24 % more for a layer, by contention
 		head, tail := candidate("b", "d", "mid", 0, 5), candidate("c", "d", "mid", 5, 10)
-		Expect(ids(Choose(engine(), []Candidate{whole, head, tail}, demand, even))).To(Equal([]string{"b=0-5", "c=5-10"}))
+		Expect(ids(Choose(engine(), []Candidate{single, head, tail}, demand, even))).To(Equal([]string{"b=0-5", "c=5-10"}))
 		head.LayersHeld, tail.LayersHeld = 10, 10
-		Expect(ids(Choose(engine(), []Candidate{whole, head, tail}, demand, even))).To(Equal([]string{"a=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{single, head, tail}, demand, even))).To(Equal([]string{"a=0-10"}))
 	})
 
-	It("goes around a slow endpoint and one whose memory is full", func() {
+	It("avoids a slow endpoint and one whose memory is full", func() {
 		slow := candidate("s", "a", "fast", 0, 10)
 		slow.Slowdown = 5
 		path := Choose(engine(), []Candidate{slow, candidate("f", "a", "fast", 0, 10)}, demand, even)
@@ -155,9 +155,9 @@
 	})
 })
 
-// TestEveryLayerOnce checks for any stages that a path runs every layer once
-// and in order, names nobody twice, keeps to what each holds, and that one is
-// found wherever the layers are covered without going back to an endpoint.
+// TestEveryLayerOnce checks for arbitrary candidates that a path runs every layer once
+// and in order, uses no endpoint twice, gives each only layers that it holds, and that
+// a path is found if all layers are covered.
 func TestEveryLayerOnce(t *testing.T) {
 	e := engine()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -192,7 +192,7 @@
 		seen := map[string]bool{}
 		for _, p := range path {
 			if seen[p.ID] {
-				rt.Fatalf("%s stands twice: %v", p.ID, ids(path))
+				rt.Fatalf("%s is used twice: %v", p.ID, ids(path))
 			}
 			seen[p.ID] = true
 			for _, s := range candidates {
--- a/pkg/pattern/clock.go
+++ b/pkg/pattern/clock.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// clock is simulated time: what is due runs in order, and nothing else passes.
+// clock is simulated time. Functions run in the order in which they are due; time
+// passes only between them.
 //
-// Invariant: now never falls; what is due at the same time runs in the order in
-// which it was asked for.
+// Invariant: now never decreases, and functions that are due at the same time run in
+// the order in which they were scheduled.
 type clock struct {
 	now       time.Duration
 	scheduled int
 	queue     timerQueue
 }
 
-// timer is one function and when it runs.
+// timer is a function and when it runs.
 type timer struct {
 	at       time.Duration
 	sequence int
@@ -32,7 +33,7 @@
 	})
 }
 
-// runUntil runs what is due up to end.
+// runUntil runs all functions that are due up to end.
 func (c *clock) runUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		t := heap.Pop(&c.queue).(*timer)
--- a/pkg/pattern/endpoint.go
+++ b/pkg/pattern/endpoint.go
@@ -6,11 +6,11 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// endpoint is one engine, which holds some layers and works in passes: each takes
-// all that waits, a few steps of every stream that writes and a bounded number of
-// prompt tokens, those that came first.
+// endpoint is a simulated engine. It holds some layers and works in passes: each one
+// takes all waiting tasks, runs a few steps of every stream that writes, and reads a
+// bounded number of prompt tokens in the order of arrival.
 //
-// Invariant: a visit is in waiting, or in the pass under way, or done.
+// Invariant: a task waits, is in the pass in progress, or is done.
 type endpoint struct {
 	clock    *clock
 	engine   *fleet.Engine
@@ -20,30 +20,29 @@
 	domain   string
 	kind     string
 	layers   fleet.Range
-	slowdown float64 // multiplies its times; 1 is as expected
+	slowdown float64 // multiplies its times; 1 is normal
 
 	requests int
-	tokens   float64 // in KV memory
+	tokens   float64 // in the KV cache
 	busy     bool
 	waiting  []*task
 }
 
-// task is a stream's wish for one endpoint's work: to read read tokens, or to write
-// the tokens of one event.
+// task is a stream's work at one endpoint: to read prompt tokens, or to write the
+// tokens of one event if there are none to read.
 type task struct {
 	stream       *stream
 	layers       int
 	promptTokens float64
-	epoch        int // of the stream; an older one is void
+	epoch        int // of the stream; the task is stale if the stream's is newer
 	done         func()
 }
 
-// capacity returns how many tokens of KV cache the endpoint has place for.
+// capacity returns how many tokens fit into the endpoint's KV cache.
 func (e *endpoint) capacity() float64 {
 	return e.engine.CacheTokens(e.kind, e.layers.Len()) / float64(max(1, e.layers.Len()))
 }
 
-// enqueue queues work.
 func (e *endpoint) enqueue(t *task) {
 	e.waiting = append(e.waiting, t)
 	if !e.busy {
@@ -51,7 +50,7 @@
 	}
 }
 
-// startPass begins the next pass, if anything waits.
+// startPass starts the next pass, if any task waits.
 func (e *endpoint) startPass() {
 	e.dropStale()
 	e.busy = len(e.waiting) > 0
@@ -69,7 +68,7 @@
 	})
 }
 
-// dropStale forgets visits of streams that were cut.
+// dropStale removes tasks of streams that have left their path.
 func (e *endpoint) dropStale() {
 	kept := e.waiting[:0]
 	for _, t := range e.waiting {
@@ -80,14 +79,14 @@
 	e.waiting = kept
 }
 
-// takeBatch takes what one pass does off the queue. It returns how long the pass takes
-// and what is done at its end.
+// takeBatch takes the work of one pass off the queue. It returns how long the pass
+// takes and the tasks that are done at its end.
 func (e *endpoint) takeBatch() (time.Duration, []*task) {
 	kind := e.engine.Kinds[e.kind]
 	left := float64(e.scenario.Chunk * e.scenario.TokensPerEvent)
 	steps := 1
 	widest := 0
-	writing := 0.0 // ms of one step, beyond the step itself
+	writing := 0.0 // ms that sequences and context add to one step
 	reading := 0.0 // ms
 	var done, later []*task
 	for _, t := range e.waiting {
@@ -115,7 +114,6 @@
 	return time.Duration(ms * e.slowdown * float64(time.Millisecond)), done
 }
 
-// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
--- a/pkg/pattern/host.go
+++ b/pkg/pattern/host.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	// reportInterval is how often a host is told of the others' loads, as entry hosts
-	// are with their held calls.
+	// reportInterval is how often a host receives the load of the others, as entry
+	// hosts do with their long polls.
 	reportInterval = 400 * time.Millisecond
-	// jitterWidth is how far hosts that know the same differ in their choice.
+	// jitterWidth is how far the choices of hosts with the same information differ.
 	jitterWidth = 0.1
-	// maxPathAttempts bounds how often a stream is offered to endpoints before it is refused.
+	// maxPathAttempts bounds how many paths are tried for a stream before it is
+	// refused.
 	maxPathAttempts = 4
 )
 
-// load is work at an endpoint.
+// load is the work at an endpoint.
 type load struct {
 	requests int
 	tokens   float64
 }
 
-// host is an entry host: it knows its own streams, and the others' of some time ago.
+// host is a simulated entry host. It knows the load of its own streams, and that of the
+// other hosts' streams as of the last report.
 type host struct {
 	model       *Model
 	domain      string
 	own         map[string]load
 	others      map[string]load
-	ownAtReport map[string]load // own, when it was told of the others
+	ownAtReport map[string]load // own load at the time of the last report
 	spreader    *crowd.Spreader
 }
 
@@ -59,7 +61,7 @@
 	h.own[id] = l
 }
 
-// receiveReport takes in what all hosts have under way, and comes again.
+// receiveReport updates the load of the other hosts, and schedules the next report.
 func (h *host) receiveReport() {
 	for _, e := range h.model.endpoints {
 		all := h.model.totals[e.id]
@@ -73,8 +75,8 @@
 	h.model.clock.after(reportInterval, h.receiveReport)
 }
 
-// candidates returns the endpoints as this host sees them. What it has begun since it
-// was told of the others, they are taken to have begun too.
+// candidates returns the endpoints as this host sees them. It assumes that every other
+// host has begun as much since the last report as it has itself.
 func (h *host) candidates(avoid map[string]bool) []pathing.Candidate {
 	var list []pathing.Candidate
 	for _, e := range h.model.endpoints {
@@ -82,22 +84,22 @@
 			continue
 		}
 		own, others, before := h.own[e.id], h.others[e.id], h.ownAtReport[e.id]
-		more := float64(len(h.model.hosts) - 1)
+		peers := float64(len(h.model.hosts) - 1)
 		list = append(list, pathing.Candidate{
 			ID:       e.id,
 			Address:  e.id,
 			Domain:   e.domain,
 			Kind:     e.kind,
 			Layers:   e.layers,
-			Requests: float64(own.requests+others.requests) + more*float64(max(0, own.requests-before.requests)),
-			Tokens:   own.tokens + others.tokens + more*max(0, own.tokens-before.tokens),
+			Requests: float64(own.requests+others.requests) + peers*float64(max(0, own.requests-before.requests)),
+			Tokens:   own.tokens + others.tokens + peers*max(0, own.tokens-before.tokens),
 			Slowdown: 1,
 		})
 	}
 	return list
 }
 
-// choosePath returns a path all of whose endpoints have room, or nil.
+// choosePath returns a path whose endpoints all have capacity for a stream, or nil.
 func (h *host) choosePath(s *stream) []fleet.Stage {
 	avoid := map[string]bool{}
 	d := s.demand
--- a/pkg/pattern/limits.go
+++ b/pkg/pattern/limits.go
@@ -11,53 +11,57 @@
 	"github.com/larchwinch/larchwinch/pkg/permit"
 )
 
-// LimitStrategy is how hosts keep the sum of what they send to an endpoint that has a limit.
+// LimitStrategy is how hosts keep the sum of their requests within the rate limit of an
+// endpoint.
 type LimitStrategy int
 
 // The ways.
 const (
-	// GrantedPermits: the leader lends permits, each for one call.
+	// GrantedPermits: the leader grants permits, each for one call.
 	GrantedPermits LimitStrategy = iota
-	// EqualShares: each host sends the limit's part for the number of hosts.
+	// EqualShares: each host sends at the limit divided by the number of hosts.
 	EqualShares
-	// HostSubset: some hosts, by hash, share the limit, and the others send nothing.
+	// HostSubset: some hosts, chosen by hash, share the limit, and the others send
+	// nothing.
 	HostSubset
 )
 
-// String returns the way's name.
 func (s LimitStrategy) String() string {
 	return [...]string{"granted permits", "equal shares", "host subset"}[s]
 }
 
 const (
-	// limitPollTime is how long a host's call to the leader is held, and limitGather the time
-	// for each host that it is held at least: what the control hosts do.
+	// limitPollTime is how long the leader holds a host's long poll open if nothing
+	// changes, and limitBatchDelay the least time that it is held, for each host, as on
+	// the control hosts.
 	limitPollTime   = 400 * time.Millisecond
 	limitBatchDelay = time.Millisecond
-	// limitResponseTime is how long an endpoint takes to answer, limitHop a message.
+	// limitResponseTime is how long an endpoint takes to answer, limitLatency how long
+	// a message takes.
 	limitResponseTime = 40 * time.Millisecond
 	limitLatency      = time.Millisecond
-	// limitExpireInterval is how often the leader ends limits that are over.
+	// limitExpireInterval is how often the leader removes limits that have expired.
 	limitExpireInterval = 300 * time.Millisecond
-	// limitPermitWait is how long a request waits for a permit.
+	// limitPermitWait bounds how long a request waits for a permit.
 	limitPermitWait = 250 * time.Millisecond
-	// limitService is the service that all endpoints of a play are of.
+	// limitService is the service of all simulated endpoints.
 	limitService = "s"
 )
 
-// LimitScenario is a play of endpoints that name limits.
+// LimitScenario describes endpoints with rate limits and their load.
 type LimitScenario struct {
 	Strategy  LimitStrategy
 	Hosts     int
 	Endpoints int
-	// PerSecond is the requests of all hosts together.
+	// PerSecond is the request rate of all hosts together.
 	PerSecond float64
-	// Limit returns the limit that an endpoint names at a time; below 0: none.
+	// Limit returns the rate limit that an endpoint reports at a time; negative: none.
 	Limit func(endpoint int, now time.Duration) float64
 }
 
-// LimitModel is one play of endpoints that name limits: the permits are the product's own code,
-// the hosts, the leader's calls and the endpoints are a model.
+// LimitModel simulates endpoints with rate limits. Permits are granted and held by the
+// product's own code; the hosts, their calls to the leader and the endpoints are
+// simulated.
 type LimitModel struct {
 	scenario  LimitScenario
 	clock     *clock
@@ -66,13 +70,14 @@
 	endpoints []*limitEndpoint
 	granter   *permit.Granter
 	term      uint64
-	hasLeader bool // a leader is there
-	// Refused is when requests were refused, and Calls counts what the leader was called.
+	hasLeader bool // false while there is none
+	// Refused holds the times at which requests were refused, and Calls counts the
+	// calls to the leader.
 	Refused []time.Duration
 	Calls   int
 }
 
-// limitEndpoint is an endpoint, and when it was reached.
+// limitEndpoint is an endpoint, with the times at which requests reached it.
 type limitEndpoint struct {
 	id      string
 	index   int
@@ -84,26 +89,27 @@
 	model       *LimitModel
 	index       int
 	holder      *permit.Holder
-	partitioned bool // it hears nothing of the leader, nor the leader of it
-	epoch       int  // counts starts: what belongs to an older one is void
+	partitioned bool // it can't reach the leader, nor the leader it
+	epoch       int  // counts starts: what belongs to an earlier one is stale
 	poll        *limitPoll
 	buckets     map[string]*limitBucket // by endpoint
 }
 
-// limitPoll is a call to the leader that wasn't answered yet.
+// limitPoll is a long poll that the leader hasn't answered yet.
 type limitPoll struct {
 	report permit.HostReport
 	sentAt time.Duration
-	term   uint64 // of the leader that heard it; 0: none did
+	term   uint64 // of the leader that received it; 0: none did
 }
 
-// limitBucket is a host's own part of a limit, as the other ways have it.
+// limitBucket is a host's token bucket for its share of a limit, for the strategies
+// without permits.
 type limitBucket struct {
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// NewLimitModel returns a play whose hosts know nothing yet.
+// NewLimitModel returns a model whose hosts know of no limits yet.
 func NewLimitModel(scenario LimitScenario, seed uint64) *LimitModel {
 	m := &LimitModel{
 		scenario:  scenario,
@@ -140,12 +146,12 @@
 	return time.Unix(1000, int64(m.clock.now))
 }
 
-// Run plays on until a time.
+// Run runs the simulation until a time.
 func (m *LimitModel) Run(until time.Duration) {
 	m.clock.runUntil(until)
 }
 
-// StopLeader takes the leader away; another leads after a while, and knows nothing.
+// StopLeader stops the leader. Another one leads after d, and knows of no limits yet.
 func (m *LimitModel) StopLeader(d time.Duration) {
 	m.hasLeader = false
 	m.clock.after(d, func() {
@@ -155,12 +161,12 @@
 	})
 }
 
-// SetPartitioned cuts a host off from the leader, or takes that back.
+// SetPartitioned cuts a host off from the leader, or reconnects it.
 func (m *LimitModel) SetPartitioned(host int, partitioned bool) {
 	m.hosts[host].partitioned = partitioned
 }
 
-// Restart starts a host anew: it knows nothing.
+// Restart restarts a host, which loses its state.
 func (m *LimitModel) Restart(host int) {
 	m.hosts[host].restart()
 }
@@ -176,7 +182,7 @@
 	return time.Duration(m.rand.ExpFloat64() / m.scenario.PerSecond * float64(time.Second))
 }
 
-// newRequest is one caller's request, at any host.
+// newRequest simulates a caller's request to a random host, and schedules the next one.
 func (m *LimitModel) newRequest() {
 	m.clock.after(m.interarrival(), m.newRequest)
 	h := m.hosts[m.rand.IntN(len(m.hosts))]
@@ -184,7 +190,7 @@
 	h.handle(m.clock.now + limitPermitWait)
 }
 
-// restart begins a host anew.
+// restart starts the host without any state.
 func (h *limitHost) restart() {
 	h.epoch++
 	h.holder = permit.NewHolder(h.model, uint64(h.index))
@@ -193,7 +199,7 @@
 	h.sendPoll()
 }
 
-// sendPoll calls the leader, which holds the call.
+// sendPoll sends a long poll to the leader.
 func (h *limitHost) sendPoll() {
 	epoch := h.epoch
 	poll := &limitPoll{
@@ -210,7 +216,7 @@
 	})
 }
 
-// receiveReport takes what a host reports.
+// receiveReport has the leader take the report in a long poll.
 func (m *LimitModel) receiveReport(h *limitHost, poll *limitPoll) {
 	if !m.hasLeader || h.partitioned {
 		return
@@ -224,7 +230,7 @@
 	}
 }
 
-// answerPolls answers all calls that were held for long enough.
+// answerPolls answers each open poll once it has been held for the least time.
 func (m *LimitModel) answerPolls() {
 	delay := limitBatchDelay * time.Duration(len(m.hosts))
 	for _, h := range m.hosts {
@@ -240,12 +246,12 @@
 	}
 }
 
-// answerPoll has the leader answer the call of a host, which calls again.
+// answerPoll has the leader answer the poll of a host, which then polls again.
 func (h *limitHost) answerPoll() {
 	m, report, pollTerm := h.model, h.poll.report, h.poll.term
 	epoch := h.epoch
 	h.poll = nil
-	if !m.hasLeader || h.partitioned || pollTerm != m.term { // a leader confirms what it heard itself
+	if !m.hasLeader || h.partitioned || pollTerm != m.term { // a leader acknowledges only what it received itself
 		m.clock.after(limitPollTime, func() { h.pollAgain(epoch) })
 		return
 	}
@@ -274,8 +280,8 @@
 	}
 }
 
-// handle sends a request to one of the endpoints that may be called, and to one that has a
-// limit first; where there is none it waits for a permit until end.
+// handle sends a request to one of the endpoints that may be called, preferring those
+// that have a limit. If there is none, the request waits for a permit until end.
 func (h *limitHost) handle(end time.Duration) {
 	var best *limitEndpoint
 	var limited []*limitEndpoint
@@ -295,12 +301,11 @@
 	h.requestPermit(limited, end)
 }
 
-// anyCallable reports whether some endpoint may be called.
+// anyCallable reports whether any endpoint may be called.
 func (h *limitHost) anyCallable() bool {
 	return slices.ContainsFunc(h.model.endpoints, h.mayCall)
 }
 
-// mayCall reports whether an endpoint may be called.
 func (h *limitHost) mayCall(e *limitEndpoint) bool {
 	if !h.holder.HasLimit(e.id) {
 		return true
@@ -311,7 +316,8 @@
 	return h.bucket(e).tokens >= 1
 }
 
-// bucket returns a host's own part of an endpoint's limit. It begins empty.
+// bucket returns the host's refilled token bucket for an endpoint's limit. It starts
+// empty.
 func (h *limitHost) bucket(e *limitEndpoint) *limitBucket {
 	now := h.model.clock.now
 	p := h.buckets[e.id]
@@ -327,7 +333,7 @@
 	return p
 }
 
-// limitShare returns a host's share of an endpoint's limit.
+// limitShare returns the host's share of an endpoint's limit, between 0 and 1.
 func (h *limitHost) limitShare(e *limitEndpoint) float64 {
 	hosts := float64(len(h.model.hosts))
 	if h.model.scenario.Strategy == EqualShares {
@@ -340,7 +346,7 @@
 	return 1 / subset
 }
 
-// send sends a request, and hears the answer.
+// send sends a request, and takes the limit that the endpoint reports with the answer.
 func (h *limitHost) send(e *limitEndpoint) {
 	if h.holder.HasLimit(e.id) {
 		if h.model.scenario.Strategy == GrantedPermits && !h.holder.TryAcquire(e.id) {
@@ -372,7 +378,8 @@
 	})
 }
 
-// reportLimits tells the leader at once of limits that a host heard.
+// reportLimits sends the leader the limits that a host has observed, without waiting
+// for its next poll.
 func (m *LimitModel) reportLimits(h *limitHost, reports []permit.LimitReport) {
 	m.Calls++
 	if !m.hasLeader || h.partitioned {
@@ -384,7 +391,7 @@
 	h.holder.Acknowledge(m.term, reports)
 }
 
-// requestPermit asks the leader for a permit for any of the endpoints.
+// requestPermit requests a permit for any of some endpoints from the leader.
 func (h *limitHost) requestPermit(list []*limitEndpoint, end time.Duration) {
 	m := h.model
 	if m.scenario.Strategy != GrantedPermits || !m.hasLeader || h.partitioned {
@@ -400,7 +407,8 @@
 	m.clock.after(limitLatency, func() { h.tryGrant(waiter, end) })
 }
 
-// tryGrant tries to lend what is asked for, until end.
+// tryGrant has the leader grant the permit that a waiter requests, and tries again
+// until end.
 func (h *limitHost) tryGrant(waiter *permit.Waiter, end time.Duration) {
 	m, epoch := h.model, h.epoch
 	granted, due := m.granter.TryGrant(waiter)
@@ -437,7 +445,8 @@
 	return n
 }
 
-// MaxInWindow returns the most requests that reached an endpoint in d within [from, to).
+// MaxInWindow returns the most requests that reached an endpoint in any window of
+// length d within [from, to).
 func (m *LimitModel) MaxInWindow(endpoint int, d, from, to time.Duration) int {
 	most, first := 0, 0
 	list := m.endpoints[endpoint].reached
--- a/pkg/pattern/limits_test.go
+++ b/pkg/pattern/limits_test.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	limitFrom   = 5 * time.Second // when endpoints name their limits
+	limitFrom   = 5 * time.Second // when endpoints begin to report limits
 	limitWindow = 4 * time.Second
 )
 
-// allowedIn returns how many requests a limit allows in a window.
+// allowedInWindow returns how many requests a limit allows in limitWindow.
 func allowedInWindow(limit float64) int {
 	return int(1.5*limit*limitWindow.Seconds() + 5)
 }
 
-// limitFromStart returns limits that the first endpoints name from limitFrom on.
+// limitFromStart returns limits that the first endpoints report from limitFrom on.
 func limitFromStart(endpoints int, limit float64) func(int, time.Duration) float64 {
 	return func(e int, now time.Duration) float64 {
 		if e < endpoints && now >= limitFrom {
@@ -30,17 +30,17 @@
 
 var hostCounts = []int{11, 100, 300}
 
-// expectWithinLimit checks that no window of an endpoint holds more than a limit allows. What
-// reached it before it was named doesn't count.
+// expectWithinLimit checks that no window of an endpoint contains more requests than a
+// limit allows. Requests before the endpoint reported the limit don't count.
 func expectWithinLimit(m *LimitModel, endpoint int, limit float64, from, to time.Duration, about string) {
 	most := m.MaxInWindow(endpoint, limitWindow, from, to)
 	Expect(most).To(BeNumerically("<=", allowedInWindow(limit)), about)
 }
 
-var _ = Describe("endpoints that name limits", func() {
+var _ = Describe("endpoints with rate limits", func() {
 	for _, hosts := range hostCounts {
 		for _, limit := range []float64{0, 0.05, 2, 8, 40} {
-			It(fmt.Sprintf("get no more than that, and where others have room nobody is refused: %d hosts, %v a second", hosts, limit), func() {
+			It(fmt.Sprintf("get no more than that, and no request is refused while others have capacity: %d hosts, %v a second", hosts, limit), func() {
 				for _, seed := range seeds {
 					m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: limitFromStart(1, limit)}, seed)
 					m.Run(20 * time.Second)
@@ -51,7 +51,7 @@
 		}
 
 		for _, demand := range []float64{1.5, 10} {
-			It(fmt.Sprintf("get nearly that where all do and more is asked for: %d hosts, %v times the limits", hosts, demand), func() {
+			It(fmt.Sprintf("get nearly that if all have limits below the load: %d hosts, %v times the limits", hosts, demand), func() {
 				for _, seed := range seeds {
 					const limit = 8.0
 					m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: demand * 3 * limit, Limit: limitFromStart(3, limit)}, seed)
@@ -64,7 +64,7 @@
 			})
 		}
 
-		It(fmt.Sprintf("are known to all hosts within half a second, though one was told: %d hosts", hosts), func() {
+		It(fmt.Sprintf("are known to all hosts within half a second: %d hosts", hosts), func() {
 			for _, seed := range seeds {
 				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: limitFromStart(1, 8)}, seed)
 				m.Run(limitFrom + 500*time.Millisecond)
@@ -72,7 +72,7 @@
 			}
 		})
 
-		It(fmt.Sprintf("are used in full soon after the limit is over: %d hosts", hosts), func() {
+		It(fmt.Sprintf("are used in full soon after the limit is removed: %d hosts", hosts), func() {
 			limit := func(_ int, now time.Duration) float64 {
 				if now >= limitFrom && now < 15*time.Second {
 					return 8
@@ -87,7 +87,7 @@
 			}
 		})
 
-		It(fmt.Sprintf("get no more while leaders change, hosts are cut off and start anew: %d hosts", hosts), func() {
+		It(fmt.Sprintf("get no more than that while leaders change and hosts are partitioned or restart: %d hosts", hosts), func() {
 			for _, seed := range seeds {
 				const limit = 8.0
 				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 2, PerSecond: 200, Limit: limitFromStart(2, limit)}, seed)
@@ -110,18 +110,18 @@
 			}
 		})
 
-		It(fmt.Sprintf("get no more than they named where that changes all the time: %d hosts", hosts), func() {
-			// It rises, falls, comes and goes; what it is lowest at holds for its windows.
+		It(fmt.Sprintf("get no more than that while the limits keep changing: %d hosts", hosts), func() {
+			// One limit changes each second, the other is reported in every second one only.
 			limit := func(e int, now time.Duration) float64 {
 				n := int(now / time.Second)
 				switch {
 				case now < limitFrom:
 					return -1
-				case e == 0: // 8 and 10 by turns
+				case e == 0: // 8 and 10 in turn
 					return float64(8 + 2*(n%2))
 				case n%2 == 1:
 					return 8
-				default: // none each other second
+				default: // none in every other second
 					return -1
 				}
 			}
@@ -136,12 +136,12 @@
 	}
 })
 
-var _ = Describe("ways to keep the sum of a limit", func() {
-	// One endpoint names 8 a second and is asked for more: how much the fullest 4 s hold,
-	// and how much of the limit is used. The ways in which a host acts alone use little of
-	// it where requests are few for each host, or hold too much where they come at once.
+var _ = Describe("strategies to keep the sum within a limit", func() {
+	// One endpoint has a limit of 8 a second and a higher load. Strategies in which
+	// each host acts alone use little of the limit where each host has few requests, or
+	// exceed it where requests arrive at once.
 	for _, strategy := range []LimitStrategy{GrantedPermits, EqualShares, HostSubset} {
-		It("are told apart: "+strategy.String(), func() {
+		It("keep to the limit and use it up only with granted permits: "+strategy.String(), func() {
 			fits := true
 			for _, hosts := range hostCounts {
 				for _, demand := range []float64{12, 80} {
@@ -153,7 +153,7 @@
 						used += m.ReachedIn(0, 15*time.Second, 45*time.Second)
 					}
 					share := float64(used) / float64(len(seeds)) / (30 * 8)
-					GinkgoWriter.Printf("%s, %d hosts, asked for %v: fullest 4 s %d, used %.2f\n", strategy, hosts, demand, most, share)
+					GinkgoWriter.Printf("%s, %d hosts, load %v: most in 4 s %d, used %.2f\n", strategy, hosts, demand, most, share)
 					fits = fits && most <= allowedInWindow(8) && share >= 0.85
 				}
 			}
--- a/pkg/pattern/pattern.go
+++ b/pkg/pattern/pattern.go
@@ -1,9 +1,10 @@
-// Package pattern plays load patterns on a model of engines in simulated time. The
+// Package pattern simulates load on a deployment of engines as discrete events. The
 // layers are placed and the paths chosen by the product's own code; the engines, the
-// hosts' view of loads and the callers are a model, whose figures are the model's.
+// hosts' view of loads and the callers are simulated, so its figures are those of a
+// model.
 //
-// What it leaves out: links and their widths, preemption when a memory overflows,
-// waits seen at first endpoints, repaths, and every host's own cost.
+// It leaves out links and their bandwidth, preemption when the KV cache overflows,
+// waits observed at first stages, re-paths, and the cost of the hosts themselves.
 package pattern
 
 import (
@@ -17,38 +18,41 @@
 	"github.com/larchwinch/larchwinch/pkg/placement"
 )
 
-// Group is a number of like accelerators in a failure domain.
+// Group is a number of identical accelerators in a failure domain.
 type Group struct {
 	Kind   string
 	Domain string
 	Count  int
 }
 
-// Scenario is a deployment and its work.
+// Scenario is a deployment and its load.
 type Scenario struct {
 	Engine *fleet.Engine
 	Groups []Group
 	// Hosts is how many entry hosts each failure domain has.
 	Hosts int
-	// TokensPerEvent is how many tokens an event holds and a pass writes.
+	// TokensPerEvent is how many tokens an event holds and a pass writes for each
+	// stream.
 	TokensPerEvent int
-	// Chunk is how many prompt tokens a step reads at most.
+	// Chunk is the most prompt tokens that a step reads.
 	Chunk int
-	// Hop is the time between two endpoints of a failure domain.
+	// Hop is the latency between two endpoints of a failure domain.
 	Hop time.Duration
-	// PerSecond is how many streams are asked for.
+	// PerSecond is the rate of new streams.
 	PerSecond float64
-	// Prompt, in tokens, and Events are means; Spread is the standard deviation of
-	// their logarithms.
+	// Prompt and Events are the mean numbers of prompt tokens and of events of an
+	// answer. Both are log-normal; SizeSigma is the standard deviation of their
+	// logarithms.
 	Prompt    float64
 	Events    float64
 	SizeSigma float64
-	// FirstEventGoal is for the first event, GapGoal for the longest pause.
+	// FirstEventGoal is the goal for the time to the first event, PauseGoal the one for
+	// the longest pause between events.
 	FirstEventGoal time.Duration
 	PauseGoal      time.Duration
 }
 
-// Model is one play.
+// Model simulates a deployment under load.
 type Model struct {
 	scenario  *Scenario
 	clock     *clock
@@ -56,14 +60,14 @@
 	endpoints []*endpoint
 	byID      map[string]*endpoint
 	hosts     []*host
-	totals    map[string]load // of all hosts' streams, by endpoint
+	totals    map[string]load // load of all hosts' streams, by endpoint
 	streams   []*stream
 	refused   int
-	// down says that no host answers.
+	// down is set while no host answers.
 	down bool
 }
 
-// New returns a model whose layers are placed.
+// New returns a model with all layers placed.
 func New(scenario *Scenario, seed uint64) *Model {
 	m := &Model{
 		scenario: scenario,
@@ -103,10 +107,11 @@
 	m.byID[e.id] = e
 }
 
-// maxPlacementRounds bounds how often a plan is asked for: the store serves a few at a time.
+// maxPlacementRounds bounds the rounds of planning: each one orders only as many loads
+// as the store of weights serves at once.
 const maxPlacementRounds = 1000
 
-// place carries out plans until nothing is due.
+// place applies plans until no order is due.
 func (m *Model) place() {
 	for range maxPlacementRounds {
 		var states []placement.EndpointState
@@ -134,7 +139,7 @@
 	return time.Unix(0, int64(m.clock.now))
 }
 
-// startTimers starts what comes again and again: loads that are told, and callers.
+// startTimers schedules what recurs: load reports and new requests.
 func (m *Model) startTimers() {
 	m.clock.after(reportInterval/2, m.sumLoads)
 	for i, h := range m.hosts {
@@ -143,7 +148,8 @@
 	m.clock.after(m.interarrival(), m.newRequest)
 }
 
-// sumLoads adds up what all hosts have under way, as a leader does.
+// sumLoads adds up the loads of all hosts, as the leader does, and schedules the next
+// sum.
 func (m *Model) sumLoads() {
 	m.totals = map[string]load{}
 	for _, h := range m.hosts {
@@ -162,7 +168,7 @@
 	return time.Duration(m.rand.ExpFloat64() / m.scenario.PerSecond * float64(time.Second))
 }
 
-// newRequest is one caller's first try.
+// newRequest simulates the first attempt of a caller, and schedules the next caller's.
 func (m *Model) newRequest() {
 	m.clock.after(m.interarrival(), m.newRequest)
 	events := max(1, int(m.sampleSize(m.scenario.Events)))
@@ -182,20 +188,20 @@
 	}
 }
 
-// sampleSize draws a size by its mean.
+// sampleSize draws a size from a log-normal distribution with the given mean.
 func (m *Model) sampleSize(mean float64) float64 {
 	sigma := m.scenario.SizeSigma
 	return mean * math.Exp(sigma*m.rand.NormFloat64()-sigma*sigma/2)
 }
 
-// Run plays on until a time.
+// Run runs the simulation until a time.
 func (m *Model) Run(until time.Duration) {
 	m.clock.runUntil(until)
 }
 
-// StopAllHosts stops every host: all streams are cut. Their callers come back once they
-// have waited patience for an event. The hosts are back after down, and know what they
-// must only settle later; who comes before waits there.
+// StopAllHosts stops every host and interrupts all streams. Their callers retry after
+// waiting for patience, but not before the hosts accept connections again, after down.
+// The hosts are ready after settle; requests that arrive before wait at them.
 func (m *Model) StopAllHosts(down, settle, patience time.Duration) {
 	stop := m.clock.now
 	m.down = true
@@ -218,7 +224,7 @@
 		for _, s := range m.streams {
 			switch {
 			case s.active || s.ended || s.interrupted:
-			case s.requestedAt < stop+down: // found no host; tries again as others do
+			case s.requestedAt < stop+down: // found no host; the caller retries as the others do
 				m.clock.after(max(0, stop+patience-m.clock.now), s.send)
 			default:
 				s.arrive(m.clock.now)
@@ -227,23 +233,24 @@
 	})
 }
 
-// Result is what callers got that first asked in some span of time.
+// Result is what became of the requests that callers made first within some time.
 type Result struct {
 	Requested int
 	InTime    int
 	Refused   int
-	// Completed is how many got all of their answer, in time or late.
+	// Completed is how many got the complete answer, on time or late.
 	Completed int
-	// MeanDuration is the mean time of whole answers, and Parts the mean length of paths.
+	// MeanDuration is the mean time to a complete answer, and MeanPathLength the mean
+	// number of stages of the paths.
 	MeanDuration   time.Duration
 	MeanPathLength float64
 }
 
-// Between returns what became of requests that were first asked for in [from, to).
+// Between returns what became of the requests that callers first made in [from, to).
 func (m *Model) Between(from, to time.Duration) Result {
 	r := Result{}
 	sum := time.Duration(0)
-	parts := 0
+	stages := 0
 	for _, s := range m.streams {
 		if s.requestedAt < from || s.requestedAt >= to {
 			continue
@@ -253,7 +260,7 @@
 		case s.ended && s.delivered >= s.events:
 			r.Completed++
 			sum += s.duration()
-			parts += len(s.endpoints)
+			stages += len(s.endpoints)
 		case s.ended:
 			r.Refused++
 		}
@@ -263,7 +270,7 @@
 	}
 	if r.Completed > 0 {
 		r.MeanDuration = sum / time.Duration(r.Completed)
-		r.MeanPathLength = float64(parts) / float64(r.Completed)
+		r.MeanPathLength = float64(stages) / float64(r.Completed)
 	}
 	return r
 }
--- a/pkg/pattern/pattern_test.go
+++ b/pkg/pattern/pattern_test.go
@@ -14,9 +14,9 @@
 	RunSpecs(t, "pattern")
 }
 
-// mixedDeployment is a deployment of three kinds of accelerators in three failure domains, with
-// figures of the users' pages: 8 of the fastest, 30, and 48 of the slowest, before
-// 255 streams a second of 800 tokens in and 47 events of 5 tokens out.
+// mixedDeployment is a deployment of three kinds of accelerators in three failure
+// domains, under 255 streams a second with means of 770 prompt tokens and 47 events of
+// 5 tokens.
 func mixedDeployment() *Scenario {
 	return &Scenario{
 		Engine: &fleet.Engine{
@@ -59,42 +59,42 @@
 	}
 }
 
-// seeds of the plays that a figure is the mean of.
+// seeds are those of the runs over which a figure is averaged.
 var seeds = []uint64{1, 2}
 
 var _ = Describe("steady load on mixed accelerators", func() {
-	// Where the path's cost leaves out the time for which tokens wait for passes, the
-	// model gives 5.01 parts and 2.10 s; with it 4.44 and 1.98 s.
-	It("runs by paths of few parts, and streams are short", func() {
-		parts, took := 0.0, time.Duration(0)
+	// Guards against a path cost that leaves out the time for which tokens wait for
+	// passes: the model's paths then have 5.01 stages and take 2.10 s, against 4.44 and
+	// 1.98 s.
+	It("gets paths of few stages, and short streams", func() {
+		pathLength, duration := 0.0, time.Duration(0)
 		for _, seed := range seeds {
 			m := New(mixedDeployment(), seed)
 			m.Run(14 * time.Second)
 			r := m.Between(5*time.Second, 7*time.Second)
 			Expect(r.Refused).To(BeZero())
-			Expect(r.Completed).To(BeNumerically(">", 0.98*float64(r.Requested)), "the longest still run")
-			parts += r.MeanPathLength / float64(len(seeds))
-			took += r.MeanDuration / time.Duration(len(seeds))
+			Expect(r.Completed).To(BeNumerically(">", 0.98*float64(r.Requested)), "the longest ones still run")
+			pathLength += r.MeanPathLength / float64(len(seeds))
+			duration += r.MeanDuration / time.Duration(len(seeds))
 		}
-		Expect(parts).To(BeNumerically("<", 4.75))
-		Expect(took).To(BeNumerically("<", 2050*time.Millisecond))
+		Expect(pathLength).To(BeNumerically("<", 4.75))
+		Expect(duration).To(BeNumerically("<", 2050*time.Millisecond))
 	})
 })
 
-var _ = Describe("all hosts stop under full load", func() {
-	// The stop takes 0.5 s and what follows it as long, as where processes are killed;
-	// callers whose streams were cut come back at once.
-	It("who asks once the hosts are back is in time, though all others come back then", func() {
-		asked, inTime := 0, 0
+var _ = Describe("a stop of all hosts under full load", func() {
+	// Callers whose streams were interrupted retry at once, when the hosts are back.
+	It("leaves new streams on time once the hosts are back, though all interrupted ones resume then", func() {
+		requested, onTime := 0, 0
 		for _, seed := range seeds {
 			m := New(mixedDeployment(), seed)
 			m.Run(7 * time.Second)
 			m.StopAllHosts(500*time.Millisecond, time.Second, 100*time.Millisecond)
 			m.Run(12 * time.Second)
 			r := m.Between(7700*time.Millisecond, 9*time.Second)
-			asked += r.Requested
-			inTime += r.InTime
+			requested += r.Requested
+			onTime += r.InTime
 		}
-		Expect(float64(inTime)).To(BeNumerically(">", 0.51*float64(asked)), "0.46 if none is held back, 0.54 with it")
+		Expect(float64(onTime)).To(BeNumerically(">", 0.51*float64(requested)), "0.46 if no resumed stream is held, else 0.54")
 	})
 })
--- a/pkg/pattern/stream.go
+++ b/pkg/pattern/stream.go
@@ -6,19 +6,19 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// stream is one request for a generation, from its caller's first try on.
+// stream is a caller's request for a generation, with all its attempts.
 type stream struct {
 	model  *Model
 	host   *host
 	demand pathing.Demand
-	events int // of the whole answer
+	events int // of the complete answer
 
-	requestedAt  time.Duration // the caller's first try
-	delivered    int           // events
-	firstEventAt time.Duration // of the first event; 0 before it
+	requestedAt  time.Duration // the caller's first attempt
+	delivered    int           // number of events
+	firstEventAt time.Duration // 0 before the first event
 	lastEventAt  time.Duration
 	longestPause time.Duration
-	epoch        int // counts sends: what belongs to an older one is void
+	epoch        int // counts attempts and releases: what belongs to an earlier one is stale
 	active       bool
 	endpoints    []*endpoint
 	stageLayers  []int
@@ -26,13 +26,12 @@
 	interrupted  bool // at least once
 }
 
-// contextTokens returns the tokens that the stream holds at each endpoint.
+// contextTokens returns how many tokens the stream holds at each endpoint.
 func (s *stream) contextTokens() float64 {
 	return s.demand.Prompt + float64(s.delivered*s.model.scenario.TokensPerEvent)
 }
 
-// arrive has the host take the stream from a time on: one that is resumed may have to
-// wait for others.
+// arrive has the host take the stream at a time. A resumed stream may be held first.
 func (s *stream) arrive(ready time.Duration) {
 	s.model.clock.after(ready-s.model.clock.now, func() {
 		if !s.interrupted {
@@ -44,7 +43,7 @@
 	})
 }
 
-// send sends the stream along a path, or reports that there is no room.
+// send sends the stream along a path, or has it refused if there is none.
 func (s *stream) send() {
 	s.epoch++
 	path := s.host.choosePath(s)
@@ -67,7 +66,8 @@
 	s.runStage(0, s.contextTokens())
 }
 
-// runStage goes to a part of the path: to read so many tokens, or to write.
+// runStage queues the stream's work at a stage of the path: to read prompt tokens, or
+// to write if there are none to read.
 func (s *stream) runStage(stage int, promptTokens float64) {
 	e := s.endpoints[stage]
 	e.enqueue(&task{
@@ -81,7 +81,7 @@
 	})
 }
 
-// stageDone goes on behind a part.
+// stageDone continues after a stage, with the next one or the event.
 func (s *stream) stageDone(stage int, promptTokens float64) {
 	if stage+1 == len(s.endpoints) {
 		s.deliver()
@@ -96,7 +96,7 @@
 	})
 }
 
-// deliver is one that the caller gets.
+// deliver has the caller receive an event, and begins the next one.
 func (s *stream) deliver() {
 	now := s.model.clock.now
 	if s.firstEventAt == 0 {
@@ -117,7 +117,7 @@
 	s.runStage(0, 0)
 }
 
-// release gives back what the present send holds.
+// release frees what the current attempt holds at the endpoints.
 func (s *stream) release() {
 	if !s.active {
 		return
@@ -131,12 +131,12 @@
 	s.epoch++
 }
 
-// onTime reports whether the caller got all it asked for as it should.
+// onTime reports whether the caller received the complete answer within the goals.
 func (s *stream) onTime() bool {
 	return s.ended && s.firstEventAt > 0 && s.firstEventAt-s.requestedAt <= s.model.scenario.FirstEventGoal && s.longestPause <= s.model.scenario.PauseGoal
 }
 
-// duration returns how long the answer took.
+// duration returns how long the answer took, from the first attempt on.
 func (s *stream) duration() time.Duration {
 	return s.lastEventAt - s.requestedAt
 }
--- a/pkg/placement/bridge.go
+++ b/pkg/placement/bridge.go
@@ -2,10 +2,10 @@
 
 import "github.com/larchwinch/larchwinch/pkg/fleet"
 
-// recoverLayers fills the layers that no server serves in any group and that none is
-// loading: until they are served, no request can be. Any group's server may go
-// there whose own layers others serve meanwhile; where there is none, servers of
-// all groups shift along the layers.
+// recoverLayers returns orders for the layers that no endpoint serves, in any group,
+// and that none is loading: no request can be served until they are. An endpoint of any
+// group may be moved there if others serve its own layers meanwhile. If there is none,
+// endpoints of all groups are repacked.
 func (p *planner) recoverLayers() []Order {
 	var orders []Order
 	if !p.anyLayerServed() {
@@ -31,7 +31,7 @@
 	return orders
 }
 
-// anyLayerServed reports whether any layer is served: before that, every server is
+// anyLayerServed reports whether any layer is served. If none is, every endpoint is
 // being loaded for the first time.
 func (p *planner) anyLayerServed() bool {
 	for l := range p.serving {
@@ -42,12 +42,14 @@
 	return false
 }
 
-// anyLayerUnserved reports whether some layer isn't served by anything, slow or not.
+// anyLayerUnserved reports whether some layers are served, but not all of them.
+// Degraded endpoints count as serving.
 func (p *planner) anyLayerUnserved() bool {
 	return p.anyLayerServed() && p.hasUnservedLayer(fleet.Range{To: p.engine.Layers})
 }
 
-// hasUnservedLayer reports whether nothing serves some layer of a range.
+// hasUnservedLayer reports whether no endpoint, not even a degraded one, serves some
+// layer of a range.
 func (p *planner) hasUnservedLayer(r fleet.Range) bool {
 	for l := r.From; l < r.To; l++ {
 		if p.serving[l]+p.degraded[l] == 0 {
@@ -57,8 +59,8 @@
 	return false
 }
 
-// nextUnserved returns the first layers at or after one that nothing serves as it
-// should, and that nothing is loading.
+// nextUnserved returns the first range of layers at or after a layer that no healthy
+// endpoint serves and none is loading.
 func (p *planner) nextUnserved(from int) (fleet.Range, bool) {
 	for l := from; l < p.engine.Layers; l++ {
 		if p.serving[l]+p.loading[l] > 0 {
@@ -76,10 +78,11 @@
 	return fleet.Range{}, false
 }
 
-// recoveryEndpoint returns the server that best fills a hole and takes nothing from
-// service: the one that fills most of it, an empty one before one that must give
-// up layers, one that streams can leave before one that they begin at, and the
-// smallest of those. It returns -1 if there is none.
+// recoveryEndpoint returns the index of the endpoint that best fills a gap without
+// taking any layer out of service, or -1 if there is none. It prefers, in this order,
+// the one that fills most of the gap, one that holds nothing, one that doesn't hold the
+// first layers (streams can't leave the first stage of their path), and the one with
+// the smallest capacity.
 func (p *planner) recoveryEndpoint(gap fleet.Range) int {
 	best := -1
 	for i, s := range p.endpoints {
@@ -108,8 +111,8 @@
 	return p.capacity(a) < p.capacity(b)
 }
 
-// servedByOthers reports whether every layer of a server is served by another one
-// now, in whatever group.
+// servedByOthers reports whether every layer of an endpoint is also served by another
+// one now, in any group.
 func (p *planner) servedByOthers(s EndpointState) bool {
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		if p.serving[l] < 2 {
@@ -119,8 +122,8 @@
 	return true
 }
 
-// servedWhileLoading reports whether every layer that is served now still is while all
-// of some servers load.
+// servedWhileLoading reports whether the layers of some endpoints stay served while all
+// of these endpoints load others.
 func (p *planner) servedWhileLoading(list []int) bool {
 	remaining := append([]int(nil), p.serving...)
 	for _, i := range list {
@@ -135,19 +138,19 @@
 	return true
 }
 
-// loadBudget bounds loads: the store serves a few at a time, and more than that only
-// lengthen each other, those that are waited for most too.
+// loadBudget bounds the loads in progress: the store of weights serves only a few at
+// full speed, and any more slow down all of them, including the urgent ones.
 type loadBudget struct {
-	remaining int // -1: no bound
+	remaining int // -1: unbounded
 }
 
 // loadOvercommit is how many loads are ordered for each one that the store serves at
-// full speed: the end of one is seen up to 0.6 s later, when it reports and the
-// next orders are given.
+// full speed. The end of a load is known up to 0.6 s late, with the next report and the
+// next orders.
 const loadOvercommit = 1.5
 
-// newLoadBudget returns the budget of loads beside those under way. There is none while
-// nothing is served yet.
+// newLoadBudget returns how many loads may be added to those in progress. They are
+// unbounded while nothing is served yet, and where the store's limit isn't known.
 func (p *planner) newLoadBudget() *loadBudget {
 	if p.engine.LoadsAtOnce <= 0 || !p.anyLayerServed() {
 		return &loadBudget{
@@ -165,7 +168,8 @@
 	}
 }
 
-// reserve takes n loads, if any is left. What belongs together isn't parted.
+// reserve takes n loads from the budget, and reports whether any was left. It grants
+// all n even if fewer are left, since orders that belong together aren't split.
 func (b *loadBudget) reserve(n int) bool {
 	if b.remaining < 0 {
 		return true
--- a/pkg/placement/falls.go
+++ b/pkg/placement/falls.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// crashesBeforeBackoff is how many incarnations in a row may end at an address while they
-	// load what was ordered, before the address gets no orders for a while: the order
-	// may be what ends them. With fewer, endpoints that merely crash often would count.
+	// crashesBeforeBackoff is how many incarnations in a row may end at an address
+	// while they load what was ordered before the address gets no orders for a while:
+	// the order itself may crash them. A lower number would include endpoints that just
+	// crash often.
 	crashesBeforeBackoff = 3
-	// minBackoff and mostRest are for how long: the first is about what an endpoint
-	// takes to come back, and each fall more doubles it.
+	// minBackoff is the first backoff of an address, about as long as an endpoint takes
+	// to restart. Each further crash doubles it, up to maxBackoff.
 	minBackoff = 5 * time.Second
 	maxBackoff = 2 * time.Minute
 )
 
-// crashTracker knows the addresses whose endpoints end under their orders. Keeper's mutex
-// guards it.
+// crashTracker records the addresses whose endpoints crash while they carry out orders.
+// The mutex of Controller guards it.
 type crashTracker struct {
 	entries map[string]*addressCrashes // by address
 }
 
-// addressCrashes is one address.
+// addressCrashes is the record of one address.
 type addressCrashes struct {
 	id           string // of the newest incarnation
-	count        int    // in a row
+	count        int    // consecutive crashes while loading
 	backoffUntil time.Time
 }
 
@@ -37,8 +38,9 @@
 	}
 }
 
-// observe takes which incarnation is at an address. loads says whether one loads what it
-// was ordered.
+// observe records which incarnation is at an address, and reports whether the address
+// is in backoff. isLoading reports whether an incarnation hasn't yet shown the layers
+// that it was ordered to hold.
 func (t *crashTracker) observe(e *fleet.Endpoint, now time.Time, isLoading func(id string) bool) (inBackoff bool) {
 	a := t.entries[e.Address]
 	if a == nil {
@@ -57,8 +59,8 @@
 	return now.Before(a.backoffUntil)
 }
 
-// replaced notes that another incarnation is there; fell says that the one before ended
-// while it loaded.
+// replaced records that another incarnation is at the address. crashed says that the
+// previous one ended while it loaded.
 func (a *addressCrashes) replaced(crashed bool, now time.Time) {
 	if !crashed {
 		return
@@ -69,14 +71,15 @@
 	}
 }
 
-// isLoading reports whether an incarnation was ordered to hold what it didn't show yet.
+// isLoading reports whether an incarnation hasn't yet shown the layers that it was
+// ordered to hold.
 func (c *Controller) isLoading(id string) bool {
 	s := c.orders[id]
 	return s != nil && !s.applied
 }
 
-// inBackoff reports whether an endpoint gets no orders for now, since those before it at
-// its address ended under theirs.
+// inBackoff reports whether an endpoint gets no orders for now because previous
+// incarnations at its address crashed while they carried out theirs.
 func (c *Controller) inBackoff(e *fleet.Endpoint, now time.Time) bool {
 	if s := c.orders[e.ID]; s != nil && s.layers == e.Layers && !e.Loading {
 		s.applied = true
--- a/pkg/placement/keeper.go
+++ b/pkg/placement/keeper.go
@@ -13,16 +13,16 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Outcome is what is known of an order.
+// Outcome is what is known of an order that was sent.
 type Outcome int
 
 // The outcomes.
 const (
-	// Unknown: no answer came; the order may be carried out, even later.
+	// Unknown: no answer came. The order may still be carried out, even later.
 	Unknown Outcome = iota
-	// Accepted: it has begun or is done.
+	// Accepted: the endpoint has begun to carry it out, or has done so.
 	Accepted
-	// Conflict: the endpoint has taken other orders than the caller believed.
+	// Conflict: the endpoint has accepted other orders than the caller assumed.
 	Conflict
 	// Rejected: the endpoint can't carry it out.
 	Rejected
@@ -30,49 +30,51 @@
 
 var outcomeNames = [...]string{"unknown", "taken", "conflict", "refused"}
 
-// String returns the outcome's name.
+// String returns the outcome's name in log events.
 func (o Outcome) String() string {
 	return outcomeNames[o]
 }
 
-// Report is what an endpoint tells of itself.
+// Report is what an endpoint reports of itself.
 type Report = registry.Status
 
-// ErrNoReport says that an endpoint answered, but is of a kind that tells
-// nothing of itself: it is there.
+// ErrNoReport is returned for an endpoint that answers, and so is reachable, but is of
+// a kind that reports no status.
 var ErrNoReport = errors.New("the endpoint gives no report")
 
-// EndpointClient reaches endpoints.
+// EndpointClient sends orders and status queries to endpoints.
 type EndpointClient interface {
-	// Place carries out an order, if the incarnation has taken as many orders
-	// as given. The error of one that was turned away is a *fleet.TurnedAway.
+	// Place sends an order, which the incarnation accepts only if it has accepted the
+	// given number of orders before. The error of a rejected order is a
+	// *fleet.RejectedError.
 	Place(ctx context.Context, o Order, address string, accepted uint64) (Outcome, error)
-	// Report asks what an incarnation holds. It fails if another one answers,
-	// and with ErrNoReport if it is no engine. What it says of itself is told with
-	// any answer, also beside an error.
+	// Report queries what an incarnation holds. It fails if another incarnation
+	// answers, and with ErrNoReport if the endpoint is no engine. The notice in the
+	// report is set with any answer, also beside an error.
 	Report(ctx context.Context, id, address string) (Report, error)
 }
 
 const (
 	orderTimeout = time.Second
-	// recheckDelay is how long an order without an answer, or one that was taken
-	// and shows no effect, is left alone before the endpoint is asked.
+	// recheckDelay is how long to wait before an endpoint is queried about an order
+	// that got no answer, or that was accepted and has shown no effect.
 	recheckDelay = 2 * time.Second
-	// reserveTime is how long an empty endpoint is kept for a hole: where
-	// endpoints are replaced one by one, the old one leaves about 2 s after
-	// the new one came.
+	// reserveTime is how long an empty endpoint that just joined is kept for a gap.
+	// Where endpoints are replaced one by one, the old one leaves about 2 s after the
+	// new one has joined.
 	reserveTime = 5 * time.Second
-	// maxOrdersInFlight is how many orders wait for their answers at once: a connection
-	// each, and the first placement of 3,000 endpoints would make 3,000.
+	// maxOrdersInFlight bounds the orders that wait for their answers. Each takes a
+	// connection, and the first placement of 3,000 endpoints would take 3,000 at once.
 	maxOrdersInFlight = 64
 )
 
-// Controller carries out plans. Only the leader's works; the number of orders an
-// endpoint has taken keeps late ones of an earlier leader out.
+// Controller sends the orders that Plan returns. Only the leader's does so; an order of
+// an earlier leader that arrives late is rejected, since the number of orders that the
+// endpoint has accepted no longer matches.
 type Controller struct {
 	client      EndpointClient
 	table       *registry.Table
-	belowDemand func(id string) bool // of what the endpoint's service is asked for
+	belowDemand func(id string) bool // whether an endpoint's rate limit is below the load of its service
 	svc         timer.Service
 	log         *eventlog.Log
 	group       *group.Group
@@ -80,25 +82,26 @@
 
 	mu        sync.Mutex
 	orders    map[string]*orderState // by incarnation
-	firstSeen map[string]time.Time   // when an incarnation was first seen
-	addresses map[string]bool        // addresses at which incarnations were seen
+	firstSeen map[string]time.Time   // by incarnation
+	addresses map[string]bool        // at which incarnations were seen
 	crashes   *crashTracker
-	startedAt time.Time     // when this keeper first tended; zero: not yet
-	inFlight  chan struct{} // one for each order under way
+	startedAt time.Time     // when the controller first saw endpoints; zero: not yet
+	inFlight  chan struct{} // holds one element for each order in flight
 }
 
-// orderState is what was ordered of an endpoint.
+// orderState is what was ordered of an endpoint, and what became of it.
 type orderState struct {
 	layers       fleet.Range
-	accepted     uint64 // orders it has taken, as far as known
+	accepted     uint64 // orders it has accepted, as far as known
 	pendingUntil time.Time
 	calling      bool
-	unconfirmed  bool // its fate must be asked for before the next order
-	applied      bool // the endpoint holds the layers, or took no order yet
+	unconfirmed  bool // the endpoint must be queried before the next order
+	applied      bool // the endpoint has shown the layers, or has accepted no order yet
 }
 
-// NewController returns a keeper whose calls run in g. Endpoints announce themselves
-// once in a beat; short tells which of them take less than their service is asked for.
+// NewController returns a controller whose calls run in g. Endpoints announce
+// themselves once in each heartbeat interval; belowDemand reports whether an endpoint's
+// rate limit is below the load that its service is asked for.
 func NewController(client EndpointClient, table *registry.Table, belowDemand func(id string) bool, heartbeat time.Duration, svc timer.Service, log *eventlog.Log, g *group.Group) *Controller {
 	return &Controller{
 		heartbeat:   heartbeat,
@@ -116,7 +119,7 @@
 	}
 }
 
-// Reset drops what was ordered, when another replica leads.
+// Reset forgets all orders and endpoints. It is called when another replica leads.
 func (c *Controller) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,9 +130,9 @@
 	c.startedAt = time.Time{}
 }
 
-// justJoined reports whether an endpoint has only just come. Those that were there
-// when this keeper began are not, nor is one that came back to its address: it
-// replaces nothing that still runs.
+// justJoined reports whether an endpoint has joined only just now. Endpoints that were
+// there when this controller started don't count, nor does one that restarted at its
+// address: it replaces no endpoint that still runs.
 func (c *Controller) justJoined(e *fleet.Endpoint, now time.Time) bool {
 	at, known := c.firstSeen[e.ID]
 	if !known {
@@ -143,9 +146,9 @@
 	return at.After(c.startedAt) && now.Sub(at) < reserveTime
 }
 
-// stillJoining reports whether a service that holds nothing yet still grows: an
-// endpoint came within the last beat. Orders that were given to the first that
-// come would put slow accelerators where fast ones are due.
+// stillJoining reports whether the endpoints of a service that holds no layers yet are
+// still joining: the last one did so within a heartbeat interval. Orders for the first
+// ones alone would put layers on slow accelerators that belong on fast ones.
 func (c *Controller) stillJoining(states []EndpointState, now time.Time) bool {
 	newest := time.Time{}
 	for _, s := range states {
@@ -159,11 +162,12 @@
 	if now.Sub(newest) < c.heartbeat {
 		return true
 	}
-	c.startedAt = now // what came meanwhile replaces nothing
+	c.startedAt = now // endpoints that joined until now replace no others
 	return false
 }
 
-// Reconcile gives the orders that are due. leads is asked right before each.
+// Reconcile plans the placement of each service and sends the orders that are due.
+// leads is called right before each order, which is sent only if it returns true.
 func (c *Controller) Reconcile(ctx context.Context, cfg *fleet.Configuration, leads func() bool) {
 	endpoints := c.table.All()
 	for i := range cfg.Services {
@@ -211,7 +215,8 @@
 	}
 }
 
-// expectedLayers returns what an endpoint was ordered to hold lately, or else holds.
+// expectedLayers returns the layers that an endpoint was ordered to hold, if the order
+// may still be in progress, and else those that it holds.
 func (c *Controller) expectedLayers(e *fleet.Endpoint, now time.Time) fleet.Range {
 	if c.orderPending(e, now) {
 		return c.orders[e.ID].layers
@@ -219,21 +224,22 @@
 	return e.Layers
 }
 
-// orderPending reports whether an order to an endpoint may still be under way.
+// orderPending reports whether an order to an endpoint may still be in progress.
 func (c *Controller) orderPending(e *fleet.Endpoint, now time.Time) bool {
 	s := c.orders[e.ID]
 	return s != nil && s.layers != e.Layers && (s.calling || e.Loading || now.Before(s.pendingUntil))
 }
 
-// hasUnknownOrder reports whether an endpoint carries out an order that this keeper
-// didn't give: which layers it will hold isn't known, and it takes no other
-// order before.
+// hasUnknownOrder reports whether an endpoint carries out an order that this controller
+// didn't send. It isn't known which layers the endpoint will hold, and it accepts no
+// other order before it is done.
 func (c *Controller) hasUnknownOrder(e *fleet.Endpoint) bool {
 	return e.Loading && e.Layers.Len() == 0 && c.orders[e.ID] == nil
 }
 
-// loadTimeout is how long a load may take before it is doubted: several may run
-// at once, and the heartbeat that tells of its end comes later.
+// loadTimeout returns how long an accepted order may take before the endpoint is
+// queried about it. Several loads may run at once, and the heartbeat that reports the
+// end comes later.
 func loadTimeout(e *fleet.Engine, layers fleet.Range) time.Duration {
 	if e.Layers == 0 {
 		return 0
--- a/pkg/placement/mend.go
+++ b/pkg/placement/mend.go
@@ -2,8 +2,8 @@
 
 import "github.com/larchwinch/larchwinch/pkg/fleet"
 
-// fillGaps moves servers that aren't needed where they are into holes. Where there
-// are none, it packs the group anew, unless a slow server holds the layers.
+// fillGaps moves redundant endpoints into the gaps of each group. Where there are none,
+// it repacks the group, unless a slow endpoint holds the missing layers.
 func (p *planner) fillGaps(loads *loadBudget) []Order {
 	var orders []Order
 	for g := range p.cover {
@@ -33,8 +33,8 @@
 	return orders
 }
 
-// nextGap returns a group's first hole at or after a layer, if the group holds
-// anything.
+// nextGap returns a group's first gap at or after a layer, if the group holds any
+// layer.
 func (p *planner) nextGap(g, from int) (fleet.Range, bool) {
 	held := false
 	gap := fleet.Range{
@@ -56,7 +56,8 @@
 	return gap, held && gap.From >= 0
 }
 
-// hasUnheldLayer reports whether nothing at all holds some layer of a hole.
+// hasUnheldLayer reports whether no endpoint of the group, not even a slow one, holds
+// some layer of a gap.
 func (p *planner) hasUnheldLayer(g int, gap fleet.Range) bool {
 	for l := gap.From; l < gap.To; l++ {
 		if p.held[g][l] == 0 {
@@ -66,11 +67,8 @@
 	return false
 }
 
-// movableEndpoint returns the server of a group that is best moved: all of its layers
-// are held by others too. One that holds the first layers is taken last, since
-// requests can't leave the first endpoint of their path, and the load waits for
-// them; then counts what fills most of the hole, with least room to spare. It
-// returns -1 if there is none.
+// movableEndpoint returns the index of the endpoint of a group that is best moved into
+// a gap, or -1 if there is none. Others must hold all of its layers too.
 func (p *planner) movableEndpoint(g int, gap fleet.Range) int {
 	best := -1
 	for i, s := range p.endpoints {
@@ -87,7 +85,10 @@
 	return best
 }
 
-// betterMove reports whether a is better moved into a hole than b.
+// betterMove reports whether a is better moved into a gap than b. An endpoint that
+// holds the first layers comes last, since streams can't leave the first stage of their
+// path. Otherwise the one that fills more of the gap is better, then the one with less
+// capacity.
 func (p *planner) betterMove(a, b EndpointState, gap fleet.Range) bool {
 	if firstA, firstB := a.Layers.From == 0, b.Layers.From == 0; firstA != firstB {
 		return firstB
@@ -100,8 +101,8 @@
 	return p.capacity(a) < p.capacity(b)
 }
 
-// redundant reports whether every layer of a server is held by another in its group,
-// and served by another one now.
+// redundant reports whether every layer of an endpoint is held by another one in its
+// group, and served by another one now, in any group.
 func (p *planner) redundant(g int, s EndpointState) bool {
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		if p.cover[g][l] < 2 {
@@ -111,7 +112,7 @@
 	return p.servedByOthers(s)
 }
 
-// moveInto orders a server into a hole.
+// moveInto orders an endpoint into a gap.
 func (p *planner) moveInto(i int, gap fleet.Range) Order {
 	n := p.capacity(p.endpoints[i])
 	from := min(gap.From, p.engine.Layers-n)
@@ -121,10 +122,10 @@
 	})
 }
 
-// moveTo orders a server to hold other layers, and counts it there. It doesn't
-// wait for streams: those of a path that lost a part stand still in the others
-// until the endpoints give them up, seconds later, and the hole stays as long for
-// all new ones.
+// moveTo orders an endpoint to hold other layers, and counts it there. The order
+// interrupts streams rather than wait for them: where a path has lost a stage, its
+// streams stall in the other ones for seconds, until those endpoints give them up, and
+// for as long the gap would stay for all new streams.
 func (p *planner) moveTo(i int, layers fleet.Range) Order {
 	s := &p.endpoints[i]
 	p.add(*s, -1)
--- a/pkg/placement/orders.go
+++ b/pkg/placement/orders.go
@@ -8,7 +8,7 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// sendAsync sends one order without waiting for its answer.
+// sendAsync sends an order without waiting for its answer.
 func (c *Controller) sendAsync(o Order, e *fleet.Endpoint, load time.Duration) {
 	c.mu.Lock()
 	s := c.orders[o.ID]
@@ -38,8 +38,8 @@
 	})
 }
 
-// checkReport asks an endpoint what it holds. It reports whether nothing need be
-// ordered now.
+// checkReport queries what an endpoint holds, and reports whether no order need be sent
+// now.
 func (c *Controller) checkReport(ctx context.Context, s *orderState, wanted fleet.Range, e *fleet.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -63,7 +63,8 @@
 	return false
 }
 
-// streamsField says for the log what an order does with streams.
+// streamsField returns the value of the log field that tells what an order does with
+// streams.
 func streamsField(o Order) string {
 	if o.InterruptStreams {
 		return "cut"
@@ -71,7 +72,7 @@
 	return "waited for"
 }
 
-// send gives an order, and notes what is known of it then.
+// send sends an order and records its outcome.
 func (c *Controller) send(ctx context.Context, s *orderState, o Order, e *fleet.Endpoint, load time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -92,7 +93,7 @@
 	case Accepted:
 		s.accepted = accepted + 1
 		s.applied = false
-		s.unconfirmed = true // asked for if no heartbeat has told of it by then
+		s.unconfirmed = true // queried if no heartbeat has confirmed it by then
 		s.pendingUntil = c.svc.Now().Add(load + recheckDelay)
 		c.table.MarkReassigned(o.ID, s.accepted)
 	case Conflict:
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// weightShare is the part of an accelerator's memory that weights may
-	// take; the rest is KV memory. At 0.66 every kind keeps room for 125,000
-	// tokens or more of the layers it holds, three times the users' load in
-	// a failure domain (docs/PLATFORM.md).
+	// weightShare is the share of an accelerator's memory that weights may take; the
+	// rest holds the KV cache. At 0.66 every kind has room for at least 125,000 tokens
+	// in the layers that it holds, three times the expected load of a failure domain.
 	weightShare = 0.66
-	// ownGroupWeight is how much more a layer that the own group of domains covers
-	// counts than one that another covers.
+	// ownGroupWeight is how much more a holder of a layer counts in the own group of
+	// failure domains than in another one.
 	ownGroupWeight = 16
-	// lossWeight is how much a layer's chance to be lost counts, against one
-	// holder in another group. Each server is as likely to be lost, so a layer
-	// whose holder has few layers is worth more to cover again.
+	// lossWeight is how much the risk of losing a layer counts, against one holder in
+	// another group. All endpoints are equally likely to be lost, so it is worth more
+	// to cover a layer again whose holder has few layers.
 	lossWeight = 32
 )
 
@@ -26,37 +25,40 @@
 type Order struct {
 	ID     string
 	Layers fleet.Range
-	// InterruptStreams says that streams which still pass the endpoint are broken off, and
-	// continue elsewhere.
+	// InterruptStreams says that streams which still pass the endpoint are broken off
+	// and continue elsewhere. Otherwise the endpoint waits for them.
 	InterruptStreams bool
 }
 
-// EndpointState is an endpoint as the plan sees it.
+// EndpointState is an endpoint as the planner sees it.
 type EndpointState struct {
 	ID     string
 	Domain string
 	Kind   string
-	// Layers is what it holds or was ordered to hold; empty if nothing.
+	// Layers are those that it holds or was ordered to hold; empty if none.
 	Layers fleet.Range
-	// OrderPending servers carry out an order, and are left alone.
+	// OrderPending says that an order may still be in progress. The endpoint gets no
+	// other one meanwhile.
 	OrderPending bool
-	// Slowdown is how many times as slow as its kind it is.
+	// Slowdown is how many times as slow as its kind the endpoint is.
 	Slowdown float64
-	// BelowDemand servers take less than is asked for: layers that only such ones hold are
-	// copied. Their streams stay, so they are left where they are.
+	// BelowDemand says that the endpoint's rate limit is below the load that its
+	// service is asked for. Layers that only such endpoints hold are copied to others.
+	// The endpoints themselves keep their streams and aren't moved.
 	BelowDemand bool
-	// JustJoined servers have only just come: they are kept for a hole, since the
-	// one that they replace may be about to leave.
+	// JustJoined says that the endpoint has joined only just now. It is kept for a gap,
+	// since the endpoint that it replaces may be about to leave.
 	JustJoined bool
 }
 
-// Plan returns the orders that are due. Layers that nothing serves come before
-// all else, and nothing else is ordered until they are served. Then each empty
-// server takes the layers that are covered least, counted first among the domains
-// that hold a copy together. A hole that no empty server fills takes a server all
-// of whose layers others hold too, or else servers shift until their overlaps fill
-// it, if others serve their layers meanwhile; nothing else is moved. No more is
-// loaded at once than the store serves.
+// Plan returns the orders that are due. Layers that no endpoint serves come first, and
+// nothing else is ordered until they are served. Then each empty endpoint gets the
+// layers with the least coverage, in the first place within its group: the failure
+// domains that hold a copy together. A gap that no empty endpoint fills gets an
+// endpoint whose layers all are held by others too. If there is none, endpoints shift
+// along the layers until their overlaps fill the gap, if others serve their layers
+// meanwhile. No other endpoint is moved, and no more loads are started at once than the
+// store of weights serves.
 func Plan(e *fleet.Engine, endpoints []EndpointState) []Order {
 	if e.Layers <= 0 || e.LayerMB <= 0 {
 		return nil
@@ -83,16 +85,16 @@
 	engine    *fleet.Engine
 	endpoints []EndpointState
 	group     map[string]int // by domain
-	cover     [][]int        // by group, then layer
-	held      [][]int        // the same, with endpoints that are slow
-	total     []int          // by layer
-	// serving, limping and coming count the servers of all groups by layer: those
-	// that serve it as they should, those that serve it slowly or too little, and
-	// those that are loading it.
+	cover     [][]int        // holders by group, then layer, without slow ones
+	held      [][]int        // the same, with slow ones
+	total     []int          // cover of all groups, by layer
+	// serving, degraded and loading count the endpoints of all groups by layer: those
+	// that serve it normally, those that serve it slowly or below demand, and those
+	// with a pending order for it.
 	serving  []int
 	degraded []int
 	loading  []int
-	lossRisk [][]float64 // by group, then layer: sum of 1/layers of its holders
+	lossRisk [][]float64 // by group, then layer: sum over its holders of 1/(their number of layers)
 }
 
 func newPlanner(e *fleet.Engine, endpoints []EndpointState) *planner {
@@ -111,16 +113,16 @@
 	return p
 }
 
-// slowLimit is how many times as slow as its kind a server may be that counts
-// as a cover of its layers.
+// slowLimit is the slowdown from which on an endpoint doesn't count as a cover of its
+// layers.
 const slowLimit = 4
 
-// count adds what a server holds to the covers.
+// count adds an endpoint's layers to the counts.
 func (p *planner) count(s EndpointState) {
 	p.add(s, 1)
 }
 
-// add adds a server's layers n times.
+// add adds n to the counts of each of an endpoint's layers.
 func (p *planner) add(s EndpointState, n int) {
 	g := p.group[s.Domain]
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
@@ -135,7 +137,8 @@
 	}
 }
 
-// countsFor returns the counts that a server's layers belong to.
+// countsFor returns the one of serving, degraded and loading to which an endpoint's
+// layers belong.
 func (p *planner) countsFor(s EndpointState) []int {
 	switch {
 	case s.OrderPending:
@@ -147,13 +150,13 @@
 	}
 }
 
-// capacity is how many layers a server should hold.
+// capacity returns how many layers an endpoint should hold.
 func (p *planner) capacity(s EndpointState) int {
 	return p.capacityAt(s, weightShare)
 }
 
-// capacityAt is how many layers a server holds if weights may take a share of its
-// memory.
+// capacityAt returns how many layers fit into an endpoint if weights may take a share
+// of its memory. It is at least 1 where the whole memory has room for two or more.
 func (p *planner) capacityAt(s EndpointState, share float64) int {
 	n := int(p.engine.Kinds[s.Kind].MB * share / p.engine.LayerMB)
 	if n == 0 && p.engine.MaxLayers(s.Kind) > 1 {
@@ -162,7 +165,7 @@
 	return min(n, p.engine.Layers)
 }
 
-// findGroups gives each domain that can hold every layer a group of its own,
+// findGroups gives each failure domain that can hold every layer a group of its own,
 // and puts the others together.
 func (p *planner) findGroups() {
 	capacities := map[string]int{}
@@ -203,7 +206,8 @@
 	return len(p.cover) - 1
 }
 
-// emptyEndpoints returns the servers that hold nothing: group by group, fastest first.
+// emptyEndpoints returns the endpoints that hold nothing, ordered by group and then
+// from the fastest on.
 func (p *planner) emptyEndpoints() []EndpointState {
 	var list []EndpointState
 	for _, s := range p.endpoints {
@@ -225,8 +229,9 @@
 	return list
 }
 
-// place gives a server the group's first hole, and where there is none the
-// window of layers that is covered least.
+// place orders an endpoint to hold the layers of the group's first gap. If there is no
+// gap, an endpoint that just joined gets no order, and another one the range of layers
+// with the least coverage.
 func (p *planner) place(s EndpointState) (Order, bool) {
 	n := p.capacity(s)
 	from, ok := p.firstGap(s)
@@ -253,7 +258,8 @@
 	}, true
 }
 
-// firstGap returns the first layer that nothing in the group holds.
+// firstGap returns the first layer that no endpoint of the group holds, slow ones
+// aside.
 func (p *planner) firstGap(s EndpointState) (int, bool) {
 	for l, n := range p.cover[p.group[s.Domain]] {
 		if n == 0 {
@@ -276,9 +282,9 @@
 	return best
 }
 
-// windowCost grows faster than the cover, so that an uneven cover costs more.
-// The chance of a loss counts only where one holder stands between it and a
-// hole.
+// windowCost is the cost of placing an endpoint on n layers: the less they are covered,
+// the lower. It grows faster than the coverage, so that uneven coverage costs more. The
+// loss risk counts only for layers that have a single holder in the group.
 func (p *planner) windowCost(s EndpointState, from, n int) float64 {
 	g := p.group[s.Domain]
 	sum := 0.0
--- a/pkg/placement/repack.go
+++ b/pkg/placement/repack.go
@@ -6,26 +6,25 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// repackShares are the parts of a memory that weights may take when a group is
-// packed anew, tried in turn: endpoints that are lost for good may leave too
-// little room at the usual share. At the last, an accelerator of 21.6 GB keeps
-// room for 88,000 tokens of nine layers, against 128,000 of eight.
+// repackShares are the shares of an accelerator's memory that weights may take when
+// endpoints are repacked, tried in turn: once endpoints are lost for good, the usual
+// share may leave too little capacity. At the last one, an accelerator of 21.6 GB has
+// room for 88,000 tokens in nine layers, against 128,000 in eight.
 var repackShares = [...]float64{weightShare, 0.72, 0.78}
 
 const (
-	// moveCost is what a move costs beside the layers that it loads, in layers:
-	// the endpoint serves nothing until its streams have left.
+	// moveCost is the cost of a move in layers, added to the layers that it loads: the
+	// endpoint serves nothing until its streams have left.
 	moveCost = 2
 	// firstLayerCost is added for an endpoint that holds the first layers: streams
-	// can't leave it.
+	// can't leave the first stage of their path.
 	firstLayerCost = 20
 )
 
-// repack fills a group's holes where no single server can be spared: servers
-// shift along the layers, each next to the one before, until the overlaps are
-// used up. The moves that load least are chosen. Nothing is shifted while a
-// server of the group still carries out an order, or if some layer would be served
-// nowhere meanwhile.
+// repack fills a group's gaps where no single endpoint can be spared: endpoints shift
+// along the layers, each next to the one before, until no overlaps are left. It chooses
+// the moves that load the fewest layers. Nothing is shifted while an order to an
+// endpoint of the group is pending, or if some layer would be served nowhere meanwhile.
 func (p *planner) repack(g int) []Order {
 	list, idle := p.holders(func(s EndpointState) bool { return p.group[s.Domain] == g })
 	if !idle {
@@ -34,8 +33,9 @@
 	return p.repackEndpoints(list, p.servedWhileLoading)
 }
 
-// repackAll does the same over all groups, for layers that nothing serves: what
-// is shifted serves no request meanwhile, but no request could be served anyway.
+// repackAll repacks the endpoints of all groups, for layers that no endpoint serves.
+// The shifted endpoints serve no request meanwhile, but no request could be served
+// anyway.
 func (p *planner) repackAll() []Order {
 	list, idle := p.holders(func(EndpointState) bool { return true })
 	if !idle {
@@ -44,8 +44,8 @@
 	return p.repackEndpoints(list, func([]int) bool { return true })
 }
 
-// holders returns the servers of a kind that hold layers, and whether all of them
-// stand still: one that carries out an order may change the picture.
+// holders returns the indices of the matching endpoints that hold layers. It reports
+// false if an order to one of them is pending, since its result may change the plan.
 func (p *planner) holders(match func(s EndpointState) bool) (list []int, idle bool) {
 	for i, s := range p.endpoints {
 		if !match(s) || s.Layers.Len() == 0 {
@@ -59,7 +59,8 @@
 	return list, true
 }
 
-// repackEndpoints shifts the servers of a list, if the ones that are shifted may be.
+// repackEndpoints shifts the endpoints of a list, if allowed returns true for those
+// that must be shifted.
 func (p *planner) repackEndpoints(list []int, allowed func(shifted []int) bool) []Order {
 	sort.Slice(list, func(a, b int) bool {
 		x, y := p.endpoints[list[a]], p.endpoints[list[b]]
@@ -81,24 +82,24 @@
 	return nil
 }
 
-// repacking is servers in the order of their layers, and the cheapest way to cover
-// the layers from the first on with them.
+// repacking searches the cheapest way to cover the layers from the first on with some
+// endpoints, taken in the order of their layers. The search is a dynamic program.
 type repacking struct {
 	layers int
 	items  []repackItem
-	// best[i][c] is the cheapest way to cover layers below c with the first i
+	// best[i][c] is the cheapest way to cover the layers below c with the first i
 	// items.
 	best [][]step
 }
 
 type repackItem struct {
-	index    int // index
+	index    int // in planner.endpoints
 	held     fleet.Range
 	capacity int
 }
 
-// step is how a state was reached: from the covered layers before it, and
-// whether the item was shifted.
+// step is how a state was reached: from how many covered layers, and whether the item
+// was shifted.
 type step struct {
 	cost    int // -1: not reached
 	from    int
@@ -169,7 +170,7 @@
 	})
 }
 
-// target is where a shifted item goes that continues from layer c on.
+// target returns the range of a shifted item that covers layers from c on.
 func (r *repacking) target(c int, item repackItem) (fleet.Range, bool) {
 	if item.capacity <= 0 || c >= r.layers {
 		return fleet.Range{}, false
@@ -192,7 +193,7 @@
 	return max(0, min(a.To, b.To)-max(a.From, b.From))
 }
 
-// shifted returns the servers that a solved row shifts.
+// shifted returns the indices of the endpoints that the solution shifts.
 func (r *repacking) shifted() []int {
 	var list []int
 	c := r.layers
@@ -206,7 +207,7 @@
 	return list
 }
 
-// shiftOrders returns the orders of a solved row, and counts them.
+// shiftOrders returns the orders of a solution, and counts them.
 func (p *planner) shiftOrders(r *repacking) []Order {
 	var orders []Order
 	c := r.layers
