--- a/pkg/pattern/limits_test.go
+++ b/pkg/pattern/limits_test.go
@@ -64,7 +64,7 @@
 			})
 		}
 
-		It(fmt.Sprintf("are known to all hosts within half a second: %d hosts", hosts), func() {
+		It(fmt.Sprintf("are known to all hosts within half a second, though one observed them first: %d hosts", hosts), func() {
 			for _, seed := range seeds {
 				m := NewLimitModel(LimitScenario{Hosts: hosts, Endpoints: 3, PerSecond: 150, Limit: limitFromStart(1, 8)}, seed)
 				m.Run(limitFrom + 500*time.Millisecond)
--- a/pkg/placement/bench_test.go
+++ b/pkg/placement/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/larchwinch/larchwinch/pkg/placement"
 )
 
-// BenchmarkPlan plans for domains of 39 endpoints each, in every third of which
-// two endpoints are lost so that others must shift or move.
+// BenchmarkPlan plans for failure domains of 39 endpoints each. In every third one two
+// endpoints are lost, so that others must shift or move.
 func BenchmarkPlan(b *testing.B) {
 	e := engine()
 	for _, domains := range []int{1, 7, 28, 82} {
--- a/pkg/placement/bridge_test.go
+++ b/pkg/placement/bridge_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// loadedDomains returns three domains of 13 servers each, with all layers loaded.
+// loadedDomains returns three failure domains of 13 endpoints each, with all layers
+// loaded.
 func loadedDomains(e *fleet.Engine) []placement.EndpointState {
 	var list []placement.EndpointState
 	for d := range 3 {
@@ -21,7 +22,7 @@
 	return apply(list, placement.Plan(e, list))
 }
 
-// without returns the servers that a function doesn't take away.
+// without returns the endpoints for which gone returns false.
 func without(list []placement.EndpointState, gone func(s placement.EndpointState) bool) []placement.EndpointState {
 	var out []placement.EndpointState
 	for _, s := range list {
@@ -32,7 +33,7 @@
 	return out
 }
 
-// countServing counts by layer the servers that hold it and stand still.
+// countServing counts by layer the endpoints that hold it and have no order.
 func countServing(list []placement.EndpointState, orders []placement.Order, layers int) []int {
 	moved := map[string]bool{}
 	for _, o := range orders {
@@ -61,7 +62,7 @@
 	return n
 }
 
-// withPending returns the servers with orders under way.
+// withPending returns the endpoints with the orders pending.
 func withPending(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
 	out := apply(list, orders)
 	for _, o := range orders {
@@ -74,12 +75,12 @@
 	return out
 }
 
-var _ = Describe("a layer that nothing serves any more", func() {
+var _ = Describe("a layer that no endpoint serves any more", func() {
 	const lost = 30
 
 	holdsLost := func(s placement.EndpointState) bool { return s.Layers.From <= lost && s.Layers.To > lost }
 
-	It("is loaded first, from whatever domain, and nothing else is ordered until it is served", func() {
+	It("is loaded first, in any failure domain, and nothing else is ordered until it is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
 		list := without(loadedDomains(e), holdsLost)
@@ -92,14 +93,14 @@
 		Expect(orders).NotTo(BeEmpty())
 		Expect(len(orders)).To(BeNumerically("<=", 3))
 		for _, o := range orders {
-			Expect(countServing(list, nil, e.Layers)[o.Layers.From:o.Layers.To]).To(ContainElement(0), "each brings a layer that is missing")
+			Expect(countServing(list, nil, e.Layers)[o.Layers.From:o.Layers.To]).To(ContainElement(0), "each order loads a missing layer")
 		}
 		Expect(countUnserved(countServing(apply(list, orders), nil, e.Layers))).To(BeZero())
-		Expect(placement.Plan(e, withPending(list, orders))).To(BeEmpty(), "others would lengthen the loads that are waited for")
-		Expect(placement.Plan(e, apply(list, orders))).NotTo(BeEmpty(), "then the domains' own copies are mended")
+		Expect(placement.Plan(e, withPending(list, orders))).To(BeEmpty(), "more loads would slow down the urgent ones")
+		Expect(placement.Plan(e, apply(list, orders))).NotTo(BeEmpty(), "then the gaps in each domain's own copy are filled")
 	})
 
-	It("takes nothing from service, whatever was lost, as long as a layer is served", func() {
+	It("causes no move that takes another layer out of service, whatever was lost", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
 		all := loadedDomains(e)
@@ -117,15 +118,15 @@
 			list = without(list, func(s placement.EndpointState) bool { return taken[s.ID] })
 			before := countServing(list, nil, e.Layers)
 			if countUnserved(before) > 0 {
-				return // what is shifted then serves nobody anyway
+				return // no request can be served anyway, so any endpoint may be shifted
 			}
 			if n := countUnserved(countServing(list, placement.Plan(e, list), e.Layers)); n > 0 {
-				t.Fatalf("%d layers are served no longer", n)
+				t.Fatalf("%d layers are no longer served", n)
 			}
 		})
 	})
 
-	// holder returns a server of a domain that holds layers.
+	// holder returns an endpoint of a failure domain that holds layers.
 	holder := func(domain, kind string, from, to int) placement.EndpointState {
 		return placement.EndpointState{
 			ID:     fmt.Sprintf("%s-%d-%d-%s", domain, from, to, kind),
@@ -135,7 +136,7 @@
 		}
 	}
 
-	It("isn't made by moving the only server that serves it, though another loads it", func() {
+	It("isn't caused by moving the only endpoint that serves it while another one loads it", func() {
 		loading := holder("a", "small", 0, 8)
 		loading.OrderPending = true
 		cases := []struct {
@@ -160,18 +161,18 @@
 		}
 	})
 
-	It("isn't made by shifting a domain's servers along", func() {
+	It("isn't caused by repacking a failure domain", func() {
 		cases := []struct {
 			name    string
-			other   bool // whether domain b serves what would be shifted
+			other   bool // whether domain b serves the layers of the endpoints that would be shifted
 			shifted bool
 		}{
 			{name: "served in another domain", other: true, shifted: true},
 			{name: "served nowhere else", other: false, shifted: false},
 		}
 		for _, c := range cases {
-			// In a, layers 27 to 30 are missing, and none of its servers is spare;
-			// shifted along, they cover all.
+			// In domain a, layers 27 to 29 are missing and no endpoint is redundant, but
+			// repacked ones cover all layers.
 			list := []placement.EndpointState{holder("a", "big", 0, 27), holder("a", "big", 30, 57), holder("a", "big", 53, 80)}
 			list = append(list, holder("b", "small", 24, 32))
 			if c.other {
@@ -181,7 +182,7 @@
 		}
 	})
 
-	It("is served again after a few rounds of loads, whatever was lost, if what is left can hold the model", func() {
+	It("is served again after a few rounds of loads, whatever was lost, if the remaining endpoints can hold the model", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
 		all := loadedDomains(e)
@@ -196,18 +197,18 @@
 				list = apply(list, placement.Plan(e, list))
 			}
 			if n := countUnserved(countServing(list, nil, e.Layers)); n > 0 {
-				t.Fatalf("%d layers are still missing with %d servers", n, len(list))
+				t.Fatalf("%d layers are still missing with %d endpoints", n, len(list))
 			}
 		})
 	})
 })
 
 var _ = Describe("loads", func() {
-	It("are bounded by what the store serves at once, but not before anything is served", func() {
+	It("are bounded by what the store of weights serves at once, but not before anything is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 2
-		fresh := append(emptyEndpoints("d0", "small", 12), emptyEndpoints("d1", "small", 12)...)
-		Expect(placement.Plan(e, fresh)).To(HaveLen(24))
+		unloaded := append(emptyEndpoints("d0", "small", 12), emptyEndpoints("d1", "small", 12)...)
+		Expect(placement.Plan(e, unloaded)).To(HaveLen(24))
 		list := loadedDomains(e)
 		empty := emptyEndpoints("d0", "small", 9)
 		for i := range empty {
@@ -223,8 +224,8 @@
 	})
 })
 
-var _ = Describe("a server that takes less than is asked for", func() {
-	It("isn't moved into a hole, though it would fill that best", func() {
+var _ = Describe("an endpoint whose rate limit is below demand", func() {
+	It("isn't moved into a gap, though it would fill it best", func() {
 		e := engine()
 		list := without(loadedDomains(e), func(s placement.EndpointState) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
 		orders := placement.Plan(e, list)
--- a/pkg/placement/falls_test.go
+++ b/pkg/placement/falls_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("falls", func() {
-	ginkgo.It("let an address rest longer with each one, up to a bound, and count none that held its layers", func() {
+var _ = ginkgo.Describe("crashes while loading", func() {
+	ginkgo.It("put an address in backoff, longer with each one up to a bound, unless the endpoint held its layers", func() {
 		tracker := newCrashTracker()
 		now := time.Unix(1000, 0)
 		loading := func(string) bool { return true }
@@ -35,6 +35,6 @@
 			Expect(tracker.observe(same, now, loading)).To(BeFalse())
 		}
 		tracker.observe(&fleet.Endpoint{ID: strconv.Itoa(next), Address: "a", Layers: fleet.Range{From: 0, To: 8}}, now, loading)
-		Expect(join(loading)).To(BeFalse(), "one has carried its order out since")
+		Expect(join(loading)).To(BeFalse(), "an incarnation has carried out its order since")
 	})
 })
--- a/pkg/placement/keeper_test.go
+++ b/pkg/placement/keeper_test.go
@@ -16,63 +16,63 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeClient takes every order and remembers it.
+// fakeClient accepts and records every order.
 type fakeClient struct {
 	mu     sync.Mutex
 	orders []placement.Order
-	// gate, if set, holds every answer until it is closed; waiting is how many
-	// are held, most how many were at once.
+	// gate, if set, blocks every answer until it is closed. waiting is how many are
+	// blocked, most how many were at once.
 	gate    chan struct{}
 	waiting int
 	most    int
 }
 
-func (o *fakeClient) Place(_ context.Context, order placement.Order, _ string, _ uint64) (placement.Outcome, error) {
-	o.block()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.orders = append(o.orders, order)
+func (c *fakeClient) Place(_ context.Context, order placement.Order, _ string, _ uint64) (placement.Outcome, error) {
+	c.block()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.orders = append(c.orders, order)
 	return placement.Accepted, nil
 }
 
-func (o *fakeClient) block() {
-	if o.gate == nil {
+func (c *fakeClient) block() {
+	if c.gate == nil {
 		return
 	}
-	o.mu.Lock()
-	o.waiting++
-	o.most = max(o.most, o.waiting)
-	o.mu.Unlock()
-	<-o.gate
-	o.mu.Lock()
-	o.waiting--
-	o.mu.Unlock()
+	c.mu.Lock()
+	c.waiting++
+	c.most = max(c.most, c.waiting)
+	c.mu.Unlock()
+	<-c.gate
+	c.mu.Lock()
+	c.waiting--
+	c.mu.Unlock()
 }
 
-// blocked returns how many answers are held, and how many were at once at most.
-func (o *fakeClient) blocked() (now, most int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.waiting, o.most
+// blocked returns how many answers are blocked now, and the most that were at once.
+func (c *fakeClient) blocked() (now, most int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.waiting, c.most
 }
 
-func (o *fakeClient) Report(context.Context, string, string) (placement.Report, error) {
+func (c *fakeClient) Report(context.Context, string, string) (placement.Report, error) {
 	return placement.Report{
 		Busy:     true,
 		Slowdown: 1,
 	}, nil
 }
 
-func (o *fakeClient) sent() []placement.Order {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return append([]placement.Order(nil), o.orders...)
+func (c *fakeClient) sent() []placement.Order {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]placement.Order(nil), c.orders...)
 }
 
-// heartbeat is how often endpoints announce themselves.
+// heartbeat is the interval in which endpoints announce themselves.
 const heartbeat = time.Second
 
-// fixture is a keeper over a table and an orderer that takes everything.
+// fixture is a controller with its table, and a client that accepts every order.
 type fixture struct {
 	controller *placement.Controller
 	client     *fakeClient
@@ -81,7 +81,7 @@
 	group      *group.Group
 }
 
-// withController runs f on a keeper that has just begun to lead.
+// withController runs a test with a controller that has just begun to lead.
 func withController(run func(f *fixture)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	g := group.New(context.Background())
@@ -96,7 +96,7 @@
 	run(f)
 }
 
-// announce has an endpoint of kind small tell what it holds.
+// announce announces an endpoint of kind small that holds some layers.
 func (f *fixture) announce(id, address string, layers fleet.Range) {
 	f.announceKind("small", id, address, layers)
 }
@@ -113,7 +113,7 @@
 	})
 }
 
-// reconcile plans once, and waits until the orders given were answered.
+// reconcile plans once, and waits for the answers to the orders.
 func (f *fixture) reconcile() {
 	cfg := &fleet.Configuration{
 		Services: []fleet.Service{
@@ -138,7 +138,7 @@
 }
 
 var _ = Describe("the first placement of many endpoints", func() {
-	It("waits for a bounded number of answers at once, and orders all", func() {
+	It("sends all orders, with a bounded number in flight", func() {
 		withController(func(f *fixture) {
 			const many = 300
 			f.client.gate = make(chan struct{})
@@ -162,8 +162,8 @@
 	})
 })
 
-var _ = Describe("a keeper", func() {
-	It("keeps a new endpoint for a hole, but places one that came back to its address at once", func() {
+var _ = Describe("a controller", func() {
+	It("keeps a new endpoint for a gap, but places one that restarted at its address at once", func() {
 		withController(func(f *fixture) {
 			f.cover()
 			f.reconcile()
@@ -183,7 +183,7 @@
 		})
 	})
 
-	It("gives a service that holds nothing its first orders once no endpoint came for a beat", func() {
+	It("sends a service that holds nothing its first orders once no endpoint has joined for a heartbeat interval", func() {
 		withController(func(f *fixture) {
 			for i := range 10 {
 				f.announce(fmt.Sprintf("e%d", i), fmt.Sprintf("10.0.0.%d:80", i), fleet.Range{})
@@ -200,11 +200,11 @@
 			Expect(f.client.sent()).To(HaveLen(11))
 			Expect(f.client.sent()).To(ContainElement(And(
 				HaveField("ID", "late"), HaveField("Layers.From", 0),
-			)), "the fastest begins, though it came last")
+			)), "the fastest one gets the first layers, though it joined last")
 		})
 	})
 
-	It("makes an order known at once, and counts on it for as long as the endpoint loads", func() {
+	It("publishes an order at once, and relies on it while the endpoint loads", func() {
 		withController(func(f *fixture) {
 			f.cover()
 			f.announce("spare", "10.0.0.60:80", fleet.Range{From: 40, To: 48})
@@ -214,18 +214,18 @@
 			Expect(f.client.sent()).To(HaveLen(1))
 			moved := f.client.sent()[0]
 			Expect(moved.Layers).To(Equal(fleet.Range{From: 0, To: 8}))
-			Expect(moved.InterruptStreams).To(BeTrue(), "a hole can't wait for streams that stand still")
+			Expect(moved.InterruptStreams).To(BeTrue(), "a gap can't wait for stalled streams")
 			e, _ := f.table.Get(moved.ID)
 			Expect(e.Loading).To(BeTrue())
 			Expect(e.Layers.Len()).To(Equal(0))
 			f.announce("other", "10.0.0.61:80", fleet.Range{From: 40, To: 48})
 			f.clock.Advance(time.Minute)
 			f.reconcile()
-			Expect(f.client.sent()).To(HaveLen(1), "the hole is on its way to be filled")
+			Expect(f.client.sent()).To(HaveLen(1), "the gap is being filled")
 		})
 	})
 
-	It("leaves an endpoint alone that carries out an order it doesn't know, and fills the hole by another", func() {
+	It("sends nothing to an endpoint with an unknown order, and fills the gap with another one", func() {
 		withController(func(f *fixture) {
 			f.cover()
 			f.table.MarkGone("e0")
@@ -243,16 +243,16 @@
 	})
 })
 
-var _ = Describe("an address whose endpoints end under their orders", func() {
-	// The same cause as that of requests which end endpoints: each start of an endpoint
-	// is a new one, and nothing remembered what had ended the one before.
+var _ = Describe("an address whose endpoints crash while they carry out orders", func() {
+	// Guards against an order that crashes endpoints and is sent again to each new
+	// incarnation.
 	It("gets fewer and fewer orders", func() {
 		withController(func(f *fixture) {
 			f.cover()
 			f.reconcile()
 			for i := range 60 {
 				f.clock.Advance(time.Second)
-				for n := range 10 { // the others go on
+				for n := range 10 { // the others send heartbeats
 					if n != 4 {
 						e, _ := f.table.Get(fmt.Sprintf("e%d", n))
 						e.Sequence++
@@ -262,12 +262,12 @@
 				f.announce(fmt.Sprintf("again-%d", i), "10.0.0.4:80", fleet.Range{})
 				f.reconcile()
 			}
-			Expect(f.ordersTo("again-")).To(BeNumerically("<=", 7)) // one each before
+			Expect(f.ordersTo("again-")).To(BeNumerically("<=", 7)) // without backoff, one for each incarnation
 		})
 	})
 })
 
-// ordersTo counts the orders to endpoints whose names begin so.
+// ordersTo counts the orders to endpoints whose ids have a prefix.
 func (f *fixture) ordersTo(prefix string) int {
 	n := 0
 	for _, o := range f.client.sent() {
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// emptyEndpoints returns n empty servers of a kind in a domain.
+// emptyEndpoints returns n endpoints of a kind in a failure domain that hold nothing.
 func emptyEndpoints(domain, kind string, n int) []placement.EndpointState {
 	var list []placement.EndpointState
 	for i := range n {
@@ -43,7 +43,7 @@
 	return list
 }
 
-// apply returns the servers after orders.
+// apply returns the endpoints after they have carried out orders.
 func apply(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
 	out := append([]placement.EndpointState(nil), list...)
 	for _, o := range orders {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// covered reports whether the servers of a domain hold every layer.
+// covered reports whether the endpoints of a failure domain hold every layer.
 func covered(list []placement.EndpointState, domain string, layers int) bool {
 	held := make([]bool, layers)
 	for _, s := range list {
@@ -86,19 +86,19 @@
 }
 
 var _ = Describe("a plan", func() {
-	It("gives each domain that can hold the model a whole copy", func() {
+	It("gives each failure domain that can hold the model a complete copy", func() {
 		list := apply(userDeployment(), placement.Plan(engine(), userDeployment()))
 		for _, d := range []string{"a", "b", "c"} {
 			Expect(covered(list, d, 80)).To(BeTrue(), d)
 		}
 	})
 
-	It("orders nothing more once all is placed", func() {
+	It("orders nothing more once everything is placed", func() {
 		list := apply(userDeployment(), placement.Plan(engine(), userDeployment()))
 		Expect(placement.Plan(engine(), list)).To(BeEmpty())
 	})
 
-	It("lets domains share a copy that can't hold one each", func() {
+	It("has failure domains share a copy if they can't hold one each", func() {
 		list := append(emptyEndpoints("a", "small", 6), emptyEndpoints("b", "small", 6)...)
 		list = apply(list, placement.Plan(engine(), list))
 		for i := range list {
@@ -107,35 +107,35 @@
 		Expect(covered(list, "both", 80)).To(BeTrue())
 	})
 
-	It("keeps a server that has just come for the hole that the old one leaves", func() {
+	It("keeps an endpoint that has just joined for the gap that the old one leaves", func() {
 		e := engine()
 		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
-		fresh := placement.EndpointState{ID: "new", Domain: "c", Kind: "small", JustJoined: true}
-		Expect(placement.Plan(e, append(list, fresh))).To(BeEmpty())
+		joined := placement.EndpointState{ID: "new", Domain: "c", Kind: "small", JustJoined: true}
+		Expect(placement.Plan(e, append(list, joined))).To(BeEmpty())
 		var old placement.EndpointState
-		var rest []placement.EndpointState
+		var remaining []placement.EndpointState
 		for _, s := range list {
 			if s.ID == "c-small-3" {
 				old = s
 				continue
 			}
-			rest = append(rest, s)
+			remaining = append(remaining, s)
 		}
-		orders := placement.Plan(e, append(rest, fresh))
+		orders := placement.Plan(e, append(remaining, joined))
 		Expect(orders).To(HaveLen(1))
 		Expect(orders[0].ID).To(Equal("new"))
 		Expect(orders[0].Layers).To(Equal(old.Layers))
 	})
 
-	It("copies layers that only servers hold which take too little, and leaves these where they are", func() {
+	It("copies layers that only endpoints below demand hold, and doesn't move these", func() {
 		e := engine()
 		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
-		short := map[string]bool{}
+		belowDemand := map[string]bool{}
 		last := ""
 		for i := range list {
 			if list[i].Layers.From == 0 {
 				last = list[i].ID
-				short[last] = true
+				belowDemand[last] = true
 				list[i].BelowDemand = true
 			}
 		}
@@ -143,18 +143,18 @@
 		Expect(orders).NotTo(BeEmpty())
 		copied := false
 		for _, o := range orders {
-			Expect(short).NotTo(HaveKey(o.ID))
+			Expect(belowDemand).NotTo(HaveKey(o.ID))
 			copied = copied || o.Layers.From == 0
 		}
 		Expect(copied).To(BeTrue())
 		for i := range list {
 			list[i].BelowDemand = list[i].ID == last
 		}
-		Expect(len(short)).To(BeNumerically(">", 1))
+		Expect(len(belowDemand)).To(BeNumerically(">", 1))
 		Expect(placement.Plan(e, list)).To(BeEmpty(), "others hold its layers as well")
 	})
 
-	It("covers what a slow server holds by one that isn't needed, but shifts nothing for it", func() {
+	It("covers the layers of a slow endpoint with a redundant one, but doesn't repack for them", func() {
 		e := engine()
 		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
 		for i := range list {
@@ -181,9 +181,9 @@
 		Expect(placement.Plan(e, none)).To(BeEmpty())
 	})
 
-	It("shifts servers along where a hole is left that no single one can fill", func() {
+	It("repacks endpoints if no single one can fill a gap", func() {
 		e := engine()
-		// Of 83 layers' room, all but three are needed: the overlaps lie elsewhere.
+		// The endpoints have capacity for 83 layers of the 80, but overlap away from the gap.
 		list := emptyEndpoints("a", "mid", 2)
 		list = append(list, emptyEndpoints("a", "small", 4)...)
 		list = append(list, emptyEndpoints("a", "tiny", 5)...)
@@ -198,73 +198,73 @@
 		Expect(covered(after, "a", 80)).To(BeTrue())
 		Expect(len(orders)).To(BeNumerically("<=", 3))
 		for _, o := range orders {
-			Expect(o.ID).NotTo(Equal("a-mid-0"), "the first endpoint of every path")
+			Expect(o.ID).NotTo(Equal("a-mid-0"), "the first stage of every path")
 		}
 		Expect(placement.Plan(e, after)).To(BeEmpty())
 		list[7].OrderPending = true
-		Expect(placement.Plan(e, list)).To(BeEmpty(), "what moves may change the picture")
+		Expect(placement.Plan(e, list)).To(BeEmpty(), "a pending order may change the plan")
 	})
 
-	It("gives weights more of the memories when what is left can't hold the model otherwise", func() {
+	It("gives weights a larger share of memory if the remaining endpoints can't hold the model otherwise", func() {
 		e := engine()
 		list := apply(emptyEndpoints("a", "small", 10), placement.Plan(e, emptyEndpoints("a", "small", 10)))
 		Expect(covered(list, "a", 80)).To(BeTrue())
-		rest := list[:9]
-		after := apply(rest, placement.Plan(e, rest))
+		remaining := list[:9]
+		after := apply(remaining, placement.Plan(e, remaining))
 		Expect(covered(after, "a", 80)).To(BeTrue())
 		for _, s := range after {
 			Expect(s.Layers.Len()).To(BeNumerically("<=", 9))
 		}
 	})
 
-	It("moves a server that isn't needed into a hole that no empty one fills", func() {
+	It("moves a redundant endpoint into a gap that no empty one fills", func() {
 		e := engine()
 		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
-		var rest []placement.EndpointState
+		var remaining []placement.EndpointState
 		for _, s := range list {
 			if s.ID != "b-small-2" {
-				rest = append(rest, s)
+				remaining = append(remaining, s)
 			}
 		}
-		Expect(covered(rest, "b", 80)).To(BeTrue(), "small ones are covered twice first")
-		for i := 0; i < len(rest); i++ {
-			if rest[i].ID == "b-mid-0" {
-				rest = append(rest[:i], rest[i+1:]...)
+		Expect(covered(remaining, "b", 80)).To(BeTrue(), "layers of small ones are covered twice first")
+		for i := 0; i < len(remaining); i++ {
+			if remaining[i].ID == "b-mid-0" {
+				remaining = append(remaining[:i], remaining[i+1:]...)
 			}
 		}
-		Expect(covered(rest, "b", 80)).To(BeFalse())
-		orders := placement.Plan(e, rest)
+		Expect(covered(remaining, "b", 80)).To(BeFalse())
+		orders := placement.Plan(e, remaining)
 		Expect(orders).NotTo(BeEmpty())
-		Expect(covered(apply(rest, orders), "b", 80)).To(BeTrue())
+		Expect(covered(apply(remaining, orders), "b", 80)).To(BeTrue())
 	})
 
-	It("leaves alone what an order is under way for", func() {
+	It("sends no order to endpoints with a pending one", func() {
 		e := engine()
 		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
-		var rest []placement.EndpointState
+		var remaining []placement.EndpointState
 		for _, s := range list {
 			s.OrderPending = true
 			if s.ID != "b-mid-0" {
-				rest = append(rest, s)
+				remaining = append(remaining, s)
 			}
 		}
-		Expect(placement.Plan(e, rest)).To(BeEmpty())
+		Expect(placement.Plan(e, remaining)).To(BeEmpty())
 	})
 })
 
-// TestOrdersFitMemory checks for any servers that no order exceeds a memory, goes
-// beyond the model, or takes a layer's last holder away.
+// TestOrdersFitMemory checks for arbitrary endpoints that no order exceeds their memory
+// or the layers of the model, or takes away a layer's last holder.
 func TestOrdersFitMemory(t *testing.T) {
 	e := engine()
 	kinds := []string{"big", "mid", "small", "tiny"}
 	rapid.Check(t, func(rt *rapid.T) {
 		var list []placement.EndpointState
-		for i := range rapid.IntRange(1, 30).Draw(rt, "servers") {
+		for i := range rapid.IntRange(1, 30).Draw(rt, "endpoints") {
 			s := placement.EndpointState{
 				ID:         fmt.Sprint(i),
 				Domain:     fmt.Sprint(rapid.IntRange(0, 2).Draw(rt, "domain")),
 				Kind:       rapid.SampledFrom(kinds).Draw(rt, "kind"),
-				JustJoined: rapid.Bool().Draw(rt, "fresh"),
+				JustJoined: rapid.Bool().Draw(rt, "just joined"),
 			}
 			if rapid.Bool().Draw(rt, "holds") {
 				from := rapid.IntRange(0, 79).Draw(rt, "from")
@@ -282,16 +282,16 @@
 				}
 			}
 			if float64(o.Layers.Len())*e.LayerMB > e.Kinds[kind].MB {
-				rt.Fatalf("%v is too much for %s", o, kind)
+				rt.Fatalf("%v exceeds the memory of %s", o, kind)
 			}
 			if o.Layers.From < 0 || o.Layers.To > e.Layers || o.Layers.Len() <= 0 {
-				rt.Fatalf("%v is no range of layers", o)
+				rt.Fatalf("%v isn't a valid range of layers", o)
 			}
 		}
 		after := countHolders(apply(list, orders))
 		for l := range before {
 			if before[l] > 0 && after[l] == 0 {
-				rt.Fatalf("layer %d has no holder any more", l)
+				rt.Fatalf("layer %d no longer has a holder", l)
 			}
 		}
 	})
