--- a/pkg/pattern/limits.go
+++ b/pkg/pattern/limits.go
@@ -15,11 +15,11 @@
 // endpoint.
 type LimitStrategy int
 
-// The ways.
+// The strategies.
 const (
 	// GrantedPermits: the leader grants permits, each for one call.
 	GrantedPermits LimitStrategy = iota
-	// EqualShares: each host sends at the limit divided by the number of hosts.
+	// EqualShares: each host sends its equal share of the limit.
 	EqualShares
 	// HostSubset: some hosts, chosen by hash, share the limit, and the others send
 	// nothing.
--- a/pkg/placement/keeper.go
+++ b/pkg/placement/keeper.go
@@ -16,7 +16,7 @@
 // Outcome is what is known of an order that was sent.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an order.
 const (
 	// Unknown: no answer came. The order may still be carried out, even later.
 	Unknown Outcome = iota
--- a/pkg/placement/repack.go
+++ b/pkg/placement/repack.go
@@ -87,8 +87,7 @@
 type repacking struct {
 	layers int
 	items  []repackItem
-	// best[i][c] is the cheapest way to cover the layers below c with the first i
-	// items.
+	// best[i][c] is the cheapest way to cover the layers below c with items[:i].
 	best [][]step
 }
 
