--- a/pkg/crowd/crowd.go
+++ b/pkg/crowd/crowd.go
@@ -1,4 +1,5 @@
-// Package crowd decides which streams wait where callers come back all at once.
+// Package crowd delays resumed streams where many callers resume theirs at once, so
+// that new streams aren't held up by them.
 package crowd
 
 import (
@@ -9,77 +10,77 @@
 )
 
 const (
-	// memory is the time over which streams that begin count: callers whose hosts
-	// all stopped come back within a second.
-	memory = 500 * time.Millisecond
-	// least is how many resumed streams make a crowd, if they aren't fewer than those
-	// that begin: a host that is lost under a few dozen others leaves each of them one
-	// or none.
-	least = 2
-	// spread is the time over which a crowd is sent on: about what the first events of
-	// all take that come at once.
-	spread = 800 * time.Millisecond
-	// most bounds how long after its arrival a resumed stream is held: callers give up
-	// after two seconds without an event.
-	most = 1200 * time.Millisecond
+	// decayTime is the time constant with which counted streams decay: callers resume
+	// within a second after all hosts have stopped.
+	decayTime = 500 * time.Millisecond
+	// minBurst is how many resumed streams make a burst, if they aren't fewer than the
+	// new ones: after the loss of one host, each of a few dozen others gets one resumed
+	// stream or none.
+	minBurst = 2
+	// spreadTime is the time over which a burst is spread: about as long as the first
+	// events of all its streams take.
+	spreadTime = 800 * time.Millisecond
+	// maxHold bounds how long after its arrival a resumed stream is held: callers give
+	// up after two seconds without an event.
+	maxHold = 1200 * time.Millisecond
 )
 
-// Clock tells the time.
+// Clock returns the time.
 type Clock interface {
 	Now() time.Time
 }
 
-// Spreader holds streams back that callers resume, where these come all at once, as after
-// a stop of all hosts. Their pause has made them late already; streams that begin can
-// still be in time, but not behind the prompts of all others. It is safe for use by
-// several goroutines.
+// Spreader delays resumed streams where they arrive in a burst, as after a stop of all
+// hosts. The interruption has made these streams late already; new streams can still be
+// on time, but not if they wait behind the prompts of all resumed ones. It is safe for
+// concurrent use.
 //
-// Invariant: a stream that begins is never held.
+// Invariant: a new stream is never held.
 type Spreader struct {
 	clock Clock
 
-	mu      sync.Mutex
-	resumed float64 // lately: each counts less as time passes
-	begun   float64
-	at      time.Time
+	mu        sync.Mutex
+	resumed   float64 // decaying count
+	started   float64 // decaying count
+	updatedAt time.Time
 }
 
-// New returns a crowd of none.
+// New returns a spreader that has counted no stream.
 func New(clock Clock) *Spreader {
 	return &Spreader{
-		clock: clock,
-		at:    clock.Now(),
+		clock:     clock,
+		updatedAt: clock.Now(),
 	}
 }
 
-// NoteNew notes a stream that begins.
-func (c *Spreader) NoteNew() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.fade()
-	c.begun++
+// NoteNew counts a new stream.
+func (s *Spreader) NoteNew() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.decay()
+	s.started++
 }
 
-// ResumeDelay notes a stream that its caller resumes and that came in at a time, and
+// ResumeDelay counts a stream that its caller resumes, received at the given time, and
 // returns how long to hold it.
-func (c *Spreader) ResumeDelay(received time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := c.fade()
-	c.resumed++
-	if c.resumed < least || c.resumed < c.begun {
+func (s *Spreader) ResumeDelay(received time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.decay()
+	s.resumed++
+	if s.resumed < minBurst || s.resumed < s.started {
 		return 0
 	}
-	d := time.Duration(rand.Float64() * float64(spread))
-	return max(0, min(d, most-now.Sub(received)))
+	d := time.Duration(rand.Float64() * float64(spreadTime))
+	return max(0, min(d, maxHold-now.Sub(received)))
 }
 
-// fade lets what was noted count less, and returns the time.
-func (c *Spreader) fade() time.Time {
-	now := c.clock.Now()
-	f := math.Exp(-float64(now.Sub(c.at)) / float64(memory))
-	c.resumed *= f
-	c.begun *= f
-	c.at = now
+// decay decays the counts to the current time, which it returns.
+func (s *Spreader) decay() time.Time {
+	now := s.clock.Now()
+	f := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(decayTime))
+	s.resumed *= f
+	s.started *= f
+	s.updatedAt = now
 	return now
 }
--- a/pkg/pattern/endpoint.go
+++ b/pkg/pattern/endpoint.go
@@ -6,116 +6,114 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// endpoint is one engine, which holds some layers and works in passes: each takes
-// all that waits, a few steps of every stream that writes and a bounded number of
-// prompt tokens, those that came first.
+// endpoint is a simulated engine. It holds some layers and works in passes: each one
+// takes all waiting tasks, runs a few steps of every stream that writes, and reads a
+// bounded number of prompt tokens in the order of arrival.
 //
-// Invariant: a visit is in waiting, or in the pass under way, or done.
+// Invariant: a task waits, is in the pass in progress, or is done.
 type endpoint struct {
-	clock  *clock
-	engine *fleet.Engine
-	shape  *Scenario
+	clock    *clock
+	engine   *fleet.Engine
+	scenario *Scenario
 
-	id     string
-	domain string
-	kind   string
-	layers fleet.Range
-	slow   float64 // multiplies its times; 1 is as expected
+	id       string
+	domain   string
+	kind     string
+	layers   fleet.Range
+	slowdown float64 // multiplies its times; 1 is normal
 
 	requests int
-	tokens   float64 // in KV memory
+	tokens   float64 // in the KV cache
 	busy     bool
-	waiting  []*visit
+	waiting  []*task
 }
 
-// visit is a stream's wish for one endpoint's work: to read read tokens, or to write
-// the tokens of one event.
-type visit struct {
-	s      *stream
-	layers int
-	read   float64
-	epoch  int // of the stream; an older one is void
-	done   func()
+// task is a stream's work at one endpoint: to read prompt tokens, or to write the
+// tokens of one event if there are none to read.
+type task struct {
+	stream       *stream
+	layers       int
+	promptTokens float64
+	epoch        int // of the stream; the task is stale if the stream's is newer
+	done         func()
 }
 
-// room returns how many tokens of KV cache the endpoint has place for.
-func (e *endpoint) room() float64 {
+// capacity returns how many tokens fit into the endpoint's KV cache.
+func (e *endpoint) capacity() float64 {
 	return e.engine.CacheTokens(e.kind, e.layers.Len()) / float64(max(1, e.layers.Len()))
 }
 
-// visit queues work.
-func (e *endpoint) visit(v *visit) {
-	e.waiting = append(e.waiting, v)
+func (e *endpoint) enqueue(t *task) {
+	e.waiting = append(e.waiting, t)
 	if !e.busy {
-		e.pass()
+		e.startPass()
 	}
 }
 
-// pass begins the next pass, if anything waits.
-func (e *endpoint) pass() {
-	e.dropVoid()
+// startPass starts the next pass, if any task waits.
+func (e *endpoint) startPass() {
+	e.dropStale()
 	e.busy = len(e.waiting) > 0
 	if !e.busy {
 		return
 	}
-	took, done := e.take()
-	e.clock.after(took, func() {
-		for _, v := range done {
-			if v.epoch == v.s.epoch {
-				v.done()
+	duration, done := e.takeBatch()
+	e.clock.after(duration, func() {
+		for _, t := range done {
+			if t.epoch == t.stream.epoch {
+				t.done()
 			}
 		}
-		e.pass()
+		e.startPass()
 	})
 }
 
-// dropVoid forgets visits of streams that were cut.
-func (e *endpoint) dropVoid() {
+// dropStale removes tasks of streams that have left their path.
+func (e *endpoint) dropStale() {
 	kept := e.waiting[:0]
-	for _, v := range e.waiting {
-		if v.epoch == v.s.epoch {
-			kept = append(kept, v)
+	for _, t := range e.waiting {
+		if t.epoch == t.stream.epoch {
+			kept = append(kept, t)
 		}
 	}
 	e.waiting = kept
 }
 
-// take takes what one pass does off the queue. It returns how long the pass takes
-// and what is done at its end.
-func (e *endpoint) take() (time.Duration, []*visit) {
+// takeBatch takes the work of one pass off the queue. It returns how long the pass
+// takes and the tasks that are done at its end.
+func (e *endpoint) takeBatch() (time.Duration, []*task) {
 	kind := e.engine.Kinds[e.kind]
-	left := float64(e.shape.Chunk * e.shape.TokensPerEvent)
+	left := float64(e.scenario.Chunk * e.scenario.TokensPerEvent)
 	steps := 1
 	widest := 0
-	writing := 0.0 // ms of one step, beyond the step itself
+	writing := 0.0 // ms that sequences and context add to one step
 	reading := 0.0 // ms
-	var done, later []*visit
-	for _, v := range e.waiting {
-		share := float64(v.layers) / float64(e.engine.Layers)
+	var done, later []*task
+	for _, t := range e.waiting {
+		share := float64(t.layers) / float64(e.engine.Layers)
 		switch {
-		case v.read == 0:
-			steps = e.shape.TokensPerEvent
-			writing += share * (millis(e.engine.PerSequence) + v.s.context()/1000*millis(e.engine.PerContext))
+		case t.promptTokens == 0:
+			steps = e.scenario.TokensPerEvent
+			writing += share * (millis(e.engine.PerSequence) + t.stream.contextTokens()/1000*millis(e.engine.PerContext))
 		case left > 0:
-			n := min(left, v.read)
+			n := min(left, t.promptTokens)
 			left -= n
-			v.read -= n
+			t.promptTokens -= n
 			reading += share * n / e.engine.ReadPerSecond * 1000
 		}
-		if v.read > 0 {
-			later = append(later, v)
+		if t.promptTokens > 0 {
+			later = append(later, t)
 			continue
 		}
-		widest = max(widest, v.layers)
-		done = append(done, v)
+		widest = max(widest, t.layers)
+		done = append(done, t)
 	}
 	e.waiting = later
 	step := float64(widest) / float64(e.engine.Layers) * millis(e.engine.StepTime)
 	ms := float64(steps)*kind.Pace*(step+writing) + kind.ReadFactor*reading
-	return time.Duration(ms * e.slow * float64(time.Millisecond)), done
+	return time.Duration(ms * e.slowdown * float64(time.Millisecond)), done
 }
 
-// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
--- a/pkg/placement/bridge_test.go
+++ b/pkg/placement/bridge_test.go
@@ -10,18 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// placed returns three domains of 13 servers each, with all layers loaded.
-func placed(e *fleet.Engine) []placement.EndpointState {
+// loadedDomains returns three failure domains of 13 endpoints each, with all layers
+// loaded.
+func loadedDomains(e *fleet.Engine) []placement.EndpointState {
 	var list []placement.EndpointState
 	for d := range 3 {
-		list = append(list, servers(fmt.Sprint("d", d), "mid", 2)...)
-		list = append(list, servers(fmt.Sprint("d", d), "small", 6)...)
-		list = append(list, servers(fmt.Sprint("d", d), "tiny", 5)...)
+		list = append(list, emptyEndpoints(fmt.Sprint("d", d), "mid", 2)...)
+		list = append(list, emptyEndpoints(fmt.Sprint("d", d), "small", 6)...)
+		list = append(list, emptyEndpoints(fmt.Sprint("d", d), "tiny", 5)...)
 	}
 	return apply(list, placement.Plan(e, list))
 }
 
-// without returns the servers that a function doesn't take away.
+// without returns the endpoints for which gone returns false.
 func without(list []placement.EndpointState, gone func(s placement.EndpointState) bool) []placement.EndpointState {
 	var out []placement.EndpointState
 	for _, s := range list {
@@ -32,8 +33,8 @@
 	return out
 }
 
-// serving counts by layer the servers that hold it and stand still.
-func serving(list []placement.EndpointState, orders []placement.Order, layers int) []int {
+// countServing counts by layer the endpoints that hold it and have no order.
+func countServing(list []placement.EndpointState, orders []placement.Order, layers int) []int {
 	moved := map[string]bool{}
 	for _, o := range orders {
 		moved[o.ID] = true
@@ -50,8 +51,8 @@
 	return n
 }
 
-// unserved returns how many layers have a count of 0.
-func unserved(counts []int) int {
+// countUnserved returns how many layers have a count of 0.
+func countUnserved(counts []int) int {
 	n := 0
 	for _, c := range counts {
 		if c == 0 {
@@ -61,8 +62,8 @@
 	return n
 }
 
-// begin returns the servers with orders under way.
-func begin(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
+// withPending returns the endpoints with the orders pending.
+func withPending(list []placement.EndpointState, orders []placement.Order) []placement.EndpointState {
 	out := apply(list, orders)
 	for _, o := range orders {
 		for i := range out {
@@ -74,16 +75,16 @@
 	return out
 }
 
-var _ = Describe("a layer that nothing serves any more", func() {
+var _ = Describe("a layer that no endpoint serves any more", func() {
 	const lost = 30
 
 	holdsLost := func(s placement.EndpointState) bool { return s.Layers.From <= lost && s.Layers.To > lost }
 
-	It("is loaded first, from whatever domain, and nothing else is ordered until it is served", func() {
+	It("is loaded first, in any failure domain, and nothing else is ordered until it is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
-		list := without(placed(e), holdsLost)
-		empty := servers("d0", "tiny", 3)
+		list := without(loadedDomains(e), holdsLost)
+		empty := emptyEndpoints("d0", "tiny", 3)
 		for i := range empty {
 			empty[i].ID += "-new"
 		}
@@ -92,17 +93,17 @@
 		Expect(orders).NotTo(BeEmpty())
 		Expect(len(orders)).To(BeNumerically("<=", 3))
 		for _, o := range orders {
-			Expect(serving(list, nil, e.Layers)[o.Layers.From:o.Layers.To]).To(ContainElement(0), "each brings a layer that is missing")
+			Expect(countServing(list, nil, e.Layers)[o.Layers.From:o.Layers.To]).To(ContainElement(0), "each order loads a missing layer")
 		}
-		Expect(unserved(serving(apply(list, orders), nil, e.Layers))).To(BeZero())
-		Expect(placement.Plan(e, begin(list, orders))).To(BeEmpty(), "others would lengthen the loads that are waited for")
-		Expect(placement.Plan(e, apply(list, orders))).NotTo(BeEmpty(), "then the domains' own copies are mended")
+		Expect(countUnserved(countServing(apply(list, orders), nil, e.Layers))).To(BeZero())
+		Expect(placement.Plan(e, withPending(list, orders))).To(BeEmpty(), "more loads would slow down the urgent ones")
+		Expect(placement.Plan(e, apply(list, orders))).NotTo(BeEmpty(), "then the gaps in each domain's own copy are filled")
 	})
 
-	It("takes nothing from service, whatever was lost, as long as a layer is served", func() {
+	It("causes no move that takes another layer out of service, whatever was lost", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
-		all := placed(e)
+		all := loadedDomains(e)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			gone := rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 0, 20, rapid.ID[int]).Draw(t, "lost")
 			moving := rapid.SliceOfN(rapid.IntRange(0, len(all)-1), 0, 4).Draw(t, "moving")
@@ -115,17 +116,17 @@
 				taken[all[i].ID] = true
 			}
 			list = without(list, func(s placement.EndpointState) bool { return taken[s.ID] })
-			before := serving(list, nil, e.Layers)
-			if unserved(before) > 0 {
-				return // what is shifted then serves nobody anyway
+			before := countServing(list, nil, e.Layers)
+			if countUnserved(before) > 0 {
+				return // no request can be served anyway, so any endpoint may be shifted
 			}
-			if n := unserved(serving(list, placement.Plan(e, list), e.Layers)); n > 0 {
-				t.Fatalf("%d layers are served no longer", n)
+			if n := countUnserved(countServing(list, placement.Plan(e, list), e.Layers)); n > 0 {
+				t.Fatalf("%d layers are no longer served", n)
 			}
 		})
 	})
 
-	// holder returns a server of a domain that holds layers.
+	// holder returns an endpoint of a failure domain that holds layers.
 	holder := func(domain, kind string, from, to int) placement.EndpointState {
 		return placement.EndpointState{
 			ID:     fmt.Sprintf("%s-%d-%d-%s", domain, from, to, kind),
@@ -135,7 +136,7 @@
 		}
 	}
 
-	It("isn't made by moving the only server that serves it, though another loads it", func() {
+	It("isn't caused by moving the only endpoint that serves it while another one loads it", func() {
 		loading := holder("a", "small", 0, 8)
 		loading.OrderPending = true
 		cases := []struct {
@@ -160,18 +161,18 @@
 		}
 	})
 
-	It("isn't made by shifting a domain's servers along", func() {
+	It("isn't caused by repacking a failure domain", func() {
 		cases := []struct {
 			name    string
-			other   bool // whether domain b serves what would be shifted
+			other   bool // whether domain b serves the layers of the endpoints that would be shifted
 			shifted bool
 		}{
 			{name: "served in another domain", other: true, shifted: true},
 			{name: "served nowhere else", other: false, shifted: false},
 		}
 		for _, c := range cases {
-			// In a, layers 27 to 30 are missing, and none of its servers is spare;
-			// shifted along, they cover all.
+			// In domain a, layers 27 to 29 are missing and no endpoint is redundant, but
+			// repacked ones cover all layers.
 			list := []placement.EndpointState{holder("a", "big", 0, 27), holder("a", "big", 30, 57), holder("a", "big", 53, 80)}
 			list = append(list, holder("b", "small", 24, 32))
 			if c.other {
@@ -181,10 +182,10 @@
 		}
 	})
 
-	It("is served again after a few rounds of loads, whatever was lost, if what is left can hold the model", func() {
+	It("is served again after a few rounds of loads, whatever was lost, if the remaining endpoints can hold the model", func() {
 		e := engine()
 		e.LoadsAtOnce = 6
-		all := placed(e)
+		all := loadedDomains(e)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			gone := rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 0, 24, rapid.ID[int]).Draw(t, "lost")
 			taken := map[string]bool{}
@@ -195,38 +196,38 @@
 			for range 4 {
 				list = apply(list, placement.Plan(e, list))
 			}
-			if n := unserved(serving(list, nil, e.Layers)); n > 0 {
-				t.Fatalf("%d layers are still missing with %d servers", n, len(list))
+			if n := countUnserved(countServing(list, nil, e.Layers)); n > 0 {
+				t.Fatalf("%d layers are still missing with %d endpoints", n, len(list))
 			}
 		})
 	})
 })
 
 var _ = Describe("loads", func() {
-	It("are bounded by what the store serves at once, but not before anything is served", func() {
+	It("are bounded by what the store of weights serves at once, but not before anything is served", func() {
 		e := engine()
 		e.LoadsAtOnce = 2
-		fresh := append(servers("d0", "small", 12), servers("d1", "small", 12)...)
-		Expect(placement.Plan(e, fresh)).To(HaveLen(24))
-		list := placed(e)
-		empty := servers("d0", "small", 9)
+		unloaded := append(emptyEndpoints("d0", "small", 12), emptyEndpoints("d1", "small", 12)...)
+		Expect(placement.Plan(e, unloaded)).To(HaveLen(24))
+		list := loadedDomains(e)
+		empty := emptyEndpoints("d0", "small", 9)
 		for i := range empty {
 			empty[i].ID += "-new"
 		}
 		list = append(list, empty...)
 		first := placement.Plan(e, list)
 		Expect(first).To(HaveLen(3))
-		Expect(placement.Plan(e, begin(list, first))).To(BeEmpty())
+		Expect(placement.Plan(e, withPending(list, first))).To(BeEmpty())
 		Expect(placement.Plan(e, apply(list, first))).To(HaveLen(3))
 		e.LoadsAtOnce = 0
 		Expect(placement.Plan(e, list)).To(HaveLen(9))
 	})
 })
 
-var _ = Describe("a server that takes less than is asked for", func() {
-	It("isn't moved into a hole, though it would fill that best", func() {
+var _ = Describe("an endpoint whose rate limit is below demand", func() {
+	It("isn't moved into a gap, though it would fill it best", func() {
 		e := engine()
-		list := without(placed(e), func(s placement.EndpointState) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
+		list := without(loadedDomains(e), func(s placement.EndpointState) bool { return s.Layers.From <= 20 && s.Layers.To > 20 })
 		orders := placement.Plan(e, list)
 		Expect(orders).NotTo(BeEmpty())
 		for i := range list {
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// weightShare is the part of an accelerator's memory that weights may
-	// take; the rest is KV memory. At 0.66 every kind keeps room for 125,000
-	// tokens or more of the layers it holds, three times the users' load in
-	// a failure domain (docs/PLATFORM.md).
+	// weightShare is the share of an accelerator's memory that weights may take; the
+	// rest holds the KV cache. At 0.66 every kind has room for at least 125,000 tokens
+	// in the layers that it holds, three times the expected load of a failure domain.
 	weightShare = 0.66
-	// ownWeight is how much more a layer that the own group of domains covers
-	// counts than one that another covers.
-	ownWeight = 16
-	// lossWeight is how much a layer's chance to be lost counts, against one
-	// holder in another group. Each server is as likely to be lost, so a layer
-	// whose holder has few layers is worth more to cover again.
+	// ownGroupWeight is how much more a holder of a layer counts in the own group of
+	// failure domains than in another one.
+	ownGroupWeight = 16
+	// lossWeight is how much the risk of losing a layer counts, against one holder in
+	// another group. All endpoints are equally likely to be lost, so it is worth more
+	// to cover a layer again whose holder has few layers.
 	lossWeight = 32
 )
 
@@ -26,135 +25,139 @@
 type Order struct {
 	ID     string
 	Layers fleet.Range
-	// InterruptStreams says that streams which still pass the endpoint are broken off, and
-	// continue elsewhere.
+	// InterruptStreams says that streams which still pass the endpoint are broken off
+	// and continue elsewhere. Otherwise the endpoint waits for them.
 	InterruptStreams bool
 }
 
-// EndpointState is an endpoint as the plan sees it.
+// EndpointState is an endpoint as the planner sees it.
 type EndpointState struct {
 	ID     string
 	Domain string
 	Kind   string
-	// Layers is what it holds or was ordered to hold; empty if nothing.
+	// Layers are those that it holds or was ordered to hold; empty if none.
 	Layers fleet.Range
-	// OrderPending servers carry out an order, and are left alone.
+	// OrderPending says that an order may still be in progress. The endpoint gets no
+	// other one meanwhile.
 	OrderPending bool
-	// Slowdown is how many times as slow as its kind it is.
+	// Slowdown is how many times as slow as its kind the endpoint is.
 	Slowdown float64
-	// BelowDemand servers take less than is asked for: layers that only such ones hold are
-	// copied. Their streams stay, so they are left where they are.
+	// BelowDemand says that the endpoint's rate limit is below the load that its
+	// service is asked for. Layers that only such endpoints hold are copied to others.
+	// The endpoints themselves keep their streams and aren't moved.
 	BelowDemand bool
-	// JustJoined servers have only just come: they are kept for a hole, since the
-	// one that they replace may be about to leave.
+	// JustJoined says that the endpoint has joined only just now. It is kept for a gap,
+	// since the endpoint that it replaces may be about to leave.
 	JustJoined bool
 }
 
-// Plan returns the orders that are due. Layers that nothing serves come before
-// all else, and nothing else is ordered until they are served. Then each empty
-// server takes the layers that are covered least, counted first among the domains
-// that hold a copy together. A hole that no empty server fills takes a server all
-// of whose layers others hold too, or else servers shift until their overlaps fill
-// it, if others serve their layers meanwhile; nothing else is moved. No more is
-// loaded at once than the store serves.
-func Plan(e *fleet.Engine, servers []EndpointState) []Order {
+// Plan returns the orders that are due. Layers that no endpoint serves come first, and
+// nothing else is ordered until they are served. Then each empty endpoint gets the
+// layers with the least coverage, in the first place within its group: the failure
+// domains that hold a copy together. A gap that no empty endpoint fills gets an
+// endpoint whose layers all are held by others too. If there is none, endpoints shift
+// along the layers until their overlaps fill the gap, if others serve their layers
+// meanwhile. No other endpoint is moved, and no more loads are started at once than the
+// store of weights serves.
+func Plan(e *fleet.Engine, endpoints []EndpointState) []Order {
 	if e.Layers <= 0 || e.LayerMB <= 0 {
 		return nil
 	}
-	p := newPlanner(e, servers)
-	budget := p.loads()
-	orders := p.bridge()
-	budget.take(len(orders))
-	if len(orders) > 0 || p.broken() {
+	p := newPlanner(e, endpoints)
+	budget := p.newLoadBudget()
+	orders := p.recoverLayers()
+	budget.reserve(len(orders))
+	if len(orders) > 0 || p.anyLayerUnserved() {
 		return orders
 	}
-	for _, s := range p.empty() {
-		if budget.left == 0 {
+	for _, s := range p.emptyEndpoints() {
+		if budget.remaining == 0 {
 			return orders
 		}
-		if o, ok := p.place(s); ok && budget.take(1) {
+		if o, ok := p.place(s); ok && budget.reserve(1) {
 			orders = append(orders, o)
 		}
 	}
-	return append(orders, p.mend(budget)...)
+	return append(orders, p.fillGaps(budget)...)
 }
 
 type planner struct {
-	engine  *fleet.Engine
-	servers []EndpointState
-	group   map[string]int // by domain
-	cover   [][]int        // by group, then layer
-	held    [][]int        // the same, with servers that are slow
-	total   []int          // by layer
-	// serving, limping and coming count the servers of all groups by layer: those
-	// that serve it as they should, those that serve it slowly or too little, and
-	// those that are loading it.
-	serving []int
-	limping []int
-	coming  []int
-	chance  [][]float64 // by group, then layer: sum of 1/layers of its holders
+	engine    *fleet.Engine
+	endpoints []EndpointState
+	group     map[string]int // by domain
+	cover     [][]int        // holders by group, then layer, without slow ones
+	held      [][]int        // the same, with slow ones
+	total     []int          // cover of all groups, by layer
+	// serving, degraded and loading count the endpoints of all groups by layer: those
+	// that serve it normally, those that serve it slowly or below demand, and those
+	// with a pending order for it.
+	serving  []int
+	degraded []int
+	loading  []int
+	lossRisk [][]float64 // by group, then layer: sum over its holders of 1/(their number of layers)
 }
 
-func newPlanner(e *fleet.Engine, servers []EndpointState) *planner {
+func newPlanner(e *fleet.Engine, endpoints []EndpointState) *planner {
 	p := &planner{
-		engine:  e,
-		servers: append([]EndpointState(nil), servers...),
-		total:   make([]int, e.Layers),
-		serving: make([]int, e.Layers),
-		limping: make([]int, e.Layers),
-		coming:  make([]int, e.Layers),
+		engine:    e,
+		endpoints: append([]EndpointState(nil), endpoints...),
+		total:     make([]int, e.Layers),
+		serving:   make([]int, e.Layers),
+		degraded:  make([]int, e.Layers),
+		loading:   make([]int, e.Layers),
 	}
 	p.findGroups()
-	for _, s := range p.servers {
+	for _, s := range p.endpoints {
 		p.count(s)
 	}
 	return p
 }
 
-// slowLimit is how many times as slow as its kind a server may be that counts
-// as a cover of its layers.
+// slowLimit is the slowdown from which on an endpoint doesn't count as a cover of its
+// layers.
 const slowLimit = 4
 
-// count adds what a server holds to the covers.
+// count adds an endpoint's layers to the counts.
 func (p *planner) count(s EndpointState) {
 	p.add(s, 1)
 }
 
-// add adds a server's layers n times.
+// add adds n to the counts of each of an endpoint's layers.
 func (p *planner) add(s EndpointState, n int) {
 	g := p.group[s.Domain]
 	for l := max(0, s.Layers.From); l < min(s.Layers.To, p.engine.Layers); l++ {
 		p.held[g][l] += n
-		p.standing(s)[l] += n
+		p.countsFor(s)[l] += n
 		if s.Slowdown >= slowLimit {
 			continue
 		}
 		p.cover[g][l] += n
-		p.chance[g][l] += float64(n) / float64(s.Layers.Len())
+		p.lossRisk[g][l] += float64(n) / float64(s.Layers.Len())
 		p.total[l] += n
 	}
 }
 
-// standing returns the counts that a server's layers belong to.
-func (p *planner) standing(s EndpointState) []int {
+// countsFor returns the one of serving, degraded and loading to which an endpoint's
+// layers belong.
+func (p *planner) countsFor(s EndpointState) []int {
 	switch {
 	case s.OrderPending:
-		return p.coming
+		return p.loading
 	case s.Slowdown >= slowLimit || s.BelowDemand:
-		return p.limping
+		return p.degraded
 	default:
 		return p.serving
 	}
 }
 
-// room is how many layers a server should hold.
-func (p *planner) room(s EndpointState) int {
-	return p.roomAt(s, weightShare)
+// capacity returns how many layers an endpoint should hold.
+func (p *planner) capacity(s EndpointState) int {
+	return p.capacityAt(s, weightShare)
 }
 
-// roomAt is how many layers a server holds if weights may take a share of its
-// memory.
-func (p *planner) roomAt(s EndpointState, share float64) int {
+// capacityAt returns how many layers fit into an endpoint if weights may take a share
+// of its memory. It is at least 1 where the whole memory has room for two or more.
+func (p *planner) capacityAt(s EndpointState, share float64) int {
 	n := int(p.engine.Kinds[s.Kind].MB * share / p.engine.LayerMB)
 	if n == 0 && p.engine.MaxLayers(s.Kind) > 1 {
 		n = 1
@@ -162,52 +165,53 @@
 	return min(n, p.engine.Layers)
 }
 
-// findGroups gives each domain that can hold every layer a group of its own,
+// findGroups gives each failure domain that can hold every layer a group of its own,
 // and puts the others together.
 func (p *planner) findGroups() {
-	rooms := map[string]int{}
-	for _, s := range p.servers {
-		rooms[s.Domain] += max(p.roomAt(s, repackShares[len(repackShares)-1]), s.Layers.Len())
+	capacities := map[string]int{}
+	for _, s := range p.endpoints {
+		capacities[s.Domain] += max(p.capacityAt(s, repackShares[len(repackShares)-1]), s.Layers.Len())
 	}
-	domains := make([]string, 0, len(rooms))
-	for d := range rooms {
+	domains := make([]string, 0, len(capacities))
+	for d := range capacities {
 		domains = append(domains, d)
 	}
 	sort.Slice(domains, func(i, j int) bool {
-		if rooms[domains[i]] != rooms[domains[j]] {
-			return rooms[domains[i]] > rooms[domains[j]]
+		if capacities[domains[i]] != capacities[domains[j]] {
+			return capacities[domains[i]] > capacities[domains[j]]
 		}
 		return domains[i] < domains[j]
 	})
 	p.group = map[string]int{}
 	shared := -1
-	sharedRoom := 0
+	sharedCapacity := 0
 	for _, d := range domains {
-		if rooms[d] >= p.engine.Layers {
+		if capacities[d] >= p.engine.Layers {
 			p.group[d] = p.addGroup()
 			continue
 		}
-		if shared < 0 || sharedRoom >= p.engine.Layers {
+		if shared < 0 || sharedCapacity >= p.engine.Layers {
 			shared = p.addGroup()
-			sharedRoom = 0
+			sharedCapacity = 0
 		}
 		p.group[d] = shared
-		sharedRoom += rooms[d]
+		sharedCapacity += capacities[d]
 	}
 }
 
 func (p *planner) addGroup() int {
 	p.cover = append(p.cover, make([]int, p.engine.Layers))
 	p.held = append(p.held, make([]int, p.engine.Layers))
-	p.chance = append(p.chance, make([]float64, p.engine.Layers))
+	p.lossRisk = append(p.lossRisk, make([]float64, p.engine.Layers))
 	return len(p.cover) - 1
 }
 
-// empty returns the servers that hold nothing: group by group, fastest first.
-func (p *planner) empty() []EndpointState {
+// emptyEndpoints returns the endpoints that hold nothing, ordered by group and then
+// from the fastest on.
+func (p *planner) emptyEndpoints() []EndpointState {
 	var list []EndpointState
-	for _, s := range p.servers {
-		if s.Layers.Len() == 0 && p.room(s) > 0 {
+	for _, s := range p.endpoints {
+		if s.Layers.Len() == 0 && p.capacity(s) > 0 {
 			list = append(list, s)
 		}
 	}
@@ -225,11 +229,12 @@
 	return list
 }
 
-// place gives a server the group's first hole, and where there is none the
-// window of layers that is covered least.
+// place orders an endpoint to hold the layers of the group's first gap. If there is no
+// gap, an endpoint that just joined gets no order, and another one the range of layers
+// with the least coverage.
 func (p *planner) place(s EndpointState) (Order, bool) {
-	n := p.room(s)
-	from, ok := p.hole(s)
+	n := p.capacity(s)
+	from, ok := p.firstGap(s)
 	switch {
 	case ok:
 		from = min(from, p.engine.Layers-n)
@@ -253,8 +258,9 @@
 	}, true
 }
 
-// hole returns the first layer that nothing in the group holds.
-func (p *planner) hole(s EndpointState) (int, bool) {
+// firstGap returns the first layer that no endpoint of the group holds, slow ones
+// aside.
+func (p *planner) firstGap(s EndpointState) (int, bool) {
 	for l, n := range p.cover[p.group[s.Domain]] {
 		if n == 0 {
 			return l, true
@@ -276,17 +282,17 @@
 	return best
 }
 
-// windowCost grows faster than the cover, so that an uneven cover costs more.
-// The chance of a loss counts only where one holder stands between it and a
-// hole.
+// windowCost is the cost of placing an endpoint on n layers: the less they are covered,
+// the lower. It grows faster than the coverage, so that uneven coverage costs more. The
+// loss risk counts only for layers that have a single holder in the group.
 func (p *planner) windowCost(s EndpointState, from, n int) float64 {
 	g := p.group[s.Domain]
 	sum := 0.0
 	for l := from; l < from+n; l++ {
 		own := p.cover[g][l]
-		sum += float64(ownWeight*own*own + p.total[l])
+		sum += float64(ownGroupWeight*own*own + p.total[l])
 		if own == 1 {
-			sum -= lossWeight * p.chance[g][l]
+			sum -= lossWeight * p.lossRisk[g][l]
 		}
 	}
 	return sum
