--- a/pkg/gateway/asker.go
+++ b/pkg/gateway/asker.go
@@ -10,89 +10,89 @@
 )
 
 const (
-	// stallAskTimeout bounds a question.
-	stallAskTimeout = 150 * time.Millisecond
-	// sharedFor is how long an answer serves whoever asks: endpoints tell what
+	// stallQueryTimeout bounds a question.
+	stallQueryTimeout = 150 * time.Millisecond
+	// answerReuse is how long an answer serves whoever asks: endpoints tell what
 	// was 200 ms before, so an answer half as old misses little.
-	sharedFor = 100 * time.Millisecond
-	// deadAfter is how many questions in a row without an answer make an endpoint
+	answerReuse = 100 * time.Millisecond
+	// unresponsiveAfter is how many questions in a row without an answer make an endpoint
 	// count as lost.
-	deadAfter = 2
+	unresponsiveAfter = 2
 )
 
-// asker asks the first endpoints of paths which requests stand still. At each
+// stallQuerier asks the first endpoints of paths which requests stand still. At each
 // one question is under way at a time, and its answer serves every stream that
 // asked meanwhile or shortly after: when an endpoint is slow or lost, all of its
 // streams ask at once. It is safe for use by several goroutines.
-type asker struct {
-	backend EndpointClient
-	manners manners
-	svc     timer.Service
+type stallQuerier struct {
+	client EndpointClient
+	policy queryPolicy
+	svc    timer.Service
 
-	mu   sync.Mutex
-	rows map[string]*question // by address
+	mu      sync.Mutex
+	queries map[string]*stallQuery // by address
 }
 
-// manners is what endpoints want of calls to them.
-type manners interface {
-	// mayAsk reports whether an endpoint may be asked now, and takes what that needs.
-	mayAsk(id string) bool
-	// asked takes what the answer to a question sent at a time says of an endpoint.
-	asked(service, id string, w fleet.Notice, sent time.Time)
+// queryPolicy is what endpoints want of calls to them.
+type queryPolicy interface {
+	// admitQuery reports whether an endpoint may be asked now, and takes what that needs.
+	admitQuery(id string) bool
+	// observeQueryAnswer takes what the answer to a question sent at a time says of an endpoint.
+	observeQueryAnswer(service, id string, w fleet.Notice, sent time.Time)
 }
 
-// mayAsk implements manners.
-func (g *Gateway) mayAsk(id string) bool {
-	if !g.rests.MayCall(id) || !g.permits.TryAcquire(id) || !g.rests.TryAcquire(id) {
+// admitQuery implements manners.
+func (g *Gateway) admitQuery(id string) bool {
+	if !g.backoffs.MayCall(id) || !g.permits.TryAcquire(id) || !g.backoffs.TryAcquire(id) {
 		return false
 	}
-	g.countLimited("question", id)
+	g.countLimitedCall("question", id)
 	return true
 }
 
-// asked implements manners.
-func (g *Gateway) asked(service, id string, w fleet.Notice, sent time.Time) {
-	g.hear(id, w)
-	g.hearLimit(service, id, w.Limit, sent)
+// observeQueryAnswer implements manners.
+func (g *Gateway) observeQueryAnswer(service, id string, w fleet.Notice, sent time.Time) {
+	g.observeNotice(id, w)
+	g.observeLimit(service, id, w.Limit, sent)
 }
 
-// question is the newest one to an address.
-type question struct {
-	done   chan struct{} // closed with the answer
-	at     time.Time     // of the answer; zero before it
-	found  StallReport
-	err    error
-	silent int // questions in a row without an answer, with this one
+// stallQuery is the newest one to an address.
+type stallQuery struct {
+	done       chan struct{} // closed with the answer
+	answeredAt time.Time     // of the answer; zero before it
+	report     StallReport
+	err        error
+	unanswered int // questions in a row without an answer, with this one
 }
 
-// maxQuestions is how many addresses are remembered: more than a deployment has
+// maxQueriedAddresses is how many addresses are remembered: more than a deployment has
 // endpoints that hold first layers.
-const maxQuestions = 1000
+const maxQueriedAddresses = 1000
 
-func newAsker(m manners, backend EndpointClient, svc timer.Service) *asker {
-	return &asker{
-		backend: backend,
-		manners: m,
+func newStallQuerier(m queryPolicy, backend EndpointClient, svc timer.Service) *stallQuerier {
+	return &stallQuerier{
+		client:  backend,
+		policy:  m,
 		svc:     svc,
-		rows:    map[string]*question{},
+		queries: map[string]*stallQuery{},
 	}
 }
 
-// ask returns the newest answer of an endpoint, and asks for one if there is none. A
+// query returns the newest answer of an endpoint, and asks for one if there is none. A
 // question outlives the stream that asked it. It returns nil if the endpoint wants none:
 // it rests and was asked once in that, or has a limit and there is no permit.
-func (a *asker) ask(ctx context.Context, service, id, address string) *question {
+func (a *stallQuerier) query(ctx context.Context, service, id, address string) *stallQuery {
 	q, mine := a.join(id, address)
 	if q == nil {
 		return nil
 	}
 	if mine {
 		sent := a.svc.Now()
-		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallAskTimeout)
-		found, err := a.backend.QueryStalls(askCtx, address)
+		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallQueryTimeout)
+		found, err := a.client.QueryStalls(askCtx, address)
 		cancel()
-		a.manners.asked(service, id, found.Notice, sent)
-		a.answer(q, found, err)
+		a.policy.observeQueryAnswer(service, id, found.Notice, sent)
+		a.complete(q, found, err)
 		return q
 	}
 	select {
@@ -103,52 +103,52 @@
 }
 
 // join returns the question that serves now; mine says that the caller must ask it.
-func (a *asker) join(id, address string) (q *question, mine bool) {
+func (a *stallQuerier) join(id, address string) (q *stallQuery, mine bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	old := a.rows[address]
-	if old != nil && a.serves(old) {
+	old := a.queries[address]
+	if old != nil && a.reusable(old) {
 		return old, false
 	}
-	if !a.manners.mayAsk(id) {
+	if !a.policy.admitQuery(id) {
 		return nil, false
 	}
-	q = &question{
+	q = &stallQuery{
 		done: make(chan struct{}),
 	}
 	if old != nil {
-		q.silent = old.silent
+		q.unanswered = old.unanswered
 	}
-	if len(a.rows) >= maxQuestions {
-		a.rows = map[string]*question{}
+	if len(a.queries) >= maxQueriedAddresses {
+		a.queries = map[string]*stallQuery{}
 	}
-	a.rows[address] = q
+	a.queries[address] = q
 	return q, true
 }
 
-// serves reports whether a question is under way, or its answer is new enough. One
+// reusable reports whether a question is under way, or its answer is new enough. One
 // that stayed without an answer serves once it tells that the endpoint is lost.
-func (a *asker) serves(q *question) bool {
-	if q.at.IsZero() {
+func (a *stallQuerier) reusable(q *stallQuery) bool {
+	if q.answeredAt.IsZero() {
 		return true
 	}
-	return (q.err == nil || q.lost()) && a.svc.Now().Sub(q.at) < sharedFor
+	return (q.err == nil || q.unresponsive()) && a.svc.Now().Sub(q.answeredAt) < answerReuse
 }
 
-func (a *asker) answer(q *question, found StallReport, err error) {
+func (a *stallQuerier) complete(q *stallQuery, found StallReport, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	q.found = found
+	q.report = found
 	q.err = err
-	q.at = a.svc.Now()
-	q.silent++
+	q.answeredAt = a.svc.Now()
+	q.unanswered++
 	if err == nil {
-		q.silent = 0
+		q.unanswered = 0
 	}
 	close(q.done)
 }
 
-// lost reports whether questions in a row stayed without an answer.
-func (q *question) lost() bool {
-	return q.err != nil && q.silent >= deadAfter
+// unresponsive reports whether questions in a row stayed without an answer.
+func (q *stallQuery) unresponsive() bool {
+	return q.err != nil && q.unanswered >= unresponsiveAfter
 }
--- a/pkg/gateway/asker_test.go
+++ b/pkg/gateway/asker_test.go
@@ -14,85 +14,85 @@
 	. "github.com/onsi/gomega"
 )
 
-// askBackend counts questions, and answers each when release lets it.
-type askBackend struct {
+// queryClient counts questions, and answers each when release lets it.
+type queryClient struct {
 	EndpointClient
-	asked   atomic.Int64
-	release chan error
-	heard   []fleet.Notice
+	queries atomic.Int64
+	results chan error
+	notices []fleet.Notice
 }
 
-func (b *askBackend) QueryStalls(context.Context, string) (StallReport, error) {
-	b.asked.Add(1)
-	err := <-b.release
+func (b *queryClient) QueryStalls(context.Context, string) (StallReport, error) {
+	b.queries.Add(1)
+	err := <-b.results
 	return StallReport{Addresses: map[string]string{"r1": "x:1"}, Notice: fleet.Notice{Leaving: true}}, err
 }
 
-// withAsker runs f on an asker whose questions wait for release.
-func withAsker(f func(a *asker, b *askBackend, clock *timer.Manual)) {
-	b := &askBackend{
-		release: make(chan error, 10),
+// withStallQuerier runs f on an asker whose questions wait for release.
+func withStallQuerier(f func(a *stallQuerier, b *queryClient, clock *timer.Manual)) {
+	b := &queryClient{
+		results: make(chan error, 10),
 	}
 	clock := timer.NewManual(time.Unix(1000, 0))
-	f(newAsker(&listener{rests: rest.New(clock), backend: b}, b, clock), b, clock)
+	f(newStallQuerier(&fakeQueryPolicy{backoffs: rest.New(clock), client: b}, b, clock), b, clock)
 }
 
-// listener lets endpoints that don't rest be asked, and notes what they say.
-type listener struct {
-	rests   *rest.Tracker
-	backend *askBackend
+// fakeQueryPolicy lets endpoints that don't rest be asked, and notes what they say.
+type fakeQueryPolicy struct {
+	backoffs *rest.Tracker
+	client   *queryClient
 }
 
-func (l *listener) mayAsk(id string) bool { return l.rests.TryAcquire(id) }
+func (l *fakeQueryPolicy) admitQuery(id string) bool { return l.backoffs.TryAcquire(id) }
 
-func (l *listener) asked(_, _ string, w fleet.Notice, _ time.Time) {
-	l.backend.heard = append(l.backend.heard, w)
+func (l *fakeQueryPolicy) observeQueryAnswer(_, _ string, w fleet.Notice, _ time.Time) {
+	l.client.notices = append(l.client.notices, w)
 }
 
 var _ = Describe("questions to endpoints", func() {
 	It("are one at a time for an endpoint, and serve all who ask meanwhile or shortly after", func() {
-		withAsker(func(a *asker, b *askBackend, clock *timer.Manual) {
+		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
 			g := group.New(context.Background())
-			answers := make(chan *question, 20)
+			answers := make(chan *stallQuery, 20)
 			for range 20 {
 				g.Go(func(ctx context.Context) {
-					answers <- a.ask(ctx, "s", "x", "x:1")
+					answers <- a.query(ctx, "s", "x", "x:1")
 				})
 			}
-			Eventually(b.asked.Load, "5s").Should(Equal(int64(1)))
-			b.release <- nil
+			Eventually(b.queries.Load, "5s").Should(Equal(int64(1)))
+			b.results <- nil
 			g.Wait()
 			for range 20 {
-				Expect((<-answers).found.Addresses).To(HaveKey("r1"))
+				Expect((<-answers).report.Addresses).To(HaveKey("r1"))
 			}
-			Expect(b.asked.Load()).To(Equal(int64(1)))
-			clock.Advance(sharedFor)
-			b.release <- nil
-			a.ask(context.Background(), "s", "x", "x:1")
-			Expect(b.asked.Load()).To(Equal(int64(2)), "an old answer serves nobody")
-			b.release <- nil
-			a.ask(context.Background(), "s", "y", "y:1")
-			Expect(b.asked.Load()).To(Equal(int64(3)), "another endpoint is asked for itself")
+			Expect(b.queries.Load()).To(Equal(int64(1)))
+			clock.Advance(answerReuse)
+			b.results <- nil
+			a.query(context.Background(), "s", "x", "x:1")
+			Expect(b.queries.Load()).To(Equal(int64(2)), "an old answer serves nobody")
+			b.results <- nil
+			a.query(context.Background(), "s", "y", "y:1")
+			Expect(b.queries.Load()).To(Equal(int64(3)), "another endpoint is asked for itself")
 		})
 	})
 
 	It("are heard once each, also where the answer is an error and whoever asked has left", func() {
-		withAsker(func(a *asker, b *askBackend, clock *timer.Manual) {
+		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			b.release <- nil
-			a.ask(ctx, "s", "x", "x:1")
-			a.ask(ctx, "s", "x", "x:1") // the same answer
-			Expect(b.heard).To(Equal([]fleet.Notice{{Leaving: true}}))
-			clock.Advance(sharedFor)
-			b.release <- errors.New("status 500")
-			a.ask(ctx, "s", "x", "x:1")
-			Expect(b.heard).To(HaveLen(2))
+			b.results <- nil
+			a.query(ctx, "s", "x", "x:1")
+			a.query(ctx, "s", "x", "x:1") // the same answer
+			Expect(b.notices).To(Equal([]fleet.Notice{{Leaving: true}}))
+			clock.Advance(answerReuse)
+			b.results <- errors.New("status 500")
+			a.query(ctx, "s", "x", "x:1")
+			Expect(b.notices).To(HaveLen(2))
 		})
 	})
 
 	It("count those in a row that stayed without an answer", func() {
-		withAsker(func(a *asker, b *askBackend, clock *timer.Manual) {
+		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
 			cases := []struct {
 				what string
 				err  error
@@ -104,9 +104,9 @@
 				{"two in a row", errors.New("timeout"), true},
 			}
 			for _, c := range cases {
-				b.release <- c.err
-				Expect(a.ask(context.Background(), "s", "x", "x:1").lost()).To(Equal(c.lost), c.what)
-				clock.Advance(sharedFor)
+				b.results <- c.err
+				Expect(a.query(context.Background(), "s", "x", "x:1").unresponsive()).To(Equal(c.lost), c.what)
+				clock.Advance(answerReuse)
 			}
 		})
 	})
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -31,18 +31,18 @@
 	return d
 }
 
-// stages returns the endpoints that hold layers and may be called now, with their load.
-func (s *streamRun) stages(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
-	if !s.g.rests.HasAny() && !s.g.permits.HasLimits() {
-		return s.holders(avoid)
+// candidates returns the endpoints that hold layers and may be called now, with their load.
+func (s *streamRun) candidates(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
+	if !s.g.backoffs.HasAny() && !s.g.permits.HasLimits() {
+		return s.allCandidates(avoid)
 	}
-	return s.holders(func(e *fleet.Endpoint) bool {
-		return s.g.rests.Remaining(e.ID) > 0 || !s.g.permits.MayCall(e.ID) || avoid(e)
+	return s.allCandidates(func(e *fleet.Endpoint) bool {
+		return s.g.backoffs.Remaining(e.ID) > 0 || !s.g.permits.MayCall(e.ID) || avoid(e)
 	})
 }
 
-// holders is stages with endpoints that rest or have no permit.
-func (s *streamRun) holders(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
+// allCandidates is stages with endpoints that rest or have no permit.
+func (s *streamRun) allCandidates(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
 	list := s.g.source.Endpoints(s.j.service.Name)
 	out := make([]pathing.Candidate, 0, len(list))
 	for i := range list {
@@ -61,7 +61,7 @@
 			Requests: float64(own.Requests + others.Requests),
 			Tokens:   float64(own.Tokens + others.Tokens),
 			Slowdown: e.Slowdown,
-			Wait:     s.g.waits.expect(e.ID),
+			Wait:     s.g.waits.estimate(e.ID),
 		})
 	}
 	return out
@@ -71,108 +71,108 @@
 // spread more widely: they come all at once, before loads can tell.
 func (s *streamRun) jitter() float64 {
 	width := jitterWidth
-	if s.ran > 0 {
-		width = cutJitterWidth
+	if s.attempts > 0 {
+		width = resumeJitterWidth
 	}
 	return 1 - width + 2*width*rand.Float64()
 }
 
-// chooseSoon finds a path, once there is one. While endpoints may still
+// choosePath finds a path, once there is one. While endpoints may still
 // announce themselves, one that crosses failure domains isn't taken.
-func (s *streamRun) chooseSoon(ctx context.Context) *failure.Error {
+func (s *streamRun) choosePath(ctx context.Context) *failure.Error {
 	for {
 		changed := s.g.source.Changed()
-		path, e := s.choose()
+		path, e := s.findPath()
 		if e == nil && (pathing.DomainCrossings(path) == 0 || s.g.source.Settled()) {
-			if !s.g.permits.TryAcquire(idsOf(path)...) {
+			if !s.g.permits.TryAcquire(endpointIDs(path)...) {
 				continue // another request was before this one
 			}
-			s.take(path)
+			s.setPath(path)
 			return nil
 		}
-		if e != nil && s.borrowPath(ctx) {
+		if e != nil && s.requestPathPermits(ctx) {
 			continue
 		}
-		if e != nil && s.due > 0 {
-			e = s.g.full(s.due)
+		if e != nil && s.permitAvailableIn > 0 {
+			e = s.g.noPermitError(s.permitAvailableIn)
 		}
-		if s.g.awaitEndpoints(ctx, s.j.req, changed) || s.awaitRoom(ctx, e) {
+		if s.g.awaitEndpoints(ctx, s.j.req, changed) || s.awaitCapacity(ctx, e) {
 			continue
 		}
-		if e == nil && !s.g.permits.TryAcquire(idsOf(path)...) {
+		if e == nil && !s.g.permits.TryAcquire(endpointIDs(path)...) {
 			continue
 		}
 		if e == nil {
-			s.take(path)
+			s.setPath(path)
 		}
 		return e
 	}
 }
 
 const (
-	// roomWait is how long a stream that has begun waits for a path: its caller
+	// capacityWait is how long a stream that has begun waits for a path: its caller
 	// gives it up after a gap of two seconds, of which a third may be over.
-	roomWait = 900 * time.Millisecond
-	// roomPause is how often it looks: memory is freed with every stream that
+	capacityWait = 900 * time.Millisecond
+	// capacityPollInterval is how often it looks: memory is freed with every stream that
 	// ends, a few dozen a second.
-	roomPause = 100 * time.Millisecond
+	capacityPollInterval = 100 * time.Millisecond
 )
 
-// awaitRoom waits a little before a stream that was cut looks for a path again.
+// awaitCapacity waits a little before a stream that was cut looks for a path again.
 // When an endpoint is lost, its streams come to the others all at once, and
 // find them full for a moment.
-func (s *streamRun) awaitRoom(ctx context.Context, e *failure.Error) bool {
-	if e == nil || s.ran == 0 || s.waited >= roomWait {
+func (s *streamRun) awaitCapacity(ctx context.Context, e *failure.Error) bool {
+	if e == nil || s.attempts == 0 || s.capacityWaited >= capacityWait {
 		return false
 	}
-	s.waited += roomPause
-	s.refused = map[string]bool{}
-	return timer.Sleep(ctx, s.g.svc, roomPause) == nil
+	s.capacityWaited += capacityPollInterval
+	s.refusedIDs = map[string]bool{}
+	return timer.Sleep(ctx, s.g.svc, capacityPollInterval) == nil
 }
 
-// choose finds a path around what failed this request or this host lately;
+// findPath finds a path around what failed this request or this host lately;
 // without one, around what failed this request only.
-func (s *streamRun) choose() ([]fleet.Stage, *failure.Error) {
+func (s *streamRun) findPath() ([]fleet.Stage, *failure.Error) {
 	e := s.j.service.Engine
 	if e == nil {
 		return s.chooseSingle()
 	}
-	strict := s.stages(func(p *fleet.Endpoint) bool { return s.failed(p.ID) || s.g.tracker.Avoided(p.ID) })
+	strict := s.candidates(func(p *fleet.Endpoint) bool { return s.failed(p.ID) || s.g.tracker.Avoided(p.ID) })
 	path := pathing.Choose(e, strict, s.demand(), s.jitter)
 	if path == nil {
-		loose := s.stages(func(p *fleet.Endpoint) bool { return s.failed(p.ID) })
+		loose := s.candidates(func(p *fleet.Endpoint) bool { return s.failed(p.ID) })
 		path = pathing.Choose(e, loose, s.demand(), s.jitter)
 	}
 	if path == nil || !pathing.CoversAllLayers(e, path) {
-		path = s.lastPath()
+		path = s.lastChoicePath()
 	}
 	if path == nil {
-		return nil, s.noPath()
+		return nil, s.noPathError()
 	}
 	d := s.demand()
-	if s.g.pipes.take(e, path, d.Prompt+d.Answer, s.g.source.HostCount()) {
+	if s.g.links.tryTake(e, path, d.Prompt+d.Answer, s.g.source.HostCount()) {
 		return path, nil
 	}
 	d.SingleDomain = true
 	if path = pathing.Choose(e, strict, d, s.jitter); path == nil {
-		return nil, failure.New(failure.Overloaded, "the pipes between failure domains are full").WithRetryAfter(pipesAgain)
+		return nil, failure.New(failure.Overloaded, "the pipes between failure domains are full").WithRetryAfter(linkRetryAfter)
 	}
 	return path, nil
 }
 
-// pipesAgain is when a caller should come back after a refusal for full pipes:
+// linkRetryAfter is when a caller should come back after a refusal for full pipes:
 // the endpoint that left a hole is replaced in one to five seconds.
-const pipesAgain = time.Second
+const linkRetryAfter = time.Second
 
 // failed reports whether an endpoint failed or refused this request.
 func (s *streamRun) failed(id string) bool {
-	return s.avoid[id] || s.refused[id]
+	return s.failedIDs[id] || s.refusedIDs[id]
 }
 
-// noPath says why no path was found.
-func (s *streamRun) noPath() *failure.Error {
-	if left := s.restLeft(); left > 0 {
-		return s.g.resting(left)
+// noPathError says why no path was found.
+func (s *streamRun) noPathError() *failure.Error {
+	if left := s.backoffRemaining(); left > 0 {
+		return s.g.backoffError(left)
 	}
 	held := 0
 	silent := 0
@@ -186,7 +186,7 @@
 		}
 	}
 	return failure.New(failure.NoChain, "no path over every layer: %d endpoints, %d with layers, %d silent, %d failed this request",
-		len(list), held, silent, len(s.avoid)+len(s.refused)).WithRetryAfter(comeBack)
+		len(list), held, silent, len(s.failedIDs)+len(s.refusedIDs)).WithRetryAfter(baseRetryAfter)
 }
 
 // chooseSingle picks an endpoint of a service whose endpoints hold everything.
@@ -200,7 +200,7 @@
 		e, ok = s.g.lastChoice(s.j.service.Name, tried)
 	}
 	if !ok {
-		return nil, s.noPath()
+		return nil, s.noPathError()
 	}
 	return []fleet.Stage{{
 		ID:      e.ID,
@@ -209,18 +209,18 @@
 	}}, nil
 }
 
-// take counts the request at every part of a path.
-func (s *streamRun) take(path []fleet.Stage) {
+// setPath counts the request at every part of a path.
+func (s *streamRun) setPath(path []fleet.Stage) {
 	s.release()
 	s.path = path
-	s.borrowed = 0
-	s.due = 0
+	s.permitRequests = 0
+	s.permitAvailableIn = 0
 	tokens := 0
 	if s.j.service.Engine != nil {
 		d := s.demand()
 		tokens = int(d.MeanKVTokens())
 	}
 	for _, p := range path {
-		s.ends = append(s.ends, s.g.tracker.Begin(p.ID, tokens))
+		s.releases = append(s.releases, s.g.tracker.Begin(p.ID, tokens))
 	}
 }
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -11,48 +11,48 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// giveUp answers a request that goes no further.
-func (s *streamRun) giveUp(e *failure.Error) {
-	if s.ran > 0 && e.Kind() != failure.EndpointFailed {
+// fail answers a request that goes no further.
+func (s *streamRun) fail(e *failure.Error) {
+	if s.attempts > 0 && e.Kind() != failure.EndpointFailed {
 		e = failure.Wrap(e, failure.EndpointFailed, "the stream broke and couldn't be continued")
 	}
-	if !s.begun {
-		s.g.refuse(s.j.req, s.j, s.j.out, s.returning(e))
+	if !s.headWritten {
+		s.g.refuse(s.j.req, s.j, s.j.out, s.withRetryAfter(e))
 		return
 	}
 	s.g.log.Event(eventlog.RequestFailed, eventlog.Str("request", s.j.req.ID), eventlog.Str("kind", e.Kind().String()),
 		eventlog.Str("path", formatPath(s.path)),
-		eventlog.Str("why", e.Error()), eventlog.Str("route", s.j.route.Name), eventlog.Str("after", s.last),
+		eventlog.Str("why", e.Error()), eventlog.Str("route", s.j.route.Name), eventlog.Str("after", s.lastEvent),
 		eventlog.Str("fingerprint", s.j.print().String()))
 	s.g.metrics.Counter("streams_broken").Inc(1)
 	s.j.out.Abort()
 }
 
-// returning tells a caller that is refused for want of layers when to come back.
+// withRetryAfter tells a caller that is refused for want of layers when to come back.
 // One that is refused for want of room isn't told to wait longer: room frees with
 // every stream that ends, and callers that wait come back to the next crowd.
-func (s *streamRun) returning(e *failure.Error) *failure.Error {
+func (s *streamRun) withRetryAfter(e *failure.Error) *failure.Error {
 	if e.Kind() != failure.NoChain {
 		return e
 	}
 	service := s.j.service.Name
-	s.g.returns.note(service, true)
-	return e.WithRetryAfter(s.g.returns.after(service, e.RetryAfter()))
+	s.g.retryAfters.record(service, true)
+	return e.WithRetryAfter(s.g.retryAfters.estimate(service, e.RetryAfter()))
 }
 
 // expire ends a request whose time is up or whose caller left.
 func (s *streamRun) expire(ctx context.Context) {
 	s.g.log.Event(eventlog.RequestLeft, eventlog.Str("request", s.j.req.ID), eventlog.Str("path", formatPath(s.path)),
-		eventlog.Str("after", s.last), eventlog.Ms("after_ms", s.g.svc.Now().Sub(s.j.req.Received)), eventlog.Err(ctx.Err()))
-	if s.begun {
+		eventlog.Str("after", s.lastEvent), eventlog.Ms("after_ms", s.g.svc.Now().Sub(s.j.req.Received)), eventlog.Err(ctx.Err()))
+	if s.headWritten {
 		s.j.out.Abort()
 		return
 	}
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return
 	}
-	if s.ran == 0 && s.unsent {
-		s.g.refuse(s.j.req, s.j, s.j.out, failure.New(failure.NoEndpoint, "no endpoint was reached in time").WithRetryAfter(comeBack))
+	if s.attempts == 0 && s.unsent {
+		s.g.refuse(s.j.req, s.j, s.j.out, failure.New(failure.NoEndpoint, "no endpoint was reached in time").WithRetryAfter(baseRetryAfter))
 		return
 	}
 	s.g.refuse(s.j.req, s.j, s.j.out, failure.New(failure.DeadlineExceeded, "no event in time"))
--- a/pkg/gateway/events.go
+++ b/pkg/gateway/events.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// errTorn says that a stream ended within an event.
-var errTorn = errors.New("the stream ended within an event")
+// errTruncated says that a stream ended within an event.
+var errTruncated = errors.New("the stream ended within an event")
 
 // next returns the next event; io.EOF if the stream ended whole before it.
 func (e *eventReader) next() (event, error) {
@@ -44,7 +44,7 @@
 			continue
 		}
 		if err != nil {
-			return ev, tornOr(err, ev.data)
+			return ev, truncatedOr(err, ev.data)
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
@@ -59,9 +59,9 @@
 	}
 }
 
-func tornOr(err error, data []byte) error {
+func truncatedOr(err error, data []byte) error {
 	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(data)) > 0 {
-		return errTorn
+		return errTruncated
 	}
 	return err
 }
--- a/pkg/gateway/feed.go
+++ b/pkg/gateway/feed.go
@@ -10,29 +10,29 @@
 	"github.com/larchwinch/larchwinch/pkg/group"
 )
 
-// item is one step of an answer: its head first, then events, then its end.
-type item struct {
+// answerItem is one step of an answer: its head first, then events, then its end.
+type answerItem struct {
 	head  *Answer
 	event event
-	over  bool
+	ended bool
 	err   error // of the end; nil if the answer is whole
 }
 
-// feed reads one answer.
-type feed struct {
-	items chan item
+// answerReader reads one answer.
+type answerReader struct {
+	items chan answerItem
 	// unsent says that the request never reached the endpoint.
 	unsent atomic.Bool
 }
 
-func newFeed() *feed {
-	return &feed{
-		items: make(chan item, eventQueue),
+func newAnswerReader() *answerReader {
+	return &answerReader{
+		items: make(chan answerItem, eventQueue),
 	}
 }
 
 // put hands an item on, and reports whether anybody waits for more.
-func (f *feed) put(ctx context.Context, it item) bool {
+func (f *answerReader) put(ctx context.Context, it answerItem) bool {
 	select {
 	case f.items <- it:
 		return true
@@ -41,10 +41,10 @@
 	}
 }
 
-func (f *feed) end(ctx context.Context, err error) {
-	f.put(ctx, item{
-		over: true,
-		err:  err,
+func (f *answerReader) end(ctx context.Context, err error) {
+	f.put(ctx, answerItem{
+		ended: true,
+		err:   err,
 	})
 }
 
@@ -52,8 +52,8 @@
 type sender func(ctx context.Context) (*Answer, error)
 
 // read reads the answer to a call to its end.
-func (f *feed) read(ctx context.Context, send sender) {
-	if err := group.Try(func() { f.take(ctx, send) }); err != nil {
+func (f *answerReader) read(ctx context.Context, send sender) {
+	if err := group.Try(func() { f.run(ctx, send) }); err != nil {
 		f.end(ctx, &SendError{
 			Sent:  true,
 			Cause: err,
@@ -61,7 +61,7 @@
 	}
 }
 
-func (f *feed) take(ctx context.Context, send sender) {
+func (f *answerReader) run(ctx context.Context, send sender) {
 	a, err := send(ctx)
 	if err != nil {
 		f.unsent.Store(notSent(err))
@@ -69,7 +69,7 @@
 		return
 	}
 	defer func() { _ = a.Body.Close() }() // it was read, or is given up
-	if !f.put(ctx, item{head: a}) {
+	if !f.put(ctx, answerItem{head: a}) {
 		return
 	}
 	if a.NotRun || a.Misdirected || a.Status != http.StatusOK {
@@ -78,7 +78,7 @@
 	f.readEvents(ctx, a.Body)
 }
 
-func (f *feed) readEvents(ctx context.Context, body io.Reader) {
+func (f *answerReader) readEvents(ctx context.Context, body io.Reader) {
 	r := newEventReader(body)
 	for {
 		ev, err := r.next()
@@ -93,7 +93,7 @@
 			})
 			return
 		}
-		if !f.put(ctx, item{event: ev}) {
+		if !f.put(ctx, answerItem{event: ev}) {
 			return
 		}
 	}
--- a/pkg/gateway/fixture_test.go
+++ b/pkg/gateway/fixture_test.go
@@ -26,22 +26,22 @@
 	RunSpecs(t, "gateway")
 }
 
-// fakeBackend answers calls by a script and remembers them.
-type fakeBackend struct {
+// fakeClient answers calls by a script and remembers them.
+type fakeClient struct {
 	mu      sync.Mutex
 	calls   []*Call
 	repaths [][]fleet.Stage
 	answer  func(n int, c *Call) (*Answer, error)
-	// until, if set, answers in place of answer, and may wait for ctx.
-	until    func(ctx context.Context, n int) (*Answer, error)
-	stalled  map[string]string
-	stallErr error
-	refuse   string // repaths that name this address are refused for it
-	asked    int
-	turnAway func() error // answers new paths
+	// answerCtx, if set, answers in place of answer, and may wait for ctx.
+	answerCtx     func(ctx context.Context, n int) (*Answer, error)
+	stalled       map[string]string
+	stallErr      error
+	rejectAddress string // repaths that name this address are refused for it
+	queries       int
+	repathError   func() error // answers new paths
 }
 
-func (b *fakeBackend) Send(ctx context.Context, c *Call) (*Answer, error) {
+func (b *fakeClient) Send(ctx context.Context, c *Call) (*Answer, error) {
 	b.mu.Lock()
 	b.calls = append(b.calls, c)
 	n := len(b.calls)
@@ -59,50 +59,50 @@
 	return a, err
 }
 
-func (b *fakeBackend) script(ctx context.Context, n int, c *Call) (*Answer, error) {
-	if b.until != nil {
-		return b.until(ctx, n)
+func (b *fakeClient) script(ctx context.Context, n int, c *Call) (*Answer, error) {
+	if b.answerCtx != nil {
+		return b.answerCtx(ctx, n)
 	}
 	return b.answer(n, c)
 }
 
-func (b *fakeBackend) QueryStalls(context.Context, string) (StallReport, error) {
+func (b *fakeClient) QueryStalls(context.Context, string) (StallReport, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked++
+	b.queries++
 	return StallReport{Addresses: b.stalled}, b.stallErr
 }
 
-// repathErr answers new paths by f.
-func (b *fakeBackend) repathErr(f func() error) {
+// failRepaths answers new paths by f.
+func (b *fakeClient) failRepaths(f func() error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turnAway = f
+	b.repathError = f
 }
 
-// questions returns how often endpoints were asked what stands still.
-func (b *fakeBackend) questions() int {
+// stallQueries returns how often endpoints were asked what stands still.
+func (b *fakeClient) stallQueries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.asked
+	return b.queries
 }
 
 // stall makes a request stand still at an address.
-func (b *fakeBackend) stall(request, address string) {
+func (b *fakeClient) stall(request, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stalled = map[string]string{request: address}
 }
 
-func (b *fakeBackend) Repath(_ context.Context, _, _ string, path []fleet.Stage) error {
+func (b *fakeClient) Repath(_ context.Context, _, _ string, path []fleet.Stage) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repaths = append(b.repaths, path)
-	if b.turnAway != nil {
-		return b.turnAway()
+	if b.repathError != nil {
+		return b.repathError()
 	}
 	for _, p := range path {
-		if p.Address == b.refuse {
+		if p.Address == b.rejectAddress {
 			return &RepathError{
 				Address: p.Address,
 			}
@@ -111,13 +111,13 @@
 	return nil
 }
 
-func (b *fakeBackend) sent() []*Call {
+func (b *fakeClient) sent() []*Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]*Call(nil), b.calls...)
 }
 
-func (b *fakeBackend) repathed() int {
+func (b *fakeClient) repathCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.repaths)
@@ -125,37 +125,37 @@
 
 // fakeSource believes what a test says.
 type fakeSource struct {
-	mu        sync.Mutex
-	view      View
-	endpoints map[string][]fleet.Endpoint
-	leaving   map[string]bool
-	gaveUp    map[string]bool
-	slow      map[string]float64
-	changed   chan struct{}
-	confirmed chan struct{}
-	unsettled bool
-	stopsIn   time.Duration // 0: it wasn't told to stop
-	// lend answers for the leader what is borrowed; without it, there is nothing.
-	lend     func(ids []string, each bool, priority int) time.Duration
-	borrowed int
-	told     int // that limits were heard
+	mu         sync.Mutex
+	view       View
+	endpoints  map[string][]fleet.Endpoint
+	leaving    map[string]bool
+	released   map[string]bool
+	slow       map[string]float64
+	changed    chan struct{}
+	confirmed  chan struct{}
+	unsettled  bool
+	shutdownIn time.Duration // 0: it wasn't told to stop
+	// grantPermits answers for the leader what is borrowed; without it, there is nothing.
+	grantPermits   func(ids []string, each bool, priority int) time.Duration
+	permitRequests int
+	limitReports   int // that limits were heard
 }
 
 // RequestPermits asks lend.
 func (s *fakeSource) RequestPermits(_ context.Context, ids []string, each bool, priority int, _ time.Duration) PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.borrowed++
-	if s.lend == nil {
+	s.permitRequests++
+	if s.grantPermits == nil {
 		return PermitReply{AvailableIn: time.Second, Interval: time.Second}
 	}
-	return PermitReply{AvailableIn: s.lend(ids, each, priority), Interval: time.Second}
+	return PermitReply{AvailableIn: s.grantPermits(ids, each, priority), Interval: time.Second}
 }
 
 func (s *fakeSource) ReportLimits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told++
+	s.limitReports++
 }
 
 func (s *fakeSource) View() View {
@@ -170,7 +170,7 @@
 	return s.endpoints[service]
 }
 
-func (s *fakeSource) ShutdownIn() (time.Duration, bool) { return s.stopsIn, s.stopsIn > 0 }
+func (s *fakeSource) ShutdownIn() (time.Duration, bool) { return s.shutdownIn, s.shutdownIn > 0 }
 func (s *fakeSource) PeerLoad(string) Load              { return Load{} }
 func (s *fakeSource) HostCount() int                    { return 1 }
 func (s *fakeSource) Settled() bool                     { return !s.unsettled }
@@ -190,7 +190,7 @@
 func (s *fakeSource) HasReleased(id string, _ fleet.Range) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gaveUp[id]
+	return s.released[id]
 }
 
 func (s *fakeSource) Changed() <-chan struct{} {
@@ -220,9 +220,9 @@
 	s.change(func() { s.leaving[id] = true })
 }
 
-// giveUp says that an endpoint gave up its layers.
-func (s *fakeSource) giveUp(id string) {
-	s.change(func() { s.gaveUp[id] = true })
+// release says that an endpoint gave up its layers.
+func (s *fakeSource) release(id string) {
+	s.change(func() { s.released[id] = true })
 }
 
 // change makes a change of endpoints known.
@@ -352,15 +352,15 @@
 	return fleet.Endpoint{ID: id, Service: "app", Address: id + ":1", Domain: "a", Slots: 4}
 }
 
-type bench struct {
-	backend *fakeBackend
+type fixture struct {
+	client  *fakeClient
 	source  *fakeSource
 	clock   *timer.Manual
 	gateway *Gateway
 }
 
 // withGateway runs f on a gateway over a scripted backend and a manual clock.
-func withGateway(f func(b *bench)) {
+func withGateway(f func(b *fixture)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	source := &fakeSource{
 		view: View{Index: fleet.NewIndex(configuration()), Fresh: true, Trusted: true},
@@ -369,15 +369,15 @@
 			"llm": {engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4), engineEndpoint("w", 0, 2)},
 		},
 		leaving:   map[string]bool{},
-		gaveUp:    map[string]bool{},
+		released:  map[string]bool{},
 		slow:      map[string]float64{},
 		changed:   make(chan struct{}),
 		confirmed: make(chan struct{}),
 	}
-	backend := &fakeBackend{}
+	backend := &fakeClient{}
 	budget := RetryBudget{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
-	b := &bench{
-		backend: backend,
+	b := &fixture{
+		client:  backend,
 		source:  source,
 		clock:   clock,
 		gateway: New("a", backend, source, budget, clock, nil, metrics.New()),
@@ -386,7 +386,7 @@
 	f(b)
 }
 
-func (b *bench) request(route string) *Request {
+func (b *fixture) request(route string) *Request {
 	return &Request{
 		ID:       "r1",
 		Method:   http.MethodPost,
@@ -400,7 +400,7 @@
 }
 
 // serve answers one request.
-func (b *bench) serve(route string) *fakeOutput {
+func (b *fixture) serve(route string) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
 	b.gateway.Serve(context.Background(), req, out)
@@ -408,7 +408,7 @@
 }
 
 // serveFor answers one request that may take wait.
-func (b *bench) serveFor(route string, wait time.Duration) *fakeOutput {
+func (b *fixture) serveFor(route string, wait time.Duration) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
 	req.Timeout = wait
@@ -417,7 +417,7 @@
 }
 
 // stream starts a stream that ends with ctx at the latest; done tells its end.
-func (b *bench) stream(ctx context.Context) (out *fakeOutput, done chan bool) {
+func (b *fixture) stream(ctx context.Context) (out *fakeOutput, done chan bool) {
 	out = &fakeOutput{}
 	done = make(chan bool, 1)
 	req := b.request("stream")
@@ -428,11 +428,11 @@
 	return out, done
 }
 
-// underWay starts a stream at endpoints that give its first event and no more,
+// streamInFlight starts a stream at endpoints that give its first event and no more,
 // and returns once the caller has it. end ends it.
-func (b *bench) underWay() (end func()) {
-	b.backend.answer = func(int, *Call) (*Answer, error) {
-		return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
+func (b *fixture) streamInFlight() (end func()) {
+	b.client.answer = func(int, *Call) (*Answer, error) {
+		return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	out, done := b.stream(ctx)
@@ -443,7 +443,7 @@
 	}
 }
 
-func whole(status int, body string) *Answer {
+func completeAnswer(status int, body string) *Answer {
 	return &Answer{Status: status, Verified: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -20,57 +20,57 @@
 
 // Gateway carries requests. It is safe for use by several goroutines.
 type Gateway struct {
-	domain  string // this host's failure domain
-	backend EndpointClient
-	source  Source
-	svc     timer.Service
-	log     *eventlog.Log
-	metrics *metrics.Set
-	tracker *Tracker
-	repeats *repeats
-	pipes   *pipes
-	labels  *accountLabels
-	paces   *paces
-	asker   *asker
-	waits   *waits
-	returns *comebacks
-	crowd   *crowd.Spreader
-	held    *quarantine.Enforcer
-	rests   *rest.Tracker
-	permits *permit.Holder
-	borrows *borrowing
+	domain         string // this host's failure domain
+	client         EndpointClient
+	source         Source
+	svc            timer.Service
+	log            *eventlog.Log
+	metrics        *metrics.Set
+	tracker        *Tracker
+	retries        *retryBucket
+	links          *linkBuckets
+	labels         *accountLabels
+	durations      *durationEstimator
+	querier        *stallQuerier
+	waits          *waitEstimator
+	retryAfters    *retryAfterEstimator
+	resumes        *crowd.Spreader
+	quarantine     *quarantine.Enforcer
+	backoffs       *rest.Tracker
+	permits        *permit.Holder
+	permitRequests *permitRequests
 }
 
 // New returns the gateway of a host in a failure domain.
 func New(domain string, backend EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
 	rests := rest.New(svc)
 	g := &Gateway{
-		domain:  domain,
-		backend: backend,
-		source:  source,
-		svc:     svc,
-		log:     log,
-		metrics: set,
-		tracker: NewTracker(svc, log),
-		repeats: newRepeats(budget, svc),
-		pipes:   newPipes(svc),
-		labels:  newAccountLabels(),
-		paces:   newPaces(),
-		waits:   newWaits(svc),
-		returns: newComebacks(svc),
-		crowd:   crowd.New(svc),
-		held:    quarantine.NewEnforcer(svc),
-		rests:   rests,
-		permits: permit.NewHolder(svc, rand.Uint64()),
-		borrows: newBorrowing(svc),
+		domain:         domain,
+		client:         backend,
+		source:         source,
+		svc:            svc,
+		log:            log,
+		metrics:        set,
+		tracker:        NewTracker(svc, log),
+		retries:        newRetryBucket(budget, svc),
+		links:          newLinkBuckets(svc),
+		labels:         newAccountLabels(),
+		durations:      newDurationEstimator(),
+		waits:          newWaitEstimator(svc),
+		retryAfters:    newRetryAfterEstimator(svc),
+		resumes:        crowd.New(svc),
+		quarantine:     quarantine.NewEnforcer(svc),
+		backoffs:       rests,
+		permits:        permit.NewHolder(svc, rand.Uint64()),
+		permitRequests: newPermitRequests(svc),
 	}
-	g.asker = newAsker(g, backend, svc)
+	g.querier = newStallQuerier(g, backend, svc)
 	return g
 }
 
 // Backoffs returns which endpoints asked this host for rest.
 func (g *Gateway) Backoffs() *rest.Tracker {
-	return g.rests
+	return g.backoffs
 }
 
 // Tracker returns what this host has under way and avoids.
@@ -86,43 +86,43 @@
 	service  *fleet.Service
 	account  string
 	priority int
-	end      time.Time // when it must be answered
+	deadline time.Time // when it must be answered
 
-	printed     bool
-	fingerprint quarantine.Fingerprint // once printed is set
+	hasFingerprint    bool
+	cachedFingerprint quarantine.Fingerprint // once printed is set
 }
 
 // print returns the request's fingerprint. It is worked out only for requests that
 // failed, or while any is watched or held. Only the goroutine that serves calls it.
 func (j *job) print() quarantine.Fingerprint {
-	if !j.printed {
-		j.fingerprint = quarantine.FingerprintOf(j.account, j.req.Method, j.req.Target, j.req.Body)
-		j.printed = true
+	if !j.hasFingerprint {
+		j.cachedFingerprint = quarantine.FingerprintOf(j.account, j.req.Method, j.req.Target, j.req.Body)
+		j.hasFingerprint = true
 	}
-	return j.fingerprint
+	return j.cachedFingerprint
 }
 
 // Serve answers one request.
 func (g *Gateway) Serve(ctx context.Context, req *Request, out Output) {
-	j, refusal := g.admitSoon(ctx, req, out)
+	j, refusal := g.admitWhenReady(ctx, req, out)
 	if refusal != nil {
 		g.refuse(req, nil, out, refusal)
 		return
 	}
-	if e := g.keep(j); e != nil {
+	if e := g.checkQuarantine(j); e != nil {
 		g.refuse(req, j, out, e)
 		return
 	}
 	// Contexts follow the steady clock, which the timer service's runs ahead of for good
 	// once the machine was suspended: a deadline would come that much too late.
-	ctx, cancel := context.WithTimeout(ctx, j.end.Sub(g.svc.Now()))
+	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(g.svc.Now()))
 	defer cancel()
 	g.permits.CountRequest(j.service.Name)
 	if j.route.Kind == fleet.Stream {
 		g.serveStream(ctx, j)
 		return
 	}
-	g.serveWhole(ctx, j)
+	g.serveUnary(ctx, j)
 }
 
 // readyWait is how long a request waits on a host that was just started, or
@@ -130,8 +130,8 @@
 // is refused has one more try, if any.
 const readyWait = 800 * time.Millisecond
 
-// admitSoon admits a request, once this host knows what it needs for that.
-func (g *Gateway) admitSoon(ctx context.Context, req *Request, out Output) (*job, *failure.Error) {
+// admitWhenReady admits a request, once this host knows what it needs for that.
+func (g *Gateway) admitWhenReady(ctx context.Context, req *Request, out Output) (*job, *failure.Error) {
 	end := g.svc.After(readyWait)
 	for {
 		confirmed := g.source.Confirmed()
@@ -149,14 +149,14 @@
 	}
 }
 
-// settleWait is how long after its arrival a request waits for endpoints that
+// discoveryWait is how long after its arrival a request waits for endpoints that
 // may not have announced themselves yet: a heartbeat's interval.
-const settleWait = 1300 * time.Millisecond
+const discoveryWait = 1300 * time.Millisecond
 
 // awaitEndpoints waits for news of endpoints, where not all may be known yet.
 // It reports whether it makes sense to look again.
 func (g *Gateway) awaitEndpoints(ctx context.Context, req *Request, changed <-chan struct{}) bool {
-	left := settleWait - g.svc.Now().Sub(req.Received)
+	left := discoveryWait - g.svc.Now().Sub(req.Received)
 	if g.source.Settled() || left <= 0 {
 		return false
 	}
@@ -178,49 +178,49 @@
 	}
 	route := v.Index.Route(req.Host, req.Path)
 	if route == nil {
-		return nil, unsure(v, failure.New(failure.NotFound, "no route"))
+		return nil, notReadyIfStale(v, failure.New(failure.NotFound, "no route"))
 	}
 	j := &job{
 		req:      req,
 		out:      out,
 		route:    route,
 		priority: route.Priority,
-		end:      req.Received.Add(route.Timeout),
+		deadline: req.Received.Add(route.Timeout),
 	}
 	if req.Timeout > 0 && req.Timeout < route.Timeout {
-		j.end = req.Received.Add(req.Timeout)
+		j.deadline = req.Received.Add(req.Timeout)
 	}
-	if e := g.identify(j, v); e != nil {
+	if e := g.authenticate(j, v); e != nil {
 		return nil, e
 	}
 	j.service = v.Index.Service(route.Pick(rand.Float64()))
 	return j, nil
 }
 
-// unsure turns a final refusal into one that passes, if this host can't be
+// notReadyIfStale turns a final refusal into one that passes, if this host can't be
 // sure that it holds the newest configuration.
-func unsure(v View, e *failure.Error) *failure.Error {
+func notReadyIfStale(v View, e *failure.Error) *failure.Error {
 	if v.Fresh {
 		return e
 	}
 	return notReady("the configuration was last confirmed %v ago; by it: %s", v.Age, e.Detail())
 }
 
-// readyAgain is when a caller should come back to a host that waits for the
+// notReadyRetryAfter is when a caller should come back to a host that waits for the
 // control hosts: after an election and a second for what follows it.
-const readyAgain = 1600 * time.Millisecond
+const notReadyRetryAfter = 1600 * time.Millisecond
 
 func notReady(format string, args ...any) *failure.Error {
-	return failure.New(failure.NotReady, format, args...).WithRetryAfter(readyAgain)
+	return failure.New(failure.NotReady, format, args...).WithRetryAfter(notReadyRetryAfter)
 }
 
-func (g *Gateway) identify(j *job, v View) *failure.Error {
+func (g *Gateway) authenticate(j *job, v View) *failure.Error {
 	if j.route.Anonymous || !v.Index.HasAccounts() {
 		return nil
 	}
 	account := v.Index.Account(j.req.Key)
 	if account == nil {
-		return unsure(v, failure.New(failure.Unauthenticated, "unknown key"))
+		return notReadyIfStale(v, failure.New(failure.Unauthenticated, "unknown key"))
 	}
 	if !v.Trusted {
 		return notReady("keys were last confirmed %v ago", v.Age)
@@ -260,8 +260,8 @@
 	out.Refuse(e)
 }
 
-// served counts and logs an answer; more is added to the line.
-func (g *Gateway) served(j *job, status int, endpoint string, attempts int, more ...eventlog.Field) {
+// logServed counts and logs an answer; more is added to the line.
+func (g *Gateway) logServed(j *job, status int, endpoint string, attempts int, more ...eventlog.Field) {
 	took := g.svc.Now().Sub(j.req.Received)
 	metrics.Observe(g.metrics.Histogram("request_us", metrics.Label{Name: "class", Value: j.route.Kind.String()}), took)
 	metrics.Observe(g.metrics.Histogram("account_us", metrics.Label{Name: "account", Value: g.labels.of(j.account)}), took)
@@ -274,8 +274,8 @@
 	g.log.Event(eventlog.RequestServed, append(fields, more...)...)
 }
 
-// attemptFailed logs one.
-func (g *Gateway) attemptFailed(j *job, endpoint, why string) {
+// logFailedAttempt logs one.
+func (g *Gateway) logFailedAttempt(j *job, endpoint, why string) {
 	g.metrics.Counter("attempts_failed").Inc(1)
 	g.log.Event(eventlog.AttemptFailed, eventlog.Str("request", j.req.ID), eventlog.Str("fingerprint", j.print().String()),
 		eventlog.Str("endpoint", endpoint), eventlog.Str("why", why), eventlog.Ms("after_ms", g.svc.Now().Sub(j.req.Received)))
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -14,31 +14,31 @@
 	. "github.com/onsi/gomega"
 )
 
-func limited(perSecond float64) fleet.Notice {
+func limitNotice(perSecond float64) fleet.Notice {
 	return fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: perSecond}}
 }
 
-// limiting answers well, and endpoints name a limit in their answers.
-func limiting(ids ...string) func(int, *Call) (*Answer, error) {
+// reportingLimit answers well, and endpoints name a limit in their answers.
+func reportingLimit(ids ...string) func(int, *Call) (*Answer, error) {
 	return func(_ int, c *Call) (*Answer, error) {
-		a := good(c)
+		a := goodAnswer(c)
 		a.Notice = fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitNone}}
 		if slices.Contains(ids, c.ID) {
-			a.Notice = limited(8)
+			a.Notice = limitNotice(8)
 		}
 		return a, nil
 	}
 }
 
-// name has endpoints name a limit to this host.
-func (b *bench) name(ids ...string) {
+// reportLimit has endpoints name a limit to this host.
+func (b *fixture) reportLimit(ids ...string) {
 	for _, id := range ids {
-		b.gateway.hearLimit("app", id, limited(8).Limit, b.clock.Now())
+		b.gateway.observeLimit("app", id, limitNotice(8).Limit, b.clock.Now())
 	}
 }
 
-// grant has this host hold a permit for each of the endpoints.
-func (b *bench) grant(ids ...string) {
+// grantPermits has this host hold a permit for each of the endpoints.
+func (b *fixture) grantPermits(ids ...string) {
 	list := permit.Counts{}
 	for _, id := range ids {
 		list[permit.EndpointKey(id)]++
@@ -46,13 +46,13 @@
 	b.gateway.permits.AddPermits(0, list, b.clock.Now().Add(permit.Lifetime))
 }
 
-// lendWhatIsAsked has the leader lend all that is asked for.
-func (b *bench) lendWhatIsAsked() {
-	b.source.lend = func(ids []string, each bool, _ int) time.Duration {
+// grantAllRequests has the leader lend all that is asked for.
+func (b *fixture) grantAllRequests() {
+	b.source.grantPermits = func(ids []string, each bool, _ int) time.Duration {
 		if !each {
 			ids = ids[:1]
 		}
-		b.grant(ids...)
+		b.grantPermits(ids...)
 		return 0
 	}
 }
@@ -60,198 +60,198 @@
 var _ = Describe("an endpoint that names a limit", func() {
 	for _, c := range routesAndEndpoints {
 		It("gets a call for each permit and no other, while others serve: "+c.route, func() {
-			withGateway(func(b *bench) {
-				b.backend.answer = limiting(c.id)
+			withGateway(func(b *fixture) {
+				b.client.answer = reportingLimit(c.id)
 				b.serveUntil(c.route, c.id)
-				n := b.backend.sentTo(c.id)
+				n := b.client.sentTo(c.id)
 				for range 3 {
-					b.grant(c.id)
+					b.grantPermits(c.id)
 				}
 				for range 200 {
 					Expect(b.serve(c.route).refusal).To(BeNil())
 				}
-				Expect(b.backend.sentTo(c.id)).To(BeNumerically("<=", n+3))
-				Expect(b.source.borrowed).To(BeZero(), "others have room")
-				Expect(b.source.told).To(BeNumerically(">", 0), "the leader is told at once")
+				Expect(b.client.sentTo(c.id)).To(BeNumerically("<=", n+3))
+				Expect(b.source.permitRequests).To(BeZero(), "others have room")
+				Expect(b.source.limitReports).To(BeNumerically(">", 0), "the leader is told at once")
 			})
 		})
 
 		It("gets what the leader lends where there is nothing else, and others are told at once when to return: "+c.route, func() {
-			withGateway(func(b *bench) {
-				b.source.only("app", appEndpoint("p"))
-				b.source.only("llm", engineEndpoint("x", 0, 4))
-				b.backend.answer = limiting(c.id)
+			withGateway(func(b *fixture) {
+				b.source.setEndpoints("app", appEndpoint("p"))
+				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
+				b.client.answer = reportingLimit(c.id)
 				b.serve(c.route)
-				b.lendWhatIsAsked()
+				b.grantAllRequests()
 				for range 5 {
 					Expect(b.serve(c.route).refusal).To(BeNil())
 				}
-				n := b.backend.sentTo(c.id)
-				b.source.lend = nil
+				n := b.client.sentTo(c.id)
+				b.source.grantPermits = nil
 				times := map[time.Duration]bool{}
 				for range 20 {
 					out := b.serve(c.route)
 					Expect(out.refusal.Kind()).To(Equal(failure.Overloaded))
 					Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
-					Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", comeBack))
-					Expect(out.refusal.RetryAfter()).To(BeNumerically("<=", mostComeBack))
+					Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", baseRetryAfter))
+					Expect(out.refusal.RetryAfter()).To(BeNumerically("<=", maxRetryAfter))
 					times[out.refusal.RetryAfter()] = true
 				}
-				Expect(b.backend.sentTo(c.id)).To(Equal(n))
+				Expect(b.client.sentTo(c.id)).To(Equal(n))
 				Expect(len(times)).To(BeNumerically(">", 10))
-				Expect(b.source.borrowed).To(BeNumerically("<", 10), "the leader isn't asked for each")
+				Expect(b.source.permitRequests).To(BeNumerically("<", 10), "the leader isn't asked for each")
 			})
 		})
 	}
 
 	It("may be one of several on a path that all have one", func() {
-		withGateway(func(b *bench) {
-			b.source.only("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4))
-			b.name("x", "y")
-			b.backend.answer = limiting("x", "y")
+		withGateway(func(b *fixture) {
+			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4))
+			b.reportLimit("x", "y")
+			b.client.answer = reportingLimit("x", "y")
 			asked := []string(nil)
-			b.source.lend = func(ids []string, each bool, _ int) time.Duration {
+			b.source.grantPermits = func(ids []string, each bool, _ int) time.Duration {
 				Expect(each).To(BeTrue())
 				asked = ids
-				b.grant(ids...)
+				b.grantPermits(ids...)
 				return 0
 			}
 			Expect(b.serve("stream").refusal).To(BeNil())
 			Expect(asked).To(ConsistOf("x", "y"))
-			b.source.lend = nil
-			b.grant("x")
+			b.source.grantPermits = nil
+			b.grantPermits("x")
 			Expect(b.serve("stream").refusal).NotTo(BeNil())
 			Expect(b.gateway.permits.MayCall("x")).To(BeTrue(), "a permit of half a path isn't used up")
 		})
 	})
 
 	It("gets no second send beside a first, but a repeat of one that failed", func() {
-		withGateway(func(b *bench) {
-			b.name("p", "q", "s")
-			b.grant("p", "q", "s")
+		withGateway(func(b *fixture) {
+			b.reportLimit("p", "q", "s")
+			b.grantPermits("p", "q", "s")
 			release := make(chan bool)
-			b.backend.until = func(context.Context, int) (*Answer, error) {
+			b.client.answerCtx = func(context.Context, int) (*Answer, error) {
 				<-release
-				return whole(200, "ok"), nil
+				return completeAnswer(200, "ok"), nil
 			}
 			done := make(chan bool, 1)
 			background(func() {
 				b.serve("safe")
 				done <- true
 			})
-			Eventually(b.backend.sent, "5s").Should(HaveLen(1))
+			Eventually(b.client.sent, "5s").Should(HaveLen(1))
 			b.clock.Advance(300 * time.Millisecond) // over the time for a second send
 			time.Sleep(5 * time.Millisecond)
-			Expect(b.backend.sent()).To(HaveLen(1))
+			Expect(b.client.sent()).To(HaveLen(1))
 			close(release)
 			Eventually(done, "5s").Should(Receive())
 		})
-		withGateway(func(b *bench) {
-			b.name("p", "q", "s")
-			b.grant("p", "q", "s")
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.reportLimit("p", "q", "s")
+			b.grantPermits("p", "q", "s")
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
 					return refusedBy(""), nil
 				}
-				return good(c), nil
+				return goodAnswer(c), nil
 			}
 			Expect(b.serve("safe").status).To(Equal(200))
-			Expect(b.backend.sent()).To(HaveLen(2))
+			Expect(b.client.sent()).To(HaveLen(2))
 		})
 	})
 
 	It("is asked what stands still by a permit, and gives streams another path by one", func() {
-		withGateway(func(b *bench) {
-			b.source.only("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
-			end := b.underWay()
+		withGateway(func(b *fixture) {
+			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
+			end := b.streamInFlight()
 			defer end()
-			path := b.backend.sent()[0].Path
-			b.backend.stall("r1", path[1].Address)
-			b.name("x", "y", "z")
-			asked := b.backend.questions()
+			path := b.client.sent()[0].Path
+			b.client.stall("r1", path[1].Address)
+			b.reportLimit("x", "y", "z")
+			asked := b.client.stallQueries()
 			for range 20 {
 				b.clock.Advance(100 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
 			}
-			Expect(b.backend.questions()).To(Equal(asked))
-			Expect(b.backend.repathed()).To(BeZero())
+			Expect(b.client.stallQueries()).To(Equal(asked))
+			Expect(b.client.repathCount()).To(BeZero())
 			calls := atomic.Int64{}
-			b.source.lend = func(ids []string, _ bool, _ int) time.Duration {
+			b.source.grantPermits = func(ids []string, _ bool, _ int) time.Duration {
 				calls.Add(1)
-				b.grant("x", "x", "y", "z")
+				b.grantPermits("x", "x", "y", "z")
 				return 0
 			}
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "5ms").Should(BeNumerically(">", 0))
 			Expect(calls.Load()).To(BeNumerically(">", 0))
 		})
 	})
 
 	It("is told of a new path by a permit, and so is who comes new into it", func() {
-		withGateway(func(b *bench) {
-			b.source.only("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
-			end := b.underWay()
+		withGateway(func(b *fixture) {
+			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
+			end := b.streamInFlight()
 			defer end()
-			path := b.backend.sent()[0].Path
-			b.name("x")
+			path := b.client.sent()[0].Path
+			b.reportLimit("x")
 			b.source.leave(path[1].ID)
 			for range 20 {
 				b.clock.Advance(100 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
 			}
-			Expect(b.backend.repathed()).To(BeZero())
+			Expect(b.client.repathCount()).To(BeZero())
 			Eventually(func() int {
-				b.grant("x")
+				b.grantPermits("x")
 				b.clock.Advance(100 * time.Millisecond)
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "5ms").Should(Equal(1))
 		})
 	})
 
 	It("isn't left for it by the streams that it runs", func() {
-		withGateway(func(b *bench) {
-			end := b.underWay()
+		withGateway(func(b *fixture) {
+			end := b.streamInFlight()
 			defer end()
-			path := b.backend.sent()[0].Path
-			b.name(path[0].ID, path[1].ID)
+			path := b.client.sent()[0].Path
+			b.reportLimit(path[0].ID, path[1].ID)
 			for range 20 {
 				b.clock.Advance(100 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
 			}
-			Expect(b.backend.repathed()).To(BeZero())
-			Expect(b.backend.sent()).To(HaveLen(1))
+			Expect(b.client.repathCount()).To(BeZero())
+			Expect(b.client.sent()).To(HaveLen(1))
 		})
 	})
 
 	It("is named at fault by the first of a path: then both are taken to have it, and neither to have none", func() {
-		withGateway(func(b *bench) {
-			says := limited(8)
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			says := limitNotice(8)
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n > 1 {
-					return good(c), nil
+					return goodAnswer(c), nil
 				}
 				a := refusedBy(c.Path[1].Address)
 				a.Notice = says
 				return a, nil
 			}
 			b.serve("stream")
-			path := b.backend.sent()[0].Path
+			path := b.client.sent()[0].Path
 			for _, p := range path {
 				Expect(b.gateway.permits.HasLimit(p.ID)).To(BeTrue())
 			}
 			b.gateway.permits.Acknowledge(1, b.gateway.permits.PendingReports())
 			b.clock.Advance(time.Second)
-			b.gateway.hearLimits(&job{service: &fleet.Service{Name: "llm"}}, &Call{ID: path[0].ID}, path[1].ID, fleet.Limit{Status: fleet.LimitNone}, b.clock.Now())
+			b.gateway.observeAnswerLimit(&job{service: &fleet.Service{Name: "llm"}}, &Call{ID: path[0].ID}, path[1].ID, fleet.Limit{Status: fleet.LimitNone}, b.clock.Now())
 			Expect(b.gateway.permits.PendingReports()).To(BeEmpty())
 		})
 	})
 
 	It("isn't the one that another incarnation's answer is about", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(_ int, c *Call) (*Answer, error) {
-				return &Answer{Status: 421, Misdirected: true, Notice: limited(8), Body: http.NoBody}, nil
+		withGateway(func(b *fixture) {
+			b.client.answer = func(_ int, c *Call) (*Answer, error) {
+				return &Answer{Status: 421, Misdirected: true, Notice: limitNotice(8), Body: http.NoBody}, nil
 			}
 			b.serve("safe")
 			Expect(b.gateway.permits.HasLimits()).To(BeFalse())
@@ -259,35 +259,35 @@
 	})
 
 	It("is heard in answers of failures, to questions, and in those that turn a path away", func() {
-		for _, a := range []*Answer{whole(500, "no"), refusedBy(""), {Status: 200, Body: http.NoBody}} {
-			withGateway(func(b *bench) {
-				a.Notice = limited(8)
-				b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		for _, a := range []*Answer{completeAnswer(500, "no"), refusedBy(""), {Status: 200, Body: http.NoBody}} {
+			withGateway(func(b *fixture) {
+				a.Notice = limitNotice(8)
+				b.client.answer = func(n int, c *Call) (*Answer, error) {
 					if n == 1 {
 						return a, nil
 					}
-					return good(c), nil
+					return goodAnswer(c), nil
 				}
 				b.serve("unsafe")
-				Expect(b.gateway.permits.HasLimit(b.backend.sent()[0].ID)).To(BeTrue())
+				Expect(b.gateway.permits.HasLimit(b.client.sent()[0].ID)).To(BeTrue())
 			})
 		}
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return nil, &SendError{Sent: true, Cause: errReset, Notice: limited(8)}
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) {
+				return nil, &SendError{Sent: true, Cause: errReset, Notice: limitNotice(8)}
 			}
 			b.serve("unsafe")
-			Expect(b.gateway.permits.HasLimit(b.backend.sent()[0].ID)).To(BeTrue())
+			Expect(b.gateway.permits.HasLimit(b.client.sent()[0].ID)).To(BeTrue())
 		})
-		withGateway(func(b *bench) {
-			b.gateway.asked("llm", "x", limited(8), b.clock.Now())
+		withGateway(func(b *fixture) {
+			b.gateway.observeQueryAnswer("llm", "x", limitNotice(8), b.clock.Now())
 			Expect(b.gateway.permits.HasLimit("x")).To(BeTrue())
 		})
 	})
 
 	It("is asked for by the more urgent though less urgent ones were just denied", func() {
-		withGateway(func(b *bench) {
-			at := b.gateway.borrows
+		withGateway(func(b *fixture) {
+			at := b.gateway.permitRequests
 			_, ok := at.begin("e", 5)
 			Expect(ok).To(BeTrue())
 			at.end("e", 5, PermitReply{AvailableIn: time.Second, Interval: time.Second})
@@ -296,8 +296,8 @@
 			_, ok = at.begin("e", 4)
 			Expect(ok).To(BeTrue())
 			at.end("e", 4, PermitReply{})
-			b.clock.Advance(denialKept)
-			for range borrowsAtOnce {
+			b.clock.Advance(denialLifetime)
+			for range maxConcurrentPermitRequests {
 				_, ok = at.begin("e", 5)
 				Expect(ok).To(BeTrue())
 			}
@@ -308,11 +308,11 @@
 	})
 
 	It("isn't asked for by who needs no permit any more once the answer is there", func() {
-		withGateway(func(b *bench) {
-			b.source.only("app", appEndpoint("p"))
-			b.backend.answer = limiting("p")
+		withGateway(func(b *fixture) {
+			b.source.setEndpoints("app", appEndpoint("p"))
+			b.client.answer = reportingLimit("p")
 			b.serve("safe")
-			b.source.lend = func([]string, bool, int) time.Duration {
+			b.source.grantPermits = func([]string, bool, int) time.Duration {
 				b.gateway.permits.Acknowledge(1, b.gateway.permits.PendingReports())
 				b.gateway.permits.ApplyChanges(1, 2, false, []permit.LimitChange{{Key: permit.EndpointKey("p"), Removed: true}})
 				return time.Second
@@ -322,27 +322,27 @@
 	})
 
 	It("may rest or leave at once with it, and then no permit helps", func() {
-		for _, word := range []fleet.Notice{{Backoff: rested}, {Leaving: true}} {
-			withGateway(func(b *bench) {
-				b.name("p")
-				b.gateway.hear("p", word)
-				b.backend.answer = limiting()
+		for _, word := range []fleet.Notice{{Backoff: testBackoff}, {Leaving: true}} {
+			withGateway(func(b *fixture) {
+				b.reportLimit("p")
+				b.gateway.observeNotice("p", word)
+				b.client.answer = reportingLimit()
 				for range 20 {
-					b.grant("p")
+					b.grantPermits("p")
 					Expect(b.serve("safe").status).To(Equal(200))
 				}
-				Expect(b.backend.sentTo("p")).To(BeZero())
+				Expect(b.client.sentTo("p")).To(BeZero())
 			})
 		}
 	})
 
 	It("has counted a call whose caller left", func() {
-		withGateway(func(b *bench) {
-			b.source.only("app", appEndpoint("p"))
-			b.name("p")
-			b.grant("p")
+		withGateway(func(b *fixture) {
+			b.source.setEndpoints("app", appEndpoint("p"))
+			b.reportLimit("p")
+			b.grantPermits("p")
 			ctx, cancel := context.WithCancel(context.Background())
-			b.backend.until = func(ctx context.Context, _ int) (*Answer, error) {
+			b.client.answerCtx = func(ctx context.Context, _ int) (*Answer, error) {
 				cancel()
 				<-ctx.Done()
 				return nil, &SendError{Sent: true, Cause: ctx.Err()}
@@ -353,8 +353,8 @@
 	})
 
 	It("has places promised one after the other to who is refused", func() {
-		withGateway(func(b *bench) {
-			at := b.gateway.borrows
+		withGateway(func(b *fixture) {
+			at := b.gateway.permitRequests
 			loan := PermitReply{AvailableIn: 500 * time.Millisecond, Interval: time.Second}
 			_, _ = at.begin("e", 5)
 			Expect(at.end("e", 5, loan)).To(Equal(500 * time.Millisecond))
--- a/pkg/gateway/panic_test.go
+++ b/pkg/gateway/panic_test.go
@@ -22,14 +22,14 @@
 				Expect(err).NotTo(HaveOccurred(), string(out))
 				return
 			}
-			withGateway(func(b *bench) {
-				b.backend.answer = func(int, *Call) (*Answer, error) {
+			withGateway(func(b *fixture) {
+				b.client.answer = func(int, *Call) (*Answer, error) {
 					panic("an answer that nobody thought of")
 				}
 				out := b.serve(route)
 				Expect(out.refusal).NotTo(BeNil())
-				b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, events(1, 2)), nil }
-				b.source.renew(1)
+				b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(1, 2)), nil }
+				b.source.replaceEndpoints(1)
 				Expect(b.serve(route).status).To(Equal(200))
 			})
 		})
--- a/pkg/gateway/pipes_test.go
+++ b/pkg/gateway/pipes_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func across(domains ...string) []fleet.Stage {
+func pathThrough(domains ...string) []fleet.Stage {
 	var path []fleet.Stage
 	for _, d := range domains {
 		path = append(path, fleet.Stage{Domain: d})
@@ -24,9 +24,9 @@
 	}
 
 	It("let paths within a domain pass, however many", func() {
-		p := newPipes(timer.NewManual(time.Unix(0, 0)))
+		p := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
 		for range 10000 {
-			Expect(p.take(engine, across("a", "a"), 1000, 10)).To(BeTrue())
+			Expect(p.tryTake(engine, pathThrough("a", "a"), 1000, 10)).To(BeTrue())
 		}
 	})
 
@@ -34,34 +34,34 @@
 		const hosts = 5
 		const tokens = 10 // 10,000 bytes
 		clock := timer.NewManual(time.Unix(0, 0))
-		var all []*pipes
+		var all []*linkBuckets
 		for range hosts {
-			all = append(all, newPipes(clock))
+			all = append(all, newLinkBuckets(clock))
 		}
 		taken := 0
 		const seconds = 20
 		for range seconds * 10 {
 			clock.Advance(100 * time.Millisecond)
 			for _, p := range all {
-				for p.take(engine, across("a", "b"), tokens, hosts) {
+				for p.tryTake(engine, pathThrough("a", "b"), tokens, hosts) {
 					taken += tokens * 1000
 				}
 			}
 		}
-		share := pipeShare * 1e6
-		Expect(float64(taken)).To(BeNumerically("<=", share*(seconds+pipeBurst)*1.01))
+		share := linkShare * 1e6
+		Expect(float64(taken)).To(BeNumerically("<=", share*(seconds+linkBurst)*1.01))
 		Expect(float64(taken)).To(BeNumerically(">=", share*seconds*0.9))
 	})
 
 	It("are parted by pair, either way, and taken all or not at all", func() {
-		p := newPipes(timer.NewManual(time.Unix(0, 0)))
-		for p.take(engine, across("b", "a"), 100, 1) {
+		p := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
+		for p.tryTake(engine, pathThrough("b", "a"), 100, 1) {
 			continue
 		}
-		Expect(p.take(engine, across("a", "b"), 100, 1)).To(BeFalse())
+		Expect(p.tryTake(engine, pathThrough("a", "b"), 100, 1)).To(BeFalse())
 		before := p.refill(fleet.DomainPair{A: "b", B: "c"}, 6e5, 1e5).bytes
-		Expect(p.take(engine, across("a", "b", "c"), 100, 1)).To(BeFalse())
+		Expect(p.tryTake(engine, pathThrough("a", "b", "c"), 100, 1)).To(BeFalse())
 		Expect(p.refill(fleet.DomainPair{A: "b", B: "c"}, 6e5, 1e5).bytes).To(Equal(before))
-		Expect(p.take(engine, across("b", "c"), 100, 1)).To(BeTrue())
+		Expect(p.tryTake(engine, pathThrough("b", "c"), 100, 1)).To(BeTrue())
 	})
 })
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -15,29 +15,29 @@
 
 // Quarantine returns what this host knows of requests that end endpoints.
 func (g *Gateway) Quarantine() *quarantine.Enforcer {
-	return g.held
+	return g.quarantine
 }
 
-// keep refuses a request that is kept from endpoints. It comes again with a new id
+// checkQuarantine refuses a request that is kept from endpoints. It comes again with a new id
 // after each try, so that neither attempts of one request nor the budget of repeats
 // bound it.
-func (g *Gateway) keep(j *job) *failure.Error {
-	if g.held.Idle() {
+func (g *Gateway) checkQuarantine(j *job) *failure.Error {
+	if g.quarantine.Idle() {
 		return nil
 	}
-	left := g.held.HoldRemaining(j.print())
+	left := g.quarantine.HoldRemaining(j.print())
 	if left <= 0 {
 		return nil
 	}
 	return failure.New(failure.Quarantined, "endpoints ended under this request").WithRetryAfter(left)
 }
 
-// fell notes that an endpoint broke its connection, or went silent, under a request
+// recordCrash notes that an endpoint broke its connection, or went silent, under a request
 // that was sent to it at began.
-func (g *Gateway) fell(j *job, endpoint string, early bool, began time.Time) {
+func (g *Gateway) recordCrash(j *job, endpoint string, early bool, began time.Time) {
 	after := g.svc.Now().Sub(began)
 	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(early)}).Inc(1)
-	if g.held.RecordCrash(quarantine.Crash{
+	if g.quarantine.RecordCrash(quarantine.Crash{
 		Fingerprint:    j.print(),
 		Endpoint:       fleet.LoadKey(endpoint),
 		BeforeResponse: early,
@@ -55,16 +55,16 @@
 	return "no"
 }
 
-// stood notes that an endpoint answered a request: it doesn't end whatever runs it.
-func (g *Gateway) stood(j *job) {
-	if !g.held.Idle() {
-		g.held.RecordServed(j.print())
+// recordAnswered notes that an endpoint answered a request: it doesn't end whatever runs it.
+func (g *Gateway) recordAnswered(j *job) {
+	if !g.quarantine.Idle() {
+		g.quarantine.RecordServed(j.print())
 	}
 }
 
-// cut reports whether a send ended since the endpoint's connection broke, as it does
+// connectionLost reports whether a send ended since the endpoint's connection broke, as it does
 // when the endpoint ends. An endpoint whose answer is damaged stands.
-func cut(err error) bool {
+func connectionLost(err error) bool {
 	var e *SendError
 	if !errors.As(err, &e) || !e.Sent {
 		return false
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// renew puts new incarnations in the place of all endpoints, as after their ends.
-func (s *fakeSource) renew(n int) {
+// replaceEndpoints puts new incarnations in the place of all endpoints, as after their ends.
+func (s *fakeSource) replaceEndpoints(n int) {
 	mark := "-" + strconv.Itoa(n)
 	s.change(func() {
 		s.endpoints = map[string][]fleet.Endpoint{
@@ -22,22 +22,22 @@
 	})
 }
 
-// fallen is how a send ends under which the endpoint fell: with a broken connection.
-func fallen(int, *Call) (*Answer, error) {
+// crashing is how a send ends under which the endpoint fell: with a broken connection.
+func crashing(int, *Call) (*Answer, error) {
 	return nil, &SendError{Sent: true, Cause: io.ErrUnexpectedEOF}
 }
 
 var _ = Describe("a request under which endpoints end", func() {
 	for _, route := range []string{"stream", "safe", "unsafe"} {
 		It("isn't sent again once three have ended, and is told so at once: "+route, func() {
-			withGateway(func(b *bench) {
-				b.backend.answer = fallen
+			withGateway(func(b *fixture) {
+				b.client.answer = crashing
 				var out *fakeOutput
 				for try := range 8 {
-					b.source.renew(try)
+					b.source.replaceEndpoints(try)
 					out = b.serve(route)
 				}
-				Expect(len(b.backend.sent())).To(BeNumerically("<=", 4))
+				Expect(len(b.client.sent())).To(BeNumerically("<=", 4))
 				Expect(out.refusal.Kind().Answer().Status).To(Equal(http.StatusServiceUnavailable))
 				Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
 				Expect(out.refusal.RetryAfter()).To(BeNumerically(">", 0))
--- a/pkg/gateway/repath.go
+++ b/pkg/gateway/repath.go
@@ -10,10 +10,10 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// errElsewhere says that a stream is better continued by other endpoints, all
+// errResendElsewhere says that a stream is better continued by other endpoints, all
 // in one failure domain, than by a path that crosses domains: each token so far
 // would have to cross too, and the pipe between domains is shared.
-var errElsewhere = errors.New("no other endpoint in the failure domain; continued elsewhere")
+var errResendElsewhere = errors.New("no other endpoint in the failure domain; continued elsewhere")
 
 // repath puts other endpoints in the place of the one at address. Its error
 // says that the stream must be sent anew.
@@ -21,19 +21,19 @@
 	if address == s.path[0].Address {
 		return nil
 	}
-	s.shun(s.path, address)
-	rests := s.g.rests.Remaining(s.path[0].ID) > 0 // it can't be told of another path
+	s.exclude(s.path, address)
+	rests := s.g.backoffs.Remaining(s.path[0].ID) > 0 // it can't be told of another path
 	for range repathTries {
-		path := s.pathAround(s.shunned)
+		path := s.pathAround(s.isExcluded)
 		if rests {
 			path = nil
 		} else if path == nil || pathing.DomainCrossings(path) > pathing.DomainCrossings(s.path) {
 			path = s.pathFrom(&s.path[0])
 		}
 		if s.betterElsewhere(path) {
-			return errElsewhere
+			return errResendElsewhere
 		}
-		if path == nil || s.follow(ctx, path, address) {
+		if path == nil || s.offerPath(ctx, path, address) {
 			return nil
 		}
 	}
@@ -47,26 +47,26 @@
 // repathTimeout bounds the call that offers one.
 const repathTimeout = 200 * time.Millisecond
 
-// shunned reports whether a part failed this request.
-func (s *streamRun) shunned(p fleet.Stage) bool {
-	return s.avoid[p.ID]
+// isExcluded reports whether a part failed this request.
+func (s *streamRun) isExcluded(p fleet.Stage) bool {
+	return s.failedIDs[p.ID]
 }
 
-// follow gives the stream a path around the part at address, and reports
+// offerPath gives the stream a path around the part at address, and reports
 // whether the first endpoint took it.
-func (s *streamRun) follow(ctx context.Context, path []fleet.Stage, address string) bool {
+func (s *streamRun) offerPath(ctx context.Context, path []fleet.Stage, address string) bool {
 	first := s.path[0]
-	if s.g.rests.Remaining(first.ID) > 0 || !s.takeRepath(path) {
+	if s.g.backoffs.Remaining(first.ID) > 0 || !s.acquireRepathPermits(path) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, repathTimeout)
 	defer cancel()
-	s.g.countLimited("repath", first.ID)
+	s.g.countLimitedCall("repath", first.ID)
 	sent := s.g.svc.Now()
-	err := s.g.backend.Repath(ctx, first.Address, s.j.req.ID, path)
+	err := s.g.client.Repath(ctx, first.Address, s.j.req.ID, path)
 	s.g.log.Event(eventlog.StreamRepathed, eventlog.Str("request", s.j.req.ID), eventlog.Str("around", address), eventlog.Err(err))
 	if err == nil {
-		s.take(path)
+		s.setPath(path)
 		return true
 	}
 	call := &Call{
@@ -76,26 +76,26 @@
 	}
 	var away *fleet.RejectedError
 	if errors.As(err, &away) {
-		s.g.hearAnswer(s.j, call, &Answer{
+		s.g.observeAnswer(s.j, call, &Answer{
 			Notice: away.Notice,
 		}, sent)
 	}
 	var fault *RepathError
 	if errors.As(err, &fault) {
-		s.g.hearAnswer(s.j, call, &Answer{
+		s.g.observeAnswer(s.j, call, &Answer{
 			FaultAddress: fault.Address,
 			Notice:       fault.Notice,
 		}, sent)
-		s.shun(path, fault.Address)
+		s.exclude(path, fault.Address)
 	}
 	return false
 }
 
-// shun keeps this request off the part of a path at address.
-func (s *streamRun) shun(path []fleet.Stage, address string) {
+// exclude keeps this request off the part of a path at address.
+func (s *streamRun) exclude(path []fleet.Stage, address string) {
 	for _, p := range path {
 		if p.Address == address {
-			s.avoid[p.ID] = true
+			s.failedIDs[p.ID] = true
 		}
 	}
 }
@@ -107,7 +107,7 @@
 		part := *first
 		demand.First = &part
 	}
-	path := pathing.Choose(s.j.service.Engine, s.stages(func(e *fleet.Endpoint) bool {
+	path := pathing.Choose(s.j.service.Engine, s.candidates(func(e *fleet.Endpoint) bool {
 		return s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	}), demand, s.jitter)
 	if path == nil || !pathing.CoversAllLayers(s.j.service.Engine, path) {
@@ -119,14 +119,14 @@
 // betterElsewhere reports whether a stream should be sent anew rather than
 // follow path.
 func (s *streamRun) betterElsewhere(path []fleet.Stage) bool {
-	if !s.j.route.Resumable || s.ran+1 >= s.j.route.MaxAttempts || path != nil && pathing.DomainCrossings(path) == 0 {
+	if !s.j.route.Resumable || s.attempts+1 >= s.j.route.MaxAttempts || path != nil && pathing.DomainCrossings(path) == 0 {
 		return false
 	}
 	other := s.pathFrom(nil)
 	if other == nil || path != nil && pathing.DomainCrossings(other) >= pathing.DomainCrossings(path) {
 		return false
 	}
-	return s.payAhead()
+	return s.reserveRetry()
 }
 
 // pathAround returns the stream's path with other endpoints in the place of the
@@ -134,7 +134,7 @@
 // a path reads every token so far, and one that stays keeps its memory. It
 // returns nil if no part is bad, or their layers can't be covered.
 func (s *streamRun) pathAround(bad func(p fleet.Stage) bool) []fleet.Stage {
-	kept, holes := split(s.path, bad)
+	kept, holes := splitStages(s.path, bad)
 	if len(holes) == 0 {
 		return nil
 	}
@@ -151,7 +151,7 @@
 			Layers:  p.Layers,
 		})
 	}
-	fit := s.stages(func(e *fleet.Endpoint) bool {
+	fit := s.candidates(func(e *fleet.Endpoint) bool {
 		return names[e.ID] || s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	})
 	for _, st := range fit {
@@ -168,9 +168,9 @@
 	return path
 }
 
-// split returns the parts of a path after the first that are good, and the
+// splitStages returns the parts of a path after the first that are good, and the
 // layers of those that are bad, neighbours joined.
-func split(path []fleet.Stage, bad func(p fleet.Stage) bool) (kept []fleet.Stage, holes []fleet.Range) {
+func splitStages(path []fleet.Stage, bad func(p fleet.Stage) bool) (kept []fleet.Stage, holes []fleet.Range) {
 	for _, p := range path[1:] {
 		n := len(holes)
 		switch {
--- a/pkg/gateway/repeats.go
+++ b/pkg/gateway/repeats.go
@@ -17,36 +17,36 @@
 	burstShare = 0.8
 )
 
-// repeats is this host's share of the budget of repeats: a token bucket whose
+// retryBucket is this host's share of the budget of repeats: a token bucket whose
 // size and refill together stay under the budget in every window.
-type repeats struct {
+type retryBucket struct {
 	budget RetryBudget
 	svc    timer.Service
 
-	mu     sync.Mutex
-	tokens float64
-	at     time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
-func newRepeats(budget RetryBudget, svc timer.Service) *repeats {
-	return &repeats{
-		budget: budget,
-		svc:    svc,
-		tokens: 1, // a host that was restarted doesn't know what it spent
-		at:     svc.Now(),
+func newRetryBucket(budget RetryBudget, svc timer.Service) *retryBucket {
+	return &retryBucket{
+		budget:     budget,
+		svc:        svc,
+		tokens:     1, // a host that was restarted doesn't know what it spent
+		refilledAt: svc.Now(),
 	}
 }
 
-// earn adds what one request allows.
-func (r *repeats) earn(hosts int) {
+// deposit adds what one request allows.
+func (r *retryBucket) deposit(hosts int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refill(hosts)
 	r.tokens = min(r.size(hosts), r.tokens+r.budget.Ratio*budgetShare)
 }
 
-// spend takes one repeat, if there is one.
-func (r *repeats) spend(hosts int) bool {
+// withdraw takes one repeat, if there is one.
+func (r *retryBucket) withdraw(hosts int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refill(hosts)
@@ -58,20 +58,20 @@
 }
 
 // size is the most that may be spent at once.
-func (r *repeats) size(hosts int) float64 {
+func (r *retryBucket) size(hosts int) float64 {
 	return max(1, burstShare*r.share(hosts))
 }
 
 // share is this host's part of the budget's extra repeats in a window.
-func (r *repeats) share(hosts int) float64 {
+func (r *retryBucket) share(hosts int) float64 {
 	return budgetShare * r.budget.Extra / float64(max(1, hosts))
 }
 
-func (r *repeats) refill(hosts int) {
+func (r *retryBucket) refill(hosts int) {
 	now := r.svc.Now()
 	if r.budget.Window > 0 {
-		r.tokens += (1 - burstShare) * r.share(hosts) * float64(now.Sub(r.at)) / float64(r.budget.Window)
+		r.tokens += (1 - burstShare) * r.share(hosts) * float64(now.Sub(r.refilledAt)) / float64(r.budget.Window)
 	}
 	r.tokens = min(r.size(hosts), r.tokens)
-	r.at = now
+	r.refilledAt = now
 }
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -14,8 +14,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// hang is a body from which nothing comes until it is closed.
-func hang(text string) io.ReadCloser {
+// hangingBody is a body from which nothing comes until it is closed.
+func hangingBody(text string) io.ReadCloser {
 	r, w := io.Pipe()
 	background(func() {
 		_, _ = w.Write([]byte(text)) // ends when the reader does
@@ -25,12 +25,12 @@
 
 var _ = Describe("a stream", func() {
 	It("passes every event on, with a path that runs every layer once", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, events(1, 5)), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(1, 5)), nil }
 			out := b.serve("stream")
 			Expect(out.text()).To(Equal(events(1, 5)))
 			Expect(out.aborted).To(BeFalse())
-			path := b.backend.sent()[0].Path
+			path := b.client.sent()[0].Path
 			Expect(path).To(HaveLen(2))
 			Expect(path[0].Layers).To(Equal(fleet.Range{From: 0, To: 2}))
 			Expect(path[1].Layers).To(Equal(fleet.Range{From: 2, To: 4}))
@@ -38,13 +38,13 @@
 	})
 
 	It("continues after the last whole event when it breaks within the next", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
 					return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 3) + "id: 4\nda")}}, nil
 				}
 				Expect(c.LastEvent).To(Equal("3"))
-				return whole(200, events(4, 6)), nil
+				return completeAnswer(200, events(4, 6)), nil
 			}
 			out := b.serve("stream")
 			Expect(out.text()).To(Equal(events(1, 6)))
@@ -53,56 +53,56 @@
 	})
 
 	It("is broken off, not ended, if it can't be continued", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) {
 				return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
 			}
 			out := b.serve("stream")
 			Expect(out.aborted).To(BeTrue())
-			Expect(b.backend.sent()).To(HaveLen(2))
+			Expect(b.client.sent()).To(HaveLen(2))
 		})
 	})
 
 	It("takes a body that ends within an event for broken", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(n int, _ *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(n int, _ *Call) (*Answer, error) {
 				if n == 1 {
-					return whole(200, events(1, 2)+"id: 3\ndata: t\n"), nil
+					return completeAnswer(200, events(1, 2)+"id: 3\ndata: t\n"), nil
 				}
-				return whole(200, events(3, 4)), nil
+				return completeAnswer(200, events(3, 4)), nil
 			}
 			Expect(b.serve("stream").text()).To(Equal(events(1, 4)))
 		})
 	})
 
 	It("goes around the part that refused", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			refused := ""
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
 					refused = c.Path[1].ID
 					return refusedBy(c.Path[1].Address), nil
 				}
-				return whole(200, events(1, 2)), nil
+				return completeAnswer(200, events(1, 2)), nil
 			}
 			Expect(b.serve("stream").text()).To(Equal(events(1, 2)))
-			Expect(b.backend.sent()[1].Path[1].ID).NotTo(Equal(refused))
+			Expect(b.client.sent()[1].Path[1].ID).NotTo(Equal(refused))
 		})
 	})
 
 	It("is refused at once, with a time to come back, where no path is", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 2)}
 			out := b.serve("stream")
 			Expect(out.refusal.Kind()).To(Equal(failure.NoChain))
 			Expect(out.refusal.RetryAfter()).To(BeNumerically(">", 0))
-			Expect(b.backend.sent()).To(BeEmpty())
+			Expect(b.client.sent()).To(BeEmpty())
 		})
 	})
 
 	It("waits for endpoints that may not have announced themselves yet, and no longer", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, events(1, 2)), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(1, 2)), nil }
 			b.source.unsettled = true
 			b.source.endpoints["llm"] = nil
 			done := make(chan bool)
@@ -110,23 +110,23 @@
 			background(func() {
 				req := b.request("stream")
 				b.gateway.serveStream(context.Background(), &job{
-					req:     req,
-					out:     out,
-					route:   b.source.view.Index.Route("h", "/stream/1"),
-					service: b.source.view.Index.Service("llm"),
-					end:     req.Received.Add(time.Minute),
+					req:      req,
+					out:      out,
+					route:    b.source.view.Index.Route("h", "/stream/1"),
+					service:  b.source.view.Index.Service("llm"),
+					deadline: req.Received.Add(time.Minute),
 				})
 				done <- true
 			})
 			Consistently(done, "50ms").ShouldNot(Receive())
-			b.clock.Advance(settleWait)
+			b.clock.Advance(discoveryWait)
 			Eventually(done, "5s").Should(Receive())
 			Expect(out.refusal.Kind()).To(Equal(failure.NoChain))
 		})
 	})
 
 	It("sends nothing to endpoints that load", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			for i := range b.source.endpoints["llm"] {
 				b.source.endpoints["llm"][i].Loading = true
 			}
@@ -135,21 +135,21 @@
 	})
 
 	It("puts another part in the place of one that stands still", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(_ int, c *Call) (*Answer, error) {
-				b.backend.mu.Lock()
-				b.backend.stalled = map[string]string{"r1": c.Path[1].Address}
-				b.backend.mu.Unlock()
-				return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
+		withGateway(func(b *fixture) {
+			b.client.answer = func(_ int, c *Call) (*Answer, error) {
+				b.client.mu.Lock()
+				b.client.stalled = map[string]string{"r1": c.Path[1].Address}
+				b.client.mu.Unlock()
+				return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			_, done := b.stream(ctx)
 			Eventually(func() int {
 				b.clock.Advance(stallWait)
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "5ms").Should(BeNumerically(">", 0))
-			first := b.backend.sent()[0].Path
-			next := b.backend.repaths[0]
+			first := b.client.sent()[0].Path
+			next := b.client.repaths[0]
 			Expect(next[0]).To(Equal(first[0]))
 			Expect(next[1].ID).NotTo(Equal(first[1].ID))
 			cancel()
@@ -158,14 +158,14 @@
 	})
 
 	It("continues elsewhere if the first endpoint doesn't answer at all", func() {
-		withGateway(func(b *bench) {
-			b.backend.stallErr = errReset
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.stallErr = errReset
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
-					return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
+					return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
 				}
 				Expect(c.LastEvent).To(Equal("1"))
-				return whole(200, events(2, 3)), nil
+				return completeAnswer(200, events(2, 3)), nil
 			}
 			out, done := b.stream(context.Background())
 			Eventually(func() bool {
@@ -178,27 +178,27 @@
 				}
 			}, "5s", "5ms").Should(BeTrue())
 			Expect(out.text()).To(Equal(events(1, 3)))
-			calls := b.backend.sent()
+			calls := b.client.sent()
 			Expect(calls[0].ID).NotTo(Equal(calls[1].ID))
 		})
 	})
 
 	It("stays on a first endpoint that leaves, and is continued when that breaks it off", func() {
-		withGateway(func(b *bench) {
-			first := hang(events(1, 1))
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			first := hangingBody(events(1, 1))
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
 					return &Answer{Status: 200, Verified: true, Body: first}, nil
 				}
 				Expect(c.LastEvent).To(Equal("1"))
-				return whole(200, events(2, 3)), nil
+				return completeAnswer(200, events(2, 3)), nil
 			}
 			out, done := b.stream(context.Background())
 			Eventually(out.text, "5s").Should(Equal(events(1, 1)))
-			b.source.leave(b.backend.sent()[0].Path[0].ID)
+			b.source.leave(b.client.sent()[0].Path[0].ID)
 			Consistently(func() int {
-				b.clock.Advance(partGrace)
-				return len(b.backend.sent())
+				b.clock.Advance(leaveGrace)
+				return len(b.client.sent())
 			}, "100ms", "10ms").Should(Equal(1))
 			Expect(done).NotTo(Receive())
 			Expect(out.aborted).To(BeFalse())
@@ -209,39 +209,39 @@
 	})
 
 	It("stays on a part that leaves where no other is in the failure domain", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			other := engineEndpoint("z", 2, 4)
 			other.Domain = "b"
 			b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), other}
-			end := b.underWay()
+			end := b.streamInFlight()
 			b.source.leave("y")
 			Consistently(func() int {
-				b.clock.Advance(partGrace)
-				return len(b.backend.sent()) + b.backend.repathed()
+				b.clock.Advance(leaveGrace)
+				return len(b.client.sent()) + b.client.repathCount()
 			}, "100ms", "10ms").Should(Equal(1))
 			end()
 		})
 	})
 
 	It("waits a little for room, once it was cut, before it is broken off", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 4), engineEndpoint("y", 0, 4)}
 			room := make(chan bool, 1)
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				switch {
 				case n == 1:
 					return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
 				case len(room) == 0:
 					return refusedBy(c.Address), nil
 				}
-				return whole(200, events(2, 3)), nil
+				return completeAnswer(200, events(2, 3)), nil
 			}
 			out, done := b.stream(context.Background())
-			Eventually(func() int { return len(b.backend.sent()) }, "5s").Should(Equal(2))
+			Eventually(func() int { return len(b.client.sent()) }, "5s").Should(Equal(2))
 			Consistently(done, "30ms").ShouldNot(Receive())
 			room <- true
 			Eventually(func() bool {
-				b.clock.Advance(roomPause)
+				b.clock.Advance(capacityPollInterval)
 				select {
 				case <-done:
 					return true
@@ -255,17 +255,17 @@
 	})
 
 	It("leaves a part that leaves", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) {
+				return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			_, done := b.stream(ctx)
-			Eventually(func() int { return len(b.backend.sent()) }, "5s").Should(Equal(1))
-			b.source.leave(b.backend.sent()[0].Path[1].ID)
+			Eventually(func() int { return len(b.client.sent()) }, "5s").Should(Equal(1))
+			b.source.leave(b.client.sent()[0].Path[1].ID)
 			Eventually(func() int {
-				b.clock.Advance(partAgain)
-				return b.backend.repathed()
+				b.clock.Advance(leaveRetryInterval)
+				return b.client.repathCount()
 			}, "5s", "5ms").Should(BeNumerically(">", 0))
 			cancel()
 			Eventually(done, "5s").Should(Receive())
@@ -273,20 +273,20 @@
 	})
 
 	It("leaves a part that gave up its layers well before a leaving one, and stays on a first one", func() {
-		withGateway(func(b *bench) {
-			end := b.underWay()
-			path := b.backend.sent()[0].Path
-			b.source.giveUp(path[0].ID)
-			b.source.giveUp(path[1].ID)
+		withGateway(func(b *fixture) {
+			end := b.streamInFlight()
+			path := b.client.sent()[0].Path
+			b.source.release(path[0].ID)
+			b.source.release(path[1].ID)
 			moved := 0 * time.Second
 			Eventually(func() int {
 				b.clock.Advance(10 * time.Millisecond)
 				moved += 10 * time.Millisecond
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "1ms").Should(Equal(1))
-			Expect(moved).To(BeNumerically("<", partGrace))
-			Expect(b.backend.repaths[0][0]).To(Equal(path[0]))
-			Expect(b.backend.repaths[0][1].ID).NotTo(Equal(path[1].ID))
+			Expect(moved).To(BeNumerically("<", leaveGrace))
+			Expect(b.client.repaths[0][0]).To(Equal(path[0]))
+			Expect(b.client.repaths[0][1].ID).NotTo(Equal(path[1].ID))
 			end()
 		})
 	})
@@ -294,19 +294,19 @@
 	It("keeps the parts of its path that are good when it goes around one", func() {
 		cases := []struct {
 			what  string
-			upset func(b *bench, id string)
+			upset func(b *fixture, id string)
 		}{
-			{"one that stands still", func(b *bench, id string) { b.backend.stall("r1", id+":1") }},
-			{"one that gave up its layers", func(b *bench, id string) { b.source.giveUp(id) }},
-			{"one that turns slow", func(b *bench, id string) { b.source.change(func() { b.source.slow[id] = slowPart }) }},
-			{"one that leaves", func(b *bench, id string) { b.source.leave(id) }},
+			{"one that stands still", func(b *fixture, id string) { b.client.stall("r1", id+":1") }},
+			{"one that gave up its layers", func(b *fixture, id string) { b.source.release(id) }},
+			{"one that turns slow", func(b *fixture, id string) { b.source.change(func() { b.source.slow[id] = slowStageFactor }) }},
+			{"one that leaves", func(b *fixture, id string) { b.source.leave(id) }},
 		}
 		for _, c := range cases {
-			withGateway(func(b *bench) {
+			withGateway(func(b *fixture) {
 				b.source.endpoints["llm"] = []fleet.Endpoint{
 					engineEndpoint("x", 0, 1), engineEndpoint("y", 1, 3), engineEndpoint("z", 3, 4),
 				}
-				end := b.underWay()
+				end := b.streamInFlight()
 				// The last part is slow now, and others hold its layers: a path
 				// chosen anew would leave it.
 				slow := engineEndpoint("z", 3, 4)
@@ -320,9 +320,9 @@
 				c.upset(b, "y")
 				Eventually(func() int {
 					b.clock.Advance(50 * time.Millisecond)
-					return b.backend.repathed()
+					return b.client.repathCount()
 				}, "5s", "2ms").Should(BeNumerically(">", 0), c.what)
-				path := b.backend.repaths[0]
+				path := b.client.repaths[0]
 				Expect(path).To(HaveLen(3), c.what)
 				Expect(path[1].ID).To(Equal("v"), c.what)
 				Expect(path[1].Layers).To(Equal(fleet.Range{From: 1, To: 3}), c.what)
@@ -333,46 +333,46 @@
 	})
 
 	It("offers another path at once where one was refused for an endpoint", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			slow := engineEndpoint("z2", 2, 4)
 			slow.Slowdown = 20
 			b.source.endpoints["llm"] = []fleet.Endpoint{
 				engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4), slow,
 			}
-			end := b.underWay()
+			end := b.streamInFlight()
 			lost, full := "y:1", "z:1"
-			if b.backend.sent()[0].Path[1].ID == "z" {
+			if b.client.sent()[0].Path[1].ID == "z" {
 				lost, full = full, lost
 			}
-			b.backend.refuse = full
-			b.backend.stall("r1", lost)
+			b.client.rejectAddress = full
+			b.client.stall("r1", lost)
 			Eventually(func() int {
 				b.clock.Advance(stallWait)
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "2ms").Should(BeNumerically(">=", 2))
-			Expect(b.backend.repaths[0][1].Address).To(Equal(full))
-			Expect(b.backend.repaths[1][1].ID).To(Equal("z2"))
+			Expect(b.client.repaths[0][1].Address).To(Equal(full))
+			Expect(b.client.repaths[1][1].ID).To(Equal("z2"))
 			end()
 		})
 	})
 
 	It("leaves a part that gave up its layers though it must stay on one that leaves", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{
 				engineEndpoint("x", 0, 1), engineEndpoint("y", 1, 3), engineEndpoint("z", 3, 4),
 			}
-			end := b.underWay()
+			end := b.streamInFlight()
 			b.source.change(func() {
 				b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 1), engineEndpoint("y2", 1, 3)}
 			})
 			b.source.leave("z")
-			b.source.giveUp("y")
+			b.source.release("y")
 			Eventually(func() int {
 				b.clock.Advance(50 * time.Millisecond)
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "2ms").Should(Equal(1))
-			Expect(b.backend.repaths[0][1].ID).To(Equal("y2"))
-			Expect(b.backend.repaths[0][2].ID).To(Equal("z"))
+			Expect(b.client.repaths[0][1].ID).To(Equal("y2"))
+			Expect(b.client.repaths[0][2].ID).To(Equal("z"))
 			end()
 		})
 	})
@@ -388,9 +388,9 @@
 			{5 * time.Second, 200, false},
 		}
 		for _, c := range cases {
-			withGateway(func(b *bench) {
-				b.source.stopsIn = c.stopsIn
-				b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, events(1, 2)), nil }
+			withGateway(func(b *fixture) {
+				b.source.shutdownIn = c.stopsIn
+				b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(1, 2)), nil }
 				out := &fakeOutput{}
 				req := b.request("stream")
 				req.Received = time.Now()
@@ -401,38 +401,38 @@
 					Expect(out.refusal.Kind()).To(Equal(failure.Draining))
 					Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
 					Expect(out.refusal.RetryAfter()).To(BeNumerically(">", 0))
-					Expect(b.backend.sent()).To(BeEmpty())
+					Expect(b.client.sent()).To(BeEmpty())
 				}
 			})
 		}
 	})
 
 	It("learns how long nearly all streams of a size take, however slow they are", func() {
-		p := newPaces()
-		before := p.expect(100)
-		for i := range 2 * paceKept {
-			p.ended(100, time.Second)
-			p.ended(10, time.Duration(i%10+1)*100*time.Millisecond)
+		p := newDurationEstimator()
+		before := p.estimate(100)
+		for i := range 2 * samplesPerClass {
+			p.record(100, time.Second)
+			p.record(10, time.Duration(i%10+1)*100*time.Millisecond)
 		}
-		Expect(p.expect(100)).To(BeNumerically("<", before))
-		Expect(p.expect(100)).To(Equal(time.Second))
-		Expect(p.expect(10)).To(Equal(time.Second), "not what most of them take")
-		Expect(p.expect(1000)).To(Equal(10*time.Second), "by the nearest size that is known")
-		p.ended(0, time.Hour)
-		Expect(p.expect(100)).To(Equal(time.Second))
-		for range paceKept {
-			p.ended(100, time.Minute)
+		Expect(p.estimate(100)).To(BeNumerically("<", before))
+		Expect(p.estimate(100)).To(Equal(time.Second))
+		Expect(p.estimate(10)).To(Equal(time.Second), "not what most of them take")
+		Expect(p.estimate(1000)).To(Equal(10*time.Second), "by the nearest size that is known")
+		p.record(0, time.Hour)
+		Expect(p.estimate(100)).To(Equal(time.Second))
+		for range samplesPerClass {
+			p.record(100, time.Minute)
 		}
-		Expect(p.expect(100)).To(Equal(time.Minute), "a stream that takes a minute isn't taken for two seconds")
-		for range paceKept {
-			p.ended(100, time.Second)
+		Expect(p.estimate(100)).To(Equal(time.Minute), "a stream that takes a minute isn't taken for two seconds")
+		for range samplesPerClass {
+			p.record(100, time.Second)
 		}
-		Expect(p.expect(100)).To(Equal(time.Second), "and what was slow is forgotten")
+		Expect(p.estimate(100)).To(Equal(time.Second), "and what was slow is forgotten")
 	})
 
 	It("waits for streams that begin if its caller resumes it with many others", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, events(2, 2)), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(2, 2)), nil }
 			done := make(chan string, 10)
 			send := func(last string) {
 				background(func() {
@@ -458,15 +458,15 @@
 	})
 
 	It("tells when its first event came, and of the longest pause", func() {
-		p := &pulse{}
+		p := &pauseTracker{}
 		start := time.Unix(1000, 0)
 		Expect(p.fields(start)).To(BeEmpty())
 		for i, ms := range []int{40, 70, 300, 310} {
-			p.beat(start.Add(time.Duration(ms)*time.Millisecond), strconv.Itoa(i))
+			p.record(start.Add(time.Duration(ms)*time.Millisecond), strconv.Itoa(i))
 		}
-		Expect(p.first).To(Equal(start.Add(40 * time.Millisecond)))
-		Expect(p.pause).To(Equal(230 * time.Millisecond))
-		Expect(p.after).To(Equal("2"))
+		Expect(p.firstEvent).To(Equal(start.Add(40 * time.Millisecond)))
+		Expect(p.longest).To(Equal(230 * time.Millisecond))
+		Expect(p.longestAfter).To(Equal("2"))
 		Expect(p.fields(start)).To(HaveLen(3))
 	})
 
--- a/pkg/gateway/tracker.go
+++ b/pkg/gateway/tracker.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// avoidFirst is how long an endpoint that failed once is left alone;
+	// initialAvoidTime is how long an endpoint that failed once is left alone;
 	// each failure in a row doubles it, up to avoidMost.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
+	initialAvoidTime = 500 * time.Millisecond
+	maxAvoidTime     = 4 * time.Second
 	// latencyWeight is the newest answer's weight in the mean.
 	latencyWeight = 0.3
 )
@@ -23,37 +23,37 @@
 	svc timer.Service
 	log *eventlog.Log
 
-	mu   sync.Mutex
-	rows map[string]*trackRow
+	mu      sync.Mutex
+	entries map[string]*trackerEntry
 }
 
-type trackRow struct {
-	load     Load
-	until    time.Time // avoided
-	failures int       // in a row
-	latency  float64   // mean ms of answers; 0 if none came
-	used     time.Time
+type trackerEntry struct {
+	load       Load
+	avoidUntil time.Time // avoided
+	failures   int       // in a row
+	latency    float64   // mean ms of answers; 0 if none came
+	lastUsed   time.Time
 }
 
-// trackKeep is how long a row without work is kept.
-const trackKeep = 2 * time.Minute
+// idleEntryLifetime is how long a row without work is kept.
+const idleEntryLifetime = 2 * time.Minute
 
 // NewTracker returns a tracker that knows nothing.
 func NewTracker(svc timer.Service, log *eventlog.Log) *Tracker {
 	return &Tracker{
-		svc:  svc,
-		log:  log,
-		rows: map[string]*trackRow{},
+		svc:     svc,
+		log:     log,
+		entries: map[string]*trackerEntry{},
 	}
 }
 
-func (t *Tracker) row(id string) *trackRow {
-	r := t.rows[id]
+func (t *Tracker) entry(id string) *trackerEntry {
+	r := t.entries[id]
 	if r == nil {
-		r = &trackRow{}
-		t.rows[id] = r
+		r = &trackerEntry{}
+		t.entries[id] = r
 	}
-	r.used = t.svc.Now()
+	r.lastUsed = t.svc.Now()
 	return r
 }
 
@@ -61,7 +61,7 @@
 func (t *Tracker) Begin(id string, tokens int) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.row(id)
+	r := t.entry(id)
 	r.load.Requests++
 	r.load.Tokens += tokens
 	done := false
@@ -81,7 +81,7 @@
 func (t *Tracker) Load(id string) Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[id]; r != nil {
+	if r := t.entries[id]; r != nil {
 		return r.load
 	}
 	return Load{}
@@ -93,13 +93,13 @@
 	defer t.mu.Unlock()
 	now := t.svc.Now()
 	list := map[string]Load{}
-	for id, r := range t.rows {
+	for id, r := range t.entries {
 		if r.load.Requests > 0 {
 			list[id] = r.load
 			continue
 		}
-		if now.Sub(r.used) > trackKeep {
-			delete(t.rows, id)
+		if now.Sub(r.lastUsed) > idleEntryLifetime {
+			delete(t.entries, id)
 		}
 	}
 	return list
@@ -108,15 +108,15 @@
 // RecordFailure notes a failure of an endpoint, by which it gets no work for a while.
 func (t *Tracker) RecordFailure(id, why string) {
 	t.mu.Lock()
-	r := t.row(id)
+	r := t.entry(id)
 	now := t.svc.Now()
-	fresh := now.After(r.until)
+	fresh := now.After(r.avoidUntil)
 	if fresh {
 		r.failures++
 	}
-	d := min(avoidMost, avoidFirst<<min(8, r.failures-1))
-	if until := now.Add(d); until.After(r.until) {
-		r.until = until
+	d := min(maxAvoidTime, initialAvoidTime<<min(8, r.failures-1))
+	if until := now.Add(d); until.After(r.avoidUntil) {
+		r.avoidUntil = until
 	}
 	t.mu.Unlock()
 	if fresh {
@@ -130,8 +130,8 @@
 	defer t.mu.Unlock()
 	now := t.svc.Now()
 	var list []string
-	for id, r := range t.rows {
-		if now.Before(r.until) {
+	for id, r := range t.entries {
+		if now.Before(r.avoidUntil) {
 			list = append(list, id)
 		}
 	}
@@ -142,9 +142,9 @@
 func (t *Tracker) RecordSuccess(id string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.row(id)
+	r := t.entry(id)
 	r.failures = 0
-	r.until = time.Time{}
+	r.avoidUntil = time.Time{}
 	ms := float64(d) / float64(time.Millisecond)
 	if r.latency == 0 {
 		r.latency = ms
@@ -157,7 +157,7 @@
 func (t *Tracker) Latency(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[id]; r != nil {
+	if r := t.entries[id]; r != nil {
 		return r.latency
 	}
 	return 0
@@ -167,6 +167,6 @@
 func (t *Tracker) Avoided(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.rows[id]
-	return r != nil && t.svc.Now().Before(r.until)
+	r := t.entries[id]
+	return r != nil && t.svc.Now().Before(r.avoidUntil)
 }
--- a/pkg/gateway/waits_test.go
+++ b/pkg/gateway/waits_test.go
@@ -8,53 +8,53 @@
 	. "github.com/onsi/gomega"
 )
 
-// withWaits runs f on a host that has sent nothing.
-func withWaits(f func(w *waits, clock *timer.Manual)) {
+// withWaitEstimator runs f on a host that has sent nothing.
+func withWaitEstimator(f func(w *waitEstimator, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
-	f(newWaits(clock), clock)
+	f(newWaitEstimator(clock), clock)
 }
 
 var _ = Describe("waits", func() {
 	It("are the shortest that was seen lately", func() {
-		withWaits(func(w *waits, clock *timer.Manual) {
+		withWaitEstimator(func(w *waitEstimator, clock *timer.Manual) {
 			long := w.begin("x")
 			clock.Advance(300 * time.Millisecond)
 			short := w.begin("x")
 			clock.Advance(100 * time.Millisecond)
-			w.first(long)
-			Expect(w.expect("x")).To(Equal(400 * time.Millisecond))
-			w.first(short)
-			Expect(w.expect("x")).To(Equal(100 * time.Millisecond))
-			Expect(w.expect("y")).To(BeZero())
-			w.first(long)
-			Expect(w.expect("x")).To(Equal(100*time.Millisecond), "only the first event tells")
+			w.firstEvent(long)
+			Expect(w.estimate("x")).To(Equal(400 * time.Millisecond))
+			w.firstEvent(short)
+			Expect(w.estimate("x")).To(Equal(100 * time.Millisecond))
+			Expect(w.estimate("y")).To(BeZero())
+			w.firstEvent(long)
+			Expect(w.estimate("x")).To(Equal(100*time.Millisecond), "only the first event tells")
 		})
 	})
 
 	It("grow with what still waits once nothing else tells", func() {
-		withWaits(func(w *waits, clock *timer.Manual) {
+		withWaitEstimator(func(w *waitEstimator, clock *timer.Manual) {
 			quick := w.begin("x")
-			w.first(quick)
+			w.firstEvent(quick)
 			w.begin("x")
 			clock.Advance(400 * time.Millisecond)
-			Expect(w.expect("x")).To(BeZero(), "another one passed meanwhile")
+			Expect(w.estimate("x")).To(BeZero(), "another one passed meanwhile")
 			clock.Advance(2 * waitBucket)
-			Expect(w.expect("x")).To(Equal(400*time.Millisecond + 2*waitBucket))
+			Expect(w.estimate("x")).To(Equal(400*time.Millisecond + 2*waitBucket))
 		})
 	})
 
 	It("shrink with time where nothing is sent, and are forgotten", func() {
-		withWaits(func(w *waits, clock *timer.Manual) {
+		withWaitEstimator(func(w *waitEstimator, clock *timer.Manual) {
 			s := w.begin("x")
 			clock.Advance(2 * time.Second)
-			w.first(s)
+			w.firstEvent(s)
 			w.end(s)
 			clock.Advance(1500 * time.Millisecond)
-			Expect(w.expect("x")).To(BeNumerically("~", 500*time.Millisecond, waitBucket))
+			Expect(w.estimate("x")).To(BeNumerically("~", 500*time.Millisecond, waitBucket))
 			clock.Advance(time.Second)
-			Expect(w.expect("x")).To(BeZero())
+			Expect(w.estimate("x")).To(BeZero())
 			w.end(w.begin("x"))
-			Expect(w.rows).To(BeEmpty())
+			Expect(w.entries).To(BeEmpty())
 		})
 	})
 })
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -23,66 +23,66 @@
 	hedgeShare = 0.5
 	// maxAnswerBytes bounds an answer that is held whole.
 	maxAnswerBytes = 8 << 20
-	// comeBack is when a refused caller should return: an endpoint that
+	// baseRetryAfter is when a refused caller should return: an endpoint that
 	// failed is avoided for as long.
-	comeBack = 300 * time.Millisecond
+	baseRetryAfter = 300 * time.Millisecond
 )
 
-// verdict is how one attempt ended.
-type verdict struct {
+// attemptResult is how one attempt ended.
+type attemptResult struct {
 	endpoint fleet.Endpoint
 	status   int
 	header   http.Header
 	body     []byte
 	notRun   bool
 	err      error
-	began    time.Time
+	sentAt   time.Time
 }
 
-// good reports whether a verdict is an answer that no other attempt betters.
-func (v *verdict) good() bool {
+// final reports whether a verdict is an answer that no other attempt betters.
+func (v *attemptResult) final() bool {
 	return v.err == nil && !v.notRun && v.status < http.StatusInternalServerError
 }
 
-// serveWhole answers a request of an ordinary service.
-func (g *Gateway) serveWhole(ctx context.Context, j *job) {
-	w := &wholeRun{
+// serveUnary answers a request of an ordinary service.
+func (g *Gateway) serveUnary(ctx context.Context, j *job) {
+	w := &unaryRun{
 		g:       g,
 		j:       j,
 		tried:   map[string]bool{},
-		results: make(chan *verdict, maxSends),
+		results: make(chan *attemptResult, maxSends),
 	}
-	g.repeats.earn(g.source.HostCount())
+	g.retries.deposit(g.source.HostCount())
 	grp := group.New(ctx)
 	defer grp.Stop()
 	w.group = grp
 	w.run(ctx)
 }
 
-// wholeRun is a request's attempts.
-type wholeRun struct {
-	g       *Gateway
-	j       *job
-	group   *group.Group
-	tried   map[string]bool
-	results chan *verdict
-	sends   int
-	running int
-	ran     int // attempts that may have run
-	last    *verdict
-	// borrowed is how often it asked for permits, and due when there is one, if there
+// unaryRun is a request's attempts.
+type unaryRun struct {
+	g        *Gateway
+	j        *job
+	group    *group.Group
+	tried    map[string]bool
+	results  chan *attemptResult
+	sends    int
+	running  int
+	attempts int // attempts that may have run
+	best     *attemptResult
+	// permitRequests is how often it asked for permits, and due when there is one, if there
 	// wasn't.
-	borrowed int
-	due      time.Duration
+	permitRequests    int
+	permitAvailableIn time.Duration
 }
 
-func (w *wholeRun) run(ctx context.Context) {
+func (w *unaryRun) run(ctx context.Context) {
 	for {
 		changed := w.g.source.Changed()
 		if w.send(firstSend) {
 			break
 		}
-		if w.borrow(ctx) {
+		if w.requestPermit(ctx) {
 			continue
 		}
 		if !w.g.awaitEndpoints(ctx, w.j.req, changed) {
@@ -95,12 +95,12 @@
 		select {
 		case v := <-w.results:
 			w.running--
-			if w.take(v) {
+			if w.handleResult(v) {
 				return
 			}
 		case <-hedge:
 			hedge = nil
-			w.repeat(besideOther, nil)
+			w.resend(asHedge, nil)
 		case <-ctx.Done():
 			w.expired(ctx)
 			return
@@ -111,39 +111,39 @@
 
 // hedgeTimer fires when a repeatable request has waited long enough; a nil
 // channel never does.
-func (w *wholeRun) hedgeTimer() <-chan time.Time {
+func (w *unaryRun) hedgeTimer() <-chan time.Time {
 	if w.j.route.Kind != fleet.Safe || w.j.route.Goal <= 0 {
 		return nil
 	}
 	return w.g.svc.After(time.Duration(hedgeShare * float64(w.j.route.Goal)))
 }
 
-// take deals with an attempt's end; it reports whether the request is answered.
-func (w *wholeRun) take(v *verdict) bool {
-	w.last = better(w.last, v)
-	if v.good() {
+// handleResult deals with an attempt's end; it reports whether the request is answered.
+func (w *unaryRun) handleResult(v *attemptResult) bool {
+	w.best = better(w.best, v)
+	if v.final() {
 		w.answer(v)
 		return true
 	}
 	if v.err != nil || v.notRun {
-		w.g.tracker.RecordFailure(v.endpoint.ID, w.why(v))
-		w.g.attemptFailed(w.j, v.endpoint.ID, w.why(v))
+		w.g.tracker.RecordFailure(v.endpoint.ID, w.failureReason(v))
+		w.g.logFailedAttempt(w.j, v.endpoint.ID, w.failureReason(v))
 	}
-	if cut(v.err) {
-		w.g.fell(w.j, v.endpoint.ID, true, v.began)
+	if connectionLost(v.err) {
+		w.g.recordCrash(w.j, v.endpoint.ID, true, v.sentAt)
 	}
 	if v.notRun || notSent(v.err) {
-		w.ran--
-		w.repeat(afterFailure, v.err)
+		w.attempts--
+		w.resend(afterFailure, v.err)
 		return false
 	}
 	if w.j.route.Kind == fleet.Safe && w.running == 0 {
-		w.repeat(afterFailure, v.err)
+		w.resend(afterFailure, v.err)
 	}
 	return false
 }
 
-func (w *wholeRun) why(v *verdict) string {
+func (w *unaryRun) failureReason(v *attemptResult) string {
 	if v.err != nil {
 		return v.err.Error()
 	}
@@ -151,7 +151,7 @@
 }
 
 // better prefers an endpoint's own answer to none.
-func better(a, b *verdict) *verdict {
+func better(a, b *attemptResult) *attemptResult {
 	if a == nil || a.err != nil || a.notRun {
 		return b
 	}
@@ -166,9 +166,9 @@
 	return errors.As(err, &e) && !e.Sent
 }
 
-// repeat sends once more if attempts and the budget allow it.
-func (w *wholeRun) repeat(why occasion, cause error) {
-	if w.ran >= w.j.route.MaxAttempts || w.sends >= maxSends || w.g.keep(w.j) != nil {
+// resend sends once more if attempts and the budget allow it.
+func (w *unaryRun) resend(why sendReason, cause error) {
+	if w.attempts >= w.j.route.MaxAttempts || w.sends >= maxSends || w.g.checkQuarantine(w.j) != nil {
 		return
 	}
 	if notSent(cause) {
@@ -177,27 +177,27 @@
 	w.send(why)
 }
 
-// occasion is why a request is sent.
-type occasion int
+// sendReason is why a request is sent.
+type sendReason int
 
 const (
-	firstSend    occasion = iota
-	afterFailure          // an attempt failed, or was refused
-	afterUnsent           // an attempt reached no endpoint
-	besideOther           // an attempt still runs
+	firstSend    sendReason = iota
+	afterFailure            // an attempt failed, or was refused
+	afterUnsent             // an attempt reached no endpoint
+	asHedge                 // an attempt still runs
 )
 
 // send starts an attempt, paid for by the budget if it is a repeat, and reports
 // whether an endpoint was there. A send beside another takes no permit: that is a place
 // of a request which wasn't sent yet.
-func (w *wholeRun) send(why occasion) bool {
+func (w *unaryRun) send(why sendReason) bool {
 	e, ok := w.pick(why)
 	if !ok {
 		return false
 	}
 	w.tried[e.ID] = true
 	w.sends++
-	w.ran++
+	w.attempts++
 	w.running++
 	w.group.Go(func(ctx context.Context) {
 		w.results <- w.g.tryAttempt(ctx, w.j, e)
@@ -206,15 +206,15 @@
 }
 
 // pick chooses the endpoint of the next send, and takes what the send needs.
-func (w *wholeRun) pick(why occasion) (fleet.Endpoint, bool) {
-	fits := func(id string) bool { return !w.tried[id] && (why != besideOther || !w.g.permits.HasLimit(id)) }
+func (w *unaryRun) pick(why sendReason) (fleet.Endpoint, bool) {
+	fits := func(id string) bool { return !w.tried[id] && (why != asHedge || !w.g.permits.HasLimit(id)) }
 	paid := why == firstSend || why == afterUnsent
 	for {
 		e, ok := w.g.pick(w.j.service.Name, fits)
 		if !ok && w.sends == 0 {
 			e, ok = w.g.lastChoice(w.j.service.Name, w.tried)
 		}
-		paid = paid || ok && w.g.repeats.spend(w.g.source.HostCount())
+		paid = paid || ok && w.g.retries.withdraw(w.g.source.HostCount())
 		if !ok || !paid {
 			return e, false
 		}
@@ -224,82 +224,82 @@
 	}
 }
 
-// borrow asks for a permit where nothing else is lacking, and reports whether to choose
+// requestPermit asks for a permit where nothing else is lacking, and reports whether to choose
 // again.
-func (w *wholeRun) borrow(ctx context.Context) bool {
-	ids := w.g.scarce(w.j.service.Name, w.tried)
-	if len(ids) == 0 || w.borrowed >= maxBorrows {
+func (w *unaryRun) requestPermit(ctx context.Context) bool {
+	ids := w.g.lackingPermit(w.j.service.Name, w.tried)
+	if len(ids) == 0 || w.permitRequests >= maxPermitRequests {
 		return false
 	}
-	w.borrowed++
-	w.due = w.g.borrow(ctx, w.j, ids, false)
-	return w.due == 0
+	w.permitRequests++
+	w.permitAvailableIn = w.g.requestPermits(ctx, w.j, ids, false)
+	return w.permitAvailableIn == 0
 }
 
-func (w *wholeRun) answer(v *verdict) {
-	w.g.stood(w.j)
-	w.g.served(w.j, v.status, v.endpoint.ID, w.sends)
+func (w *unaryRun) answer(v *attemptResult) {
+	w.g.recordAnswered(w.j)
+	w.g.logServed(w.j, v.status, v.endpoint.ID, w.sends)
 	w.j.out.WriteAnswer(v.status, v.header, v.body)
 }
 
 // finish answers when no attempt is left.
-func (w *wholeRun) finish() {
-	v := w.last
+func (w *unaryRun) finish() {
+	v := w.best
 	switch {
 	case v != nil && v.err == nil && !v.notRun:
 		w.answer(v)
-	case v == nil && w.due > 0:
-		w.refuse(w.g.full(w.due))
-	case v == nil && w.g.restLeft(w.j.service.Name) > 0:
-		w.refuse(w.g.resting(w.g.restLeft(w.j.service.Name)))
+	case v == nil && w.permitAvailableIn > 0:
+		w.refuse(w.g.noPermitError(w.permitAvailableIn))
+	case v == nil && w.g.backoffRemaining(w.j.service.Name) > 0:
+		w.refuse(w.g.backoffError(w.g.backoffRemaining(w.j.service.Name)))
 	case v == nil:
-		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(spread(comeBack)))
-	case w.ran > 0:
+		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(lengthen(baseRetryAfter)))
+	case w.attempts > 0:
 		w.refuse(failure.Wrap(v.err, failure.EndpointFailed, "endpoint %s", v.endpoint.ID))
 	default:
 		w.refuse(failure.New(failure.Overloaded, "every endpoint that was asked refused").
-			WithRetryAfter(max(comeBack, spread(w.g.restLeft(w.j.service.Name)))))
+			WithRetryAfter(max(baseRetryAfter, lengthen(w.g.backoffRemaining(w.j.service.Name)))))
 	}
 }
 
 // expired answers when time ran out or the caller left. Attempts that reached no
 // endpoint by then surely didn't run, and their caller is told so: one whose
 // request must not be repeated may come back only after that.
-func (w *wholeRun) expired(ctx context.Context) {
+func (w *unaryRun) expired(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // nobody is there to be answered
 	}
 	w.group.Stop()
 	for ; w.running > 0; w.running-- {
 		v := <-w.results
-		if v.good() {
+		if v.final() {
 			w.answer(v)
 			return
 		}
 		if v.notRun || notSent(v.err) {
-			w.ran--
+			w.attempts--
 		}
 	}
-	if w.ran == 0 {
-		w.refuse(failure.New(failure.NoEndpoint, "no endpoint was reached in time").WithRetryAfter(comeBack))
+	if w.attempts == 0 {
+		w.refuse(failure.New(failure.NoEndpoint, "no endpoint was reached in time").WithRetryAfter(baseRetryAfter))
 		return
 	}
 	w.refuse(failure.New(failure.DeadlineExceeded, "no answer in time from %d endpoints", w.sends))
 }
 
-func (w *wholeRun) refuse(e *failure.Error) {
+func (w *unaryRun) refuse(e *failure.Error) {
 	w.g.refuse(w.j.req, w.j, w.j.out, e)
 }
 
 // pick chooses the endpoint that should answer first, of those that may be called now.
 func (g *Gateway) pick(service string, fits func(id string) bool) (fleet.Endpoint, bool) {
-	return g.best(service, func(id string) bool { return fits(id) && g.rests.Remaining(id) == 0 && g.permits.MayCall(id) })
+	return g.best(service, func(id string) bool { return fits(id) && g.backoffs.Remaining(id) == 0 && g.permits.MayCall(id) })
 }
 
 // lastChoice chooses one that rests, and counts that it is called in its rest.
 func (g *Gateway) lastChoice(service string, tried map[string]bool) (fleet.Endpoint, bool) {
-	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.rests.MayCall(id) && g.permits.MayCall(id) })
-	return e, ok && g.takeLast(e.ID)
+	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.backoffs.MayCall(id) && g.permits.MayCall(id) })
+	return e, ok && g.acquireLastChoice(e.ID)
 }
 
 // best returns the endpoint with the lowest score of those that fit.
@@ -349,9 +349,9 @@
 }
 
 // tryAttempt is attempt, which ends in a verdict whatever it meets.
-func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (v *verdict) {
+func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (v *attemptResult) {
 	if err := group.Try(func() { v = g.attempt(ctx, j, e) }); err != nil {
-		return &verdict{
+		return &attemptResult{
 			endpoint: e,
 			err: &SendError{
 				Sent:  true,
@@ -363,11 +363,11 @@
 }
 
 // attempt sends a request to one endpoint and reads the whole answer.
-func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *verdict {
+func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *attemptResult {
 	began := g.svc.Now()
-	v := &verdict{
+	v := &attemptResult{
 		endpoint: e,
-		began:    began,
+		sentAt:   began,
 	}
 	done := g.tracker.Begin(e.ID, 0)
 	defer done()
@@ -376,7 +376,7 @@
 		ID:       e.ID,
 		Address:  e.Address,
 		Account:  j.account,
-		Timeout:  j.end.Sub(began),
+		Timeout:  j.deadline.Sub(began),
 		Priority: j.priority,
 	})
 	if err != nil {
--- a/pkg/gateway/whole_test.go
+++ b/pkg/gateway/whole_test.go
@@ -18,38 +18,38 @@
 
 var _ = Describe("a request of an ordinary service", func() {
 	It("is sent once and answered unchanged", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, "body"), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, "body"), nil }
 			out := b.serve("unsafe")
 			Expect(out.status).To(Equal(200))
 			Expect(out.text()).To(Equal("body"))
-			Expect(b.backend.sent()).To(HaveLen(1))
-			Expect(b.backend.sent()[0].Account).To(Equal("acc"))
+			Expect(b.client.sent()).To(HaveLen(1))
+			Expect(b.client.sent()[0].Account).To(Equal("acc"))
 		})
 	})
 
 	It("is never repeated once it may have run, if it must not be, and isn't called refused", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return nil, &SendError{Sent: true, Cause: errReset} }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return nil, &SendError{Sent: true, Cause: errReset} }
 			out := b.serve("unsafe")
-			Expect(b.backend.sent()).To(HaveLen(1))
+			Expect(b.client.sent()).To(HaveLen(1))
 			Expect(out.refusal.Kind()).To(Equal(failure.EndpointFailed))
 			Expect(out.refusal.Ran()).NotTo(Equal(failure.RanNo))
 		})
 	})
 
 	It("isn't repeated after a damaged or torn answer either", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) {
 				return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader("half")}}, nil
 			}
 			out := b.serve("unsafe")
-			Expect(b.backend.sent()).To(HaveLen(1))
+			Expect(b.client.sent()).To(HaveLen(1))
 			Expect(out.text()).To(BeEmpty())
 			Expect(out.refusal.Kind()).To(Equal(failure.EndpointFailed))
 		})
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) {
 				return &Answer{Status: 200, Body: io.NopCloser(strings.NewReader("other"))}, nil
 			}
 			Expect(b.serve("unsafe").text()).To(BeEmpty())
@@ -57,23 +57,23 @@
 	})
 
 	It("goes to another endpoint if the first says that it didn't run it", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(n int, _ *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(n int, _ *Call) (*Answer, error) {
 				if n == 1 {
 					return refusedBy(""), nil
 				}
-				return whole(200, "ok"), nil
+				return completeAnswer(200, "ok"), nil
 			}
 			Expect(b.serve("unsafe").text()).To(Equal("ok"))
-			calls := b.backend.sent()
+			calls := b.client.sent()
 			Expect(calls).To(HaveLen(2))
 			Expect(calls[0].ID).NotTo(Equal(calls[1].ID))
 		})
 	})
 
 	It("is refused with a time to come back, and truly not run, if all endpoints refuse", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return refusedBy(""), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return refusedBy(""), nil }
 			out := b.serve("unsafe")
 			Expect(out.refusal.Kind()).To(Equal(failure.Overloaded))
 			Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
@@ -133,8 +133,8 @@
 		}
 		for _, c := range cases {
 			for _, kind := range []string{"safe", "unsafe", "stream"} {
-				withGateway(func(b *bench) {
-					b.backend.until = c.answer
+				withGateway(func(b *fixture) {
+					b.client.answerCtx = c.answer
 					out := b.serveFor(kind, 50*time.Millisecond)
 					Expect(out.refusal).NotTo(BeNil(), c.name+" "+kind)
 					Expect(out.refusal.Ran()).To(Equal(c.ran), c.name+" "+kind)
@@ -147,28 +147,28 @@
 	})
 
 	It("is repeated after a failure if it may be, but at most as often as its route allows", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(500, "no"), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(500, "no"), nil }
 			out := b.serve("safe")
 			Expect(out.status).To(Equal(500))
-			Expect(b.backend.sent()).To(HaveLen(2))
+			Expect(b.client.sent()).To(HaveLen(2))
 		})
 	})
 
 	It("is not repeated when the budget is spent", func() {
-		withGateway(func(b *bench) {
-			for b.gateway.repeats.spend(1) {
+		withGateway(func(b *fixture) {
+			for b.gateway.retries.withdraw(1) {
 				continue
 			}
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(500, "no"), nil }
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(500, "no"), nil }
 			b.serve("safe")
-			Expect(b.backend.sent()).To(HaveLen(1))
+			Expect(b.client.sent()).To(HaveLen(1))
 		})
 	})
 
 	It("is refused by an unknown key only where the configuration is fresh", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, ""), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, ""), nil }
 			req := b.request("safe")
 			req.Key = "other"
 			_, e := b.gateway.admit(req, nil)
@@ -180,7 +180,7 @@
 	})
 
 	It("is not run by a key that may have been taken away", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			b.source.view.Trusted = false
 			_, e := b.gateway.admit(b.request("safe"), nil)
 			Expect(e.Kind()).To(Equal(failure.NotReady))
@@ -195,8 +195,8 @@
 	})
 
 	It("waits a little for a host that becomes ready", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, "ok"), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, "ok"), nil }
 			good := b.source.view
 			b.source.view = View{}
 			done := make(chan *fakeOutput)
@@ -213,12 +213,12 @@
 var _ = Describe("the budget of repeats", func() {
 	It("stays under the deployment's in every window, however many hosts share it", func() {
 		for _, hosts := range []int{1, 3, 11} {
-			withGateway(func(b *bench) {
+			withGateway(func(b *fixture) {
 				spent := 0
 				const requests = 1000
 				for range requests {
-					b.gateway.repeats.earn(hosts)
-					for b.gateway.repeats.spend(hosts) {
+					b.gateway.retries.deposit(hosts)
+					for b.gateway.retries.withdraw(hosts) {
 						spent++
 					}
 				}
@@ -228,8 +228,8 @@
 	})
 
 	It("is counted under its client account, of which a bounded number has a name", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) { return whole(200, "ok"), nil }
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, "ok"), nil }
 			b.serve("safe")
 			h := b.gateway.metrics.Histogram("account_us", metrics.Label{Name: "account", Value: "acc"})
 			Expect(h.Count()).To(BeEquivalentTo(1))
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -18,47 +18,47 @@
 // not anybody still waits for the answer: each answer that tells of a leave or a rest is
 // heard here, and each choice of endpoints heeds it.
 func (g *Gateway) send(ctx context.Context, j *job, c *Call) (*Answer, error) {
-	g.countLimited("request", c.ID)
+	g.countLimitedCall("request", c.ID)
 	for _, p := range c.Path[min(1, len(c.Path)):] {
-		g.countLimited("part", p.ID)
+		g.countLimitedCall("part", p.ID)
 	}
 	sent := g.svc.Now()
-	a, err := g.backend.Send(ctx, c)
+	a, err := g.client.Send(ctx, c)
 	var lost *SendError
 	switch {
 	case err == nil:
-		g.hearAnswer(j, c, a, sent)
+		g.observeAnswer(j, c, a, sent)
 	case errors.As(err, &lost):
-		g.hear(c.ID, lost.Notice)
-		g.hearLimit(j.service.Name, c.ID, lost.Notice.Limit, sent)
+		g.observeNotice(c.ID, lost.Notice)
+		g.observeLimit(j.service.Name, c.ID, lost.Notice.Limit, sent)
 	}
 	return a, err
 }
 
-// hearAnswer takes the word of an answer. Where it names another endpoint at fault, the
+// observeAnswer takes the word of an answer. Where it names another endpoint at fault, the
 // leave may be of either. Booked on the wrong one it would keep that from every host until
 // it starts again; so both are avoided for a moment only, and as suspects they are asked
 // by the leader: each of them tells of itself then.
-func (g *Gateway) hearAnswer(j *job, c *Call, a *Answer, sent time.Time) {
-	who := g.speaker(j, c, a)
+func (g *Gateway) observeAnswer(j *job, c *Call, a *Answer, sent time.Time) {
+	who := g.noticeSubject(j, c, a)
 	w := a.Notice
-	g.hearLimits(j, c, who, w.Limit, sent)
+	g.observeAnswerLimit(j, c, who, w.Limit, sent)
 	if w.Leaving && who != c.ID {
 		w.Leaving = false
-		g.tracker.RecordFailure(c.ID, oneLeaves)
+		g.tracker.RecordFailure(c.ID, stageLeaving)
 		if who != "" {
-			g.tracker.RecordFailure(who, oneLeaves)
+			g.tracker.RecordFailure(who, stageLeaving)
 		}
 	}
-	g.hear(who, w)
+	g.observeNotice(who, w)
 }
 
-// oneLeaves is why endpoints are avoided that share a path of which one leaves.
-const oneLeaves = "it or another on the path leaves"
+// stageLeaving is why endpoints are avoided that share a path of which one leaves.
+const stageLeaving = "it or another on the path leaves"
 
-// speaker returns the endpoint that an answer's word is about: the one that it names as
+// noticeSubject returns the endpoint that an answer's word is about: the one that it names as
 // at fault, or else who gave it. Empty: that can't be told.
-func (g *Gateway) speaker(j *job, c *Call, a *Answer) string {
+func (g *Gateway) noticeSubject(j *job, c *Call, a *Answer) string {
 	switch {
 	case a.FaultAddress == "" && a.Misdirected:
 		return "" // another endpoint is at the address
@@ -78,9 +78,9 @@
 	return ""
 }
 
-// hear takes what an endpoint says of itself: a rest is for this host alone, a leave is
+// observeNotice takes what an endpoint says of itself: a rest is for this host alone, a leave is
 // for all of them.
-func (g *Gateway) hear(id string, w fleet.Notice) {
+func (g *Gateway) observeNotice(id string, w fleet.Notice) {
 	if id == "" {
 		return
 	}
@@ -90,16 +90,16 @@
 	if w.Backoff <= 0 {
 		return
 	}
-	g.rests.Record(id, w.Backoff)
+	g.backoffs.Record(id, w.Backoff)
 	g.metrics.Counter("rests_asked").Inc(1)
 	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Backoff))
 }
 
-// takeLast reports whether an endpoint may be called as the last choice now, and counts
+// acquireLastChoice reports whether an endpoint may be called as the last choice now, and counts
 // and logs it if that is in its rest.
-func (g *Gateway) takeLast(id string) bool {
-	left := g.rests.Remaining(id)
-	if !g.rests.TryAcquire(id) {
+func (g *Gateway) acquireLastChoice(id string) bool {
+	left := g.backoffs.Remaining(id)
+	if !g.backoffs.TryAcquire(id) {
 		return false
 	}
 	if left > 0 {
@@ -109,27 +109,27 @@
 	return true
 }
 
-// restSpread is the part of a rest by which callers are told to come back later than its
+// backoffRetryJitter is the part of a rest by which callers are told to come back later than its
 // end: those that were refused together must not return together.
-const restSpread = 0.25
+const backoffRetryJitter = 0.25
 
-// spread returns a time that is somewhat longer.
-func spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + restSpread*rand.Float64()))
+// lengthen returns a time that is somewhat longer.
+func lengthen(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 + backoffRetryJitter*rand.Float64()))
 }
 
-// resting refuses a request at once for which every endpoint rests: held until the rest
+// backoffError refuses a request at once for which every endpoint rests: held until the rest
 // is over, it would only come with all others.
-func (g *Gateway) resting(left time.Duration) *failure.Error {
-	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(comeBack, spread(left)))
+func (g *Gateway) backoffError(left time.Duration) *failure.Error {
+	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
 }
 
-// restLeft returns how long it takes until an endpoint of a service may be called; 0 if
+// backoffRemaining returns how long it takes until an endpoint of a service may be called; 0 if
 // one may be now, or there is none.
-func (g *Gateway) restLeft(service string) time.Duration {
+func (g *Gateway) backoffRemaining(service string) time.Duration {
 	least := time.Duration(0)
 	for _, e := range g.source.Endpoints(service) {
-		left := g.rests.Remaining(e.ID)
+		left := g.backoffs.Remaining(e.ID)
 		if left == 0 {
 			return 0
 		}
@@ -140,21 +140,21 @@
 	return least
 }
 
-// restLeft returns how long it takes until endpoints that rest make a path whole; 0 if
+// backoffRemaining returns how long it takes until endpoints that rest make a path whole; 0 if
 // no rest stands in the way, or not rests alone.
-func (s *streamRun) restLeft() time.Duration {
+func (s *streamRun) backoffRemaining() time.Duration {
 	if s.j.service.Engine == nil {
-		return s.g.restLeft(s.j.service.Name)
+		return s.g.backoffRemaining(s.j.service.Name)
 	}
 	var lefts []time.Duration
 	for _, e := range s.g.source.Endpoints(s.j.service.Name) {
-		if left := s.g.rests.Remaining(e.ID); left > 0 && !s.avoid[e.ID] {
+		if left := s.g.backoffs.Remaining(e.ID); left > 0 && !s.failedIDs[e.ID] {
 			lefts = append(lefts, left)
 		}
 	}
 	slices.Sort(lefts)
 	n := sort.Search(len(lefts), func(i int) bool {
-		return s.pathOver(func(id string) bool { return s.g.rests.Remaining(id) <= lefts[i] }) != nil
+		return s.pathUsing(func(id string) bool { return s.g.backoffs.Remaining(id) <= lefts[i] }) != nil
 	})
 	if n == len(lefts) {
 		return 0
@@ -162,11 +162,11 @@
 	return lefts[n]
 }
 
-// pathOver returns a whole path over endpoints that fit, whether they rest or not; those
+// pathUsing returns a whole path over endpoints that fit, whether they rest or not; those
 // that had no room for this request just now may have it later.
-func (s *streamRun) pathOver(fits func(id string) bool) []fleet.Stage {
+func (s *streamRun) pathUsing(fits func(id string) bool) []fleet.Stage {
 	e := s.j.service.Engine
-	list := s.holders(func(p *fleet.Endpoint) bool { return s.avoid[p.ID] || !fits(p.ID) })
+	list := s.allCandidates(func(p *fleet.Endpoint) bool { return s.failedIDs[p.ID] || !fits(p.ID) })
 	path := pathing.Choose(e, list, s.demand(), s.jitter)
 	if path == nil || !pathing.CoversAllLayers(e, path) {
 		return nil
@@ -174,15 +174,15 @@
 	return path
 }
 
-// lastPath returns a path over endpoints that rest, where there is no other for a stream
+// lastChoicePath returns a path over endpoints that rest, where there is no other for a stream
 // that wasn't sent yet, and counts that they are called in their rests.
-func (s *streamRun) lastPath() []fleet.Stage {
-	if s.sends > 0 || !s.g.rests.HasAny() {
+func (s *streamRun) lastChoicePath() []fleet.Stage {
+	if s.sends > 0 || !s.g.backoffs.HasAny() {
 		return nil
 	}
-	path := s.pathOver(func(id string) bool { return s.g.rests.MayCall(id) && s.g.permits.MayCall(id) })
+	path := s.pathUsing(func(id string) bool { return s.g.backoffs.MayCall(id) && s.g.permits.MayCall(id) })
 	for _, p := range path {
-		if !s.g.takeLast(p.ID) {
+		if !s.g.acquireLastChoice(p.ID) {
 			return nil // another stream was before this one
 		}
 	}
--- a/pkg/gateway/words_test.go
+++ b/pkg/gateway/words_test.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	rested = 3 * time.Second
-	// tryAfter is how long after a rest was asked for nothing at all may come.
-	tryAfter = time.Second
+	testBackoff = 3 * time.Second
+	// lastChoiceDelay is how long after a rest was asked for nothing at all may come.
+	lastChoiceDelay = time.Second
 )
 
-// wantsRest is an answer that turns a request away and asks for rest; fault is the address
+// askingForBackoff is an answer that turns a request away and asks for rest; fault is the address
 // of the endpoint that it names.
-func wantsRest(fault string, d time.Duration) *Answer {
+func askingForBackoff(fault string, d time.Duration) *Answer {
 	a := refusedBy(fault)
 	a.Notice = fleet.Notice{Backoff: d}
 	return a
 }
 
-// good is an answer that any route takes.
-func good(c *Call) *Answer {
+// goodAnswer is an answer that any route takes.
+func goodAnswer(c *Call) *Answer {
 	if len(c.Path) > 0 {
-		return whole(200, events(1, 2))
+		return completeAnswer(200, events(1, 2))
 	}
-	return whole(200, "ok")
+	return completeAnswer(200, "ok")
 }
 
-// leaving is a good answer of an endpoint that leaves.
-func leaving(c *Call) *Answer {
-	a := good(c)
+// leavingAnswer is a good answer of an endpoint that leaves.
+func leavingAnswer(c *Call) *Answer {
+	a := goodAnswer(c)
 	a.Notice = fleet.Notice{Leaving: true}
 	return a
 }
 
-// restless answers well, but for an endpoint that asks for rest each time.
-func restless(id string, d time.Duration) func(int, *Call) (*Answer, error) {
+// alwaysAskingForBackoff answers well, but for an endpoint that asks for rest each time.
+func alwaysAskingForBackoff(id string, d time.Duration) func(int, *Call) (*Answer, error) {
 	return func(_ int, c *Call) (*Answer, error) {
 		if c.ID == id {
-			return wantsRest("", d), nil
+			return askingForBackoff("", d), nil
 		}
-		return good(c), nil
+		return goodAnswer(c), nil
 	}
 }
 
 // sentTo counts the sends to an endpoint, as the first of a path or as a later part.
-func (b *fakeBackend) sentTo(id string) int {
+func (b *fakeClient) sentTo(id string) int {
 	n := 0
 	for _, c := range b.sent() {
 		hit := c.ID == id
@@ -66,10 +66,10 @@
 }
 
 // serveUntil serves requests of a route until one was sent to an endpoint.
-func (b *bench) serveUntil(route, id string) {
+func (b *fixture) serveUntil(route, id string) {
 	for range 100 {
 		b.serve(route)
-		if b.backend.sentTo(id) > 0 {
+		if b.client.sentTo(id) > 0 {
 			return
 		}
 	}
@@ -77,15 +77,15 @@
 }
 
 // serveDuring serves requests of a route every 100 ms for d.
-func (b *bench) serveDuring(route string, d time.Duration) {
+func (b *fixture) serveDuring(route string, d time.Duration) {
 	for range int(d / (100 * time.Millisecond)) {
 		b.clock.Advance(100 * time.Millisecond)
 		b.serve(route)
 	}
 }
 
-// only leaves these endpoints to a service.
-func (s *fakeSource) only(service string, list ...fleet.Endpoint) {
+// setEndpoints leaves these endpoints to a service.
+func (s *fakeSource) setEndpoints(service string, list ...fleet.Endpoint) {
 	s.change(func() { s.endpoints[service] = list })
 }
 
@@ -98,59 +98,59 @@
 var _ = Describe("an endpoint that asks for rest", func() {
 	for _, c := range routesAndEndpoints {
 		It("gets nothing until its rest is over, and then as before: "+c.route, func() {
-			withGateway(func(b *bench) {
-				b.backend.answer = restless(c.id, rested)
+			withGateway(func(b *fixture) {
+				b.client.answer = alwaysAskingForBackoff(c.id, testBackoff)
 				b.serveUntil(c.route, c.id)
-				n := b.backend.sentTo(c.id)
-				b.serveDuring(c.route, rested-200*time.Millisecond)
-				Expect(b.backend.sentTo(c.id)).To(Equal(n))
-				b.backend.answer = func(_ int, c *Call) (*Answer, error) { return good(c), nil }
+				n := b.client.sentTo(c.id)
+				b.serveDuring(c.route, testBackoff-200*time.Millisecond)
+				Expect(b.client.sentTo(c.id)).To(Equal(n))
+				b.client.answer = func(_ int, c *Call) (*Answer, error) { return goodAnswer(c), nil }
 				b.clock.Advance(time.Second)
 				b.serveDuring(c.route, 10*time.Second)
-				Expect(b.backend.sentTo(c.id)).To(BeNumerically(">", n))
+				Expect(b.client.sentTo(c.id)).To(BeNumerically(">", n))
 			})
 		})
 
 		It("gets at most one more in a rest, and late, where there is nothing else: "+c.route, func() {
-			withGateway(func(b *bench) {
-				b.source.only("app", appEndpoint("p"))
-				b.source.only("llm", engineEndpoint("x", 0, 4))
-				b.backend.answer = restless(c.id, rested)
+			withGateway(func(b *fixture) {
+				b.source.setEndpoints("app", appEndpoint("p"))
+				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
+				b.client.answer = alwaysAskingForBackoff(c.id, testBackoff)
 				out := b.serve(c.route)
-				Expect(b.backend.sentTo(c.id)).To(Equal(1))
+				Expect(b.client.sentTo(c.id)).To(Equal(1))
 				Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
-				Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", rested))
-				b.serveDuring(c.route, tryAfter-200*time.Millisecond)
-				Expect(b.backend.sentTo(c.id)).To(Equal(1), "it has just said so")
-				b.serveDuring(c.route, rested-tryAfter)
-				Expect(b.backend.sentTo(c.id)).To(Equal(2))
+				Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", testBackoff))
+				b.serveDuring(c.route, lastChoiceDelay-200*time.Millisecond)
+				Expect(b.client.sentTo(c.id)).To(Equal(1), "it has just said so")
+				b.serveDuring(c.route, testBackoff-lastChoiceDelay)
+				Expect(b.client.sentTo(c.id)).To(Equal(2))
 			})
 		})
 
 		It("is still left alone after an answer that serves meanwhile: "+c.route, func() {
-			withGateway(func(b *bench) {
-				b.source.only("app", appEndpoint("p"))
-				b.source.only("llm", engineEndpoint("x", 0, 4))
+			withGateway(func(b *fixture) {
+				b.source.setEndpoints("app", appEndpoint("p"))
+				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
 				first := make(chan bool)
-				b.backend.until = func(_ context.Context, n int) (*Answer, error) {
+				b.client.answerCtx = func(_ context.Context, n int) (*Answer, error) {
 					if n == 1 {
 						<-first
-						return good(b.backend.sent()[0]), nil
+						return goodAnswer(b.client.sent()[0]), nil
 					}
-					return wantsRest("", rested), nil
+					return askingForBackoff("", testBackoff), nil
 				}
 				done := make(chan bool, 1)
 				background(func() {
 					b.serve(c.route)
 					done <- true
 				})
-				Eventually(b.backend.sent, "5s").Should(HaveLen(1))
+				Eventually(b.client.sent, "5s").Should(HaveLen(1))
 				b.serve(c.route)
 				close(first)
 				Eventually(done, "5s").Should(Receive())
-				n := len(b.backend.sent())
+				n := len(b.client.sent())
 				b.serveDuring(c.route, 500*time.Millisecond)
-				Expect(b.backend.sent()).To(HaveLen(n))
+				Expect(b.client.sent()).To(HaveLen(n))
 			})
 		})
 	}
@@ -161,104 +161,104 @@
 			rests []time.Duration
 			stand time.Duration
 		}{
-			{name: "longer, then shorter", rests: []time.Duration{rested, time.Second}, stand: rested},
-			{name: "shorter, then longer", rests: []time.Duration{time.Second, rested}, stand: rested},
+			{name: "longer, then shorter", rests: []time.Duration{testBackoff, time.Second}, stand: testBackoff},
+			{name: "shorter, then longer", rests: []time.Duration{time.Second, testBackoff}, stand: testBackoff},
 			{name: "a fraction", rests: []time.Duration{300 * time.Millisecond}, stand: 300 * time.Millisecond},
 			{name: "none", rests: []time.Duration{0}, stand: 0},
-			{name: "none after some", rests: []time.Duration{rested, 0}, stand: rested},
+			{name: "none after some", rests: []time.Duration{testBackoff, 0}, stand: testBackoff},
 		}
 		for _, c := range cases {
-			withGateway(func(b *bench) {
-				b.source.only("app", appEndpoint("p"))
+			withGateway(func(b *fixture) {
+				b.source.setEndpoints("app", appEndpoint("p"))
 				for _, d := range c.rests {
-					b.gateway.hear("p", fleet.Notice{Backoff: d})
+					b.gateway.observeNotice("p", fleet.Notice{Backoff: d})
 				}
-				Expect(b.gateway.rests.Remaining("p")).To(Equal(c.stand), c.name)
-				b.backend.answer = func(_ int, c *Call) (*Answer, error) { return good(c), nil }
+				Expect(b.gateway.backoffs.Remaining("p")).To(Equal(c.stand), c.name)
+				b.client.answer = func(_ int, c *Call) (*Answer, error) { return goodAnswer(c), nil }
 				b.serve("safe")
-				Expect(b.backend.sentTo("p") > 0).To(Equal(c.stand == 0), c.name)
-				b.source.only("app", appEndpoint("p-again"))
+				Expect(b.client.sentTo("p") > 0).To(Equal(c.stand == 0), c.name)
+				b.source.setEndpoints("app", appEndpoint("p-again"))
 				b.serve("safe")
-				Expect(b.backend.sentTo("p-again")).To(Equal(1), c.name)
+				Expect(b.client.sentTo("p-again")).To(Equal(1), c.name)
 			})
 		}
 	})
 
 	It("isn't reached by repeats nor beside a first send", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(_ int, c *Call) (*Answer, error) { return whole(500, "no"), nil }
-			b.gateway.hear("p", fleet.Notice{Backoff: rested})
-			b.gateway.hear("q", fleet.Notice{Backoff: rested})
-			b.clock.Advance(tryAfter)
+		withGateway(func(b *fixture) {
+			b.client.answer = func(_ int, c *Call) (*Answer, error) { return completeAnswer(500, "no"), nil }
+			b.gateway.observeNotice("p", fleet.Notice{Backoff: testBackoff})
+			b.gateway.observeNotice("q", fleet.Notice{Backoff: testBackoff})
+			b.clock.Advance(lastChoiceDelay)
 			b.serve("safe")
-			Expect(b.backend.sentTo("s")).To(Equal(1))
-			Expect(b.backend.sent()).To(HaveLen(1), "a second send isn't a last choice")
+			Expect(b.client.sentTo("s")).To(Equal(1))
+			Expect(b.client.sent()).To(HaveLen(1), "a second send isn't a last choice")
 		})
 	})
 
 	It("is named at fault by the first of a path, and then it's the named one", func() {
-		withGateway(func(b *bench) {
+		withGateway(func(b *fixture) {
 			named := ""
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n > 1 {
-					return good(c), nil
+					return goodAnswer(c), nil
 				}
 				named = c.Path[1].ID
-				return wantsRest(c.Path[1].Address, rested), nil
+				return askingForBackoff(c.Path[1].Address, testBackoff), nil
 			}
 			b.serve("stream")
-			first := b.backend.sent()[0].ID
+			first := b.client.sent()[0].ID
 			for _, id := range []string{named, first} {
-				Expect(b.gateway.rests.Remaining(id) > 0).To(Equal(id == named))
+				Expect(b.gateway.backoffs.Remaining(id) > 0).To(Equal(id == named))
 			}
 			b.serveDuring("stream", 2*time.Second)
-			Expect(b.backend.sentTo(named)).To(Equal(1))
-			Expect(b.backend.sentTo(first)).To(BeNumerically(">", 1))
+			Expect(b.client.sentTo(named)).To(Equal(1))
+			Expect(b.client.sentTo(first)).To(BeNumerically(">", 1))
 		})
 	})
 
 	It("is found by its address if it isn't on the path any more; who isn't known gets nothing booked", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n > 1 {
-					return good(c), nil
+					return goodAnswer(c), nil
 				}
 				other := "y:1"
 				if c.Path[1].ID == "y" {
 					other = "z:1"
 				}
-				return wantsRest(other, rested), nil
+				return askingForBackoff(other, testBackoff), nil
 			}
 			b.serve("stream")
-			Expect(max(b.gateway.rests.Remaining("y"), b.gateway.rests.Remaining("z"))).To(Equal(rested))
-			Expect(max(b.gateway.rests.Remaining("x"), b.gateway.rests.Remaining("w"))).To(BeZero())
+			Expect(max(b.gateway.backoffs.Remaining("y"), b.gateway.backoffs.Remaining("z"))).To(Equal(testBackoff))
+			Expect(max(b.gateway.backoffs.Remaining("x"), b.gateway.backoffs.Remaining("w"))).To(BeZero())
 		})
-		withGateway(func(b *bench) {
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
-				a := wantsRest("nobody:1", rested)
+		withGateway(func(b *fixture) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
+				a := askingForBackoff("nobody:1", testBackoff)
 				a.Notice.Leaving = true
 				return a, nil
 			}
 			b.serve("stream")
 			for _, id := range []string{"x", "y", "z", "w"} {
-				Expect(b.gateway.rests.Remaining(id)).To(BeZero())
+				Expect(b.gateway.backoffs.Remaining(id)).To(BeZero())
 				Expect(b.source.EndpointLeaving(id)).To(BeFalse())
 			}
 		})
 	})
 
 	It("isn't taken to leave where that may be said of another on the path; both are asked", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(n int, c *Call) (*Answer, error) {
+		withGateway(func(b *fixture) {
+			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				a := refusedBy(c.Path[1].Address)
 				a.Notice.Leaving = true
 				if n > 1 {
-					return good(c), nil
+					return goodAnswer(c), nil
 				}
 				return a, nil
 			}
 			b.serve("stream")
-			path := b.backend.sent()[0].Path
+			path := b.client.sent()[0].Path
 			for _, p := range path {
 				Expect(b.source.EndpointLeaving(p.ID)).To(BeFalse())
 				Expect(b.gateway.Tracker().Suspects()).To(ContainElement(p.ID))
@@ -268,74 +268,74 @@
 
 	It("may say so when it turns a new path away, for itself or for the part that it names", func() {
 		for _, named := range []bool{false, true} {
-			withGateway(func(b *bench) {
-				b.source.only("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
-				end := b.underWay()
+			withGateway(func(b *fixture) {
+				b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
+				end := b.streamInFlight()
 				defer end()
-				path := b.backend.sent()[0].Path
+				path := b.client.sent()[0].Path
 				other := map[string]string{"y": "z", "z": "y"}[path[1].ID]
-				b.backend.repathErr(func() error {
+				b.client.failRepaths(func() error {
 					if named {
-						return &RepathError{Address: other + ":1", Notice: fleet.Notice{Backoff: rested}}
+						return &RepathError{Address: other + ":1", Notice: fleet.Notice{Backoff: testBackoff}}
 					}
-					return &fleet.RejectedError{Status: 503, Notice: fleet.Notice{Backoff: rested}}
+					return &fleet.RejectedError{Status: 503, Notice: fleet.Notice{Backoff: testBackoff}}
 				})
-				b.backend.stall("r1", path[1].Address)
+				b.client.stall("r1", path[1].Address)
 				who := map[bool]string{true: other, false: path[0].ID}[named]
 				Eventually(func() time.Duration {
 					b.clock.Advance(100 * time.Millisecond)
-					return b.gateway.rests.Remaining(who)
+					return b.gateway.backoffs.Remaining(who)
 				}, "5s", "5ms").Should(BeNumerically(">", 0))
 				for _, id := range []string{"x", "y", "z"} {
-					Expect(b.gateway.rests.Remaining(id) > 0).To(Equal(id == who), id)
+					Expect(b.gateway.backoffs.Remaining(id) > 0).To(Equal(id == who), id)
 				}
 			})
 		}
 	})
 
 	It("isn't the one that was meant, if another incarnation answers at its address", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(_ int, c *Call) (*Answer, error) {
-				return &Answer{Status: 421, Misdirected: true, Notice: fleet.Notice{Leaving: true, Backoff: rested}, Body: http.NoBody}, nil
+		withGateway(func(b *fixture) {
+			b.client.answer = func(_ int, c *Call) (*Answer, error) {
+				return &Answer{Status: 421, Misdirected: true, Notice: fleet.Notice{Leaving: true, Backoff: testBackoff}, Body: http.NoBody}, nil
 			}
 			b.serve("safe")
 			for _, id := range []string{"p", "q", "s"} {
-				Expect(b.gateway.rests.Remaining(id)).To(BeZero())
+				Expect(b.gateway.backoffs.Remaining(id)).To(BeZero())
 				Expect(b.source.EndpointLeaving(id)).To(BeFalse())
 			}
 		})
 	})
 
 	It("is heard in an answer that belongs to another request, and in one that comes after its caller has left", func() {
-		withGateway(func(b *bench) {
-			b.backend.answer = func(int, *Call) (*Answer, error) {
-				return nil, &SendError{Sent: true, Cause: errReset, Notice: fleet.Notice{Backoff: rested}}
+		withGateway(func(b *fixture) {
+			b.client.answer = func(int, *Call) (*Answer, error) {
+				return nil, &SendError{Sent: true, Cause: errReset, Notice: fleet.Notice{Backoff: testBackoff}}
 			}
 			b.serve("unsafe")
-			Expect(b.gateway.rests.Remaining(b.backend.sent()[0].ID)).To(Equal(rested))
+			Expect(b.gateway.backoffs.Remaining(b.client.sent()[0].ID)).To(Equal(testBackoff))
 		})
 		for _, route := range []string{"safe", "stream"} {
-			withGateway(func(b *bench) {
+			withGateway(func(b *fixture) {
 				ctx, cancel := context.WithCancel(context.Background())
-				b.backend.until = func(context.Context, int) (*Answer, error) {
+				b.client.answerCtx = func(context.Context, int) (*Answer, error) {
 					cancel()
 					time.Sleep(10 * time.Millisecond)
-					return wantsRest("", rested), nil
+					return askingForBackoff("", testBackoff), nil
 				}
 				b.gateway.Serve(ctx, b.request(route), &fakeOutput{})
-				Eventually(func() time.Duration { return b.gateway.rests.Remaining(b.backend.sent()[0].ID) }, "5s").Should(Equal(rested), route)
+				Eventually(func() time.Duration { return b.gateway.backoffs.Remaining(b.client.sent()[0].ID) }, "5s").Should(Equal(testBackoff), route)
 			})
 		}
 	})
 
 	It("doesn't keep its callers waiting where all rest: each is told at once when the first is over, and none the same", func() {
 		for _, c := range routesAndEndpoints {
-			withGateway(func(b *bench) {
+			withGateway(func(b *fixture) {
 				for _, id := range []string{"p", "q", "x", "y", "z"} {
-					b.gateway.hear(id, fleet.Notice{Backoff: rested + time.Second})
+					b.gateway.observeNotice(id, fleet.Notice{Backoff: testBackoff + time.Second})
 				}
 				for _, id := range []string{"s", "w"} {
-					b.gateway.hear(id, fleet.Notice{Backoff: 2 * rested})
+					b.gateway.observeNotice(id, fleet.Notice{Backoff: 2 * testBackoff})
 				}
 				told := map[time.Duration]bool{}
 				for range 20 {
@@ -343,22 +343,22 @@
 					Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
 					Expect(out.refusal.Kind()).To(Equal(failure.Overloaded))
 					after := out.refusal.RetryAfter()
-					Expect(after).To(BeNumerically(">=", rested+time.Second))
-					Expect(after).To(BeNumerically("<=", time.Duration((1+restSpread)*float64(rested+time.Second))))
+					Expect(after).To(BeNumerically(">=", testBackoff+time.Second))
+					Expect(after).To(BeNumerically("<=", time.Duration((1+backoffRetryJitter)*float64(testBackoff+time.Second))))
 					told[after] = true
 				}
-				Expect(b.backend.sent()).To(BeEmpty())
+				Expect(b.client.sent()).To(BeEmpty())
 				Expect(len(told)).To(BeNumerically(">", 15), c.route)
 			})
 		}
 	})
 
 	It("is told of until a path is whole again, not until its first part is", func() {
-		withGateway(func(b *bench) {
-			b.gateway.hear("x", fleet.Notice{Backoff: time.Second})
-			b.gateway.hear("w", fleet.Notice{Backoff: 4 * time.Second})
-			b.gateway.hear("y", fleet.Notice{Backoff: 3 * time.Second})
-			b.gateway.hear("z", fleet.Notice{Backoff: 5 * time.Second})
+		withGateway(func(b *fixture) {
+			b.gateway.observeNotice("x", fleet.Notice{Backoff: time.Second})
+			b.gateway.observeNotice("w", fleet.Notice{Backoff: 4 * time.Second})
+			b.gateway.observeNotice("y", fleet.Notice{Backoff: 3 * time.Second})
+			b.gateway.observeNotice("z", fleet.Notice{Backoff: 5 * time.Second})
 			out := b.serve("stream")
 			Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", 3*time.Second))
 			Expect(out.refusal.RetryAfter()).To(BeNumerically("<", 4*time.Second))
@@ -366,23 +366,23 @@
 	})
 
 	It("isn't asked what stands still but once, and isn't given another path for a stream", func() {
-		withGateway(func(b *bench) {
-			b.source.only("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
-			end := b.underWay()
+		withGateway(func(b *fixture) {
+			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
+			end := b.streamInFlight()
 			defer end()
-			path := b.backend.sent()[0].Path
-			b.gateway.hear(path[0].ID, fleet.Notice{Backoff: rested})
-			b.backend.stall("r1", path[1].Address)
-			asked := b.backend.questions()
+			path := b.client.sent()[0].Path
+			b.gateway.observeNotice(path[0].ID, fleet.Notice{Backoff: testBackoff})
+			b.client.stall("r1", path[1].Address)
+			asked := b.client.stallQueries()
 			for range 10 {
 				b.clock.Advance(250 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
 			}
-			Expect(b.backend.questions() - asked).To(BeNumerically("<=", 1))
-			Expect(b.backend.repathed()).To(BeZero())
+			Expect(b.client.stallQueries() - asked).To(BeNumerically("<=", 1))
+			Expect(b.client.repathCount()).To(BeZero())
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
-				return b.backend.repathed()
+				return b.client.repathCount()
 			}, "5s", "5ms").Should(BeNumerically(">", 0), "once its rest is over")
 		})
 	})
