--- a/pkg/gateway/asker.go
+++ b/pkg/gateway/asker.go
@@ -51,9 +51,9 @@
 }
 
 // observeQueryAnswer implements manners.
-func (g *Gateway) observeQueryAnswer(service, id string, w fleet.Notice, sent time.Time) {
-	g.observeNotice(id, w)
-	g.observeLimit(service, id, w.Limit, sent)
+func (g *Gateway) observeQueryAnswer(service, id string, n fleet.Notice, sent time.Time) {
+	g.observeNotice(id, n)
+	g.observeLimit(service, id, n.Limit, sent)
 }
 
 // stallQuery is the newest one to an address.
@@ -81,18 +81,18 @@
 // query returns the newest answer of an endpoint, and asks for one if there is none. A
 // question outlives the stream that asked it. It returns nil if the endpoint wants none:
 // it rests and was asked once in that, or has a limit and there is no permit.
-func (a *stallQuerier) query(ctx context.Context, service, id, address string) *stallQuery {
-	q, mine := a.join(id, address)
+func (s *stallQuerier) query(ctx context.Context, service, id, address string) *stallQuery {
+	q, owner := s.join(id, address)
 	if q == nil {
 		return nil
 	}
-	if mine {
-		sent := a.svc.Now()
+	if owner {
+		sent := s.svc.Now()
 		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallQueryTimeout)
-		found, err := a.client.QueryStalls(askCtx, address)
+		report, err := s.client.QueryStalls(askCtx, address)
 		cancel()
-		a.policy.observeQueryAnswer(service, id, found.Notice, sent)
-		a.complete(q, found, err)
+		s.policy.observeQueryAnswer(service, id, report.Notice, sent)
+		s.complete(q, report, err)
 		return q
 	}
 	select {
@@ -103,14 +103,14 @@
 }
 
 // join returns the question that serves now; mine says that the caller must ask it.
-func (a *stallQuerier) join(id, address string) (q *stallQuery, mine bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	old := a.queries[address]
-	if old != nil && a.reusable(old) {
+func (s *stallQuerier) join(id, address string) (q *stallQuery, owner bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.queries[address]
+	if old != nil && s.reusable(old) {
 		return old, false
 	}
-	if !a.policy.admitQuery(id) {
+	if !s.policy.admitQuery(id) {
 		return nil, false
 	}
 	q = &stallQuery{
@@ -119,28 +119,28 @@
 	if old != nil {
 		q.unanswered = old.unanswered
 	}
-	if len(a.queries) >= maxQueriedAddresses {
-		a.queries = map[string]*stallQuery{}
+	if len(s.queries) >= maxQueriedAddresses {
+		s.queries = map[string]*stallQuery{}
 	}
-	a.queries[address] = q
+	s.queries[address] = q
 	return q, true
 }
 
 // reusable reports whether a question is under way, or its answer is new enough. One
 // that stayed without an answer serves once it tells that the endpoint is lost.
-func (a *stallQuerier) reusable(q *stallQuery) bool {
+func (s *stallQuerier) reusable(q *stallQuery) bool {
 	if q.answeredAt.IsZero() {
 		return true
 	}
-	return (q.err == nil || q.unresponsive()) && a.svc.Now().Sub(q.answeredAt) < answerReuse
+	return (q.err == nil || q.unresponsive()) && s.svc.Now().Sub(q.answeredAt) < answerReuse
 }
 
-func (a *stallQuerier) complete(q *stallQuery, found StallReport, err error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	q.report = found
+func (s *stallQuerier) complete(q *stallQuery, report StallReport, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q.report = report
 	q.err = err
-	q.answeredAt = a.svc.Now()
+	q.answeredAt = s.svc.Now()
 	q.unanswered++
 	if err == nil {
 		q.unanswered = 0
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -32,22 +32,22 @@
 }
 
 // candidates returns the endpoints that hold layers and may be called now, with their load.
-func (s *streamRun) candidates(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
+func (s *streamRun) candidates(skip func(e *fleet.Endpoint) bool) []pathing.Candidate {
 	if !s.g.backoffs.HasAny() && !s.g.permits.HasLimits() {
-		return s.allCandidates(avoid)
+		return s.allCandidates(skip)
 	}
 	return s.allCandidates(func(e *fleet.Endpoint) bool {
-		return s.g.backoffs.Remaining(e.ID) > 0 || !s.g.permits.MayCall(e.ID) || avoid(e)
+		return s.g.backoffs.Remaining(e.ID) > 0 || !s.g.permits.MayCall(e.ID) || skip(e)
 	})
 }
 
 // allCandidates is stages with endpoints that rest or have no permit.
-func (s *streamRun) allCandidates(avoid func(e *fleet.Endpoint) bool) []pathing.Candidate {
+func (s *streamRun) allCandidates(skip func(e *fleet.Endpoint) bool) []pathing.Candidate {
 	list := s.g.source.Endpoints(s.j.service.Name)
 	out := make([]pathing.Candidate, 0, len(list))
 	for i := range list {
 		e := &list[i]
-		if e.Layers.Len() <= 0 || e.Loading || e.Silent || avoid(e) {
+		if e.Layers.Len() <= 0 || e.Loading || e.Silent || skip(e) {
 			continue
 		}
 		own := s.g.tracker.Load(e.ID)
@@ -174,19 +174,19 @@
 	if left := s.backoffRemaining(); left > 0 {
 		return s.g.backoffError(left)
 	}
-	held := 0
+	withLayers := 0
 	silent := 0
 	list := s.g.source.Endpoints(s.j.service.Name)
 	for i := range list {
 		if list[i].Layers.Len() > 0 {
-			held++
+			withLayers++
 		}
 		if list[i].Silent {
 			silent++
 		}
 	}
 	return failure.New(failure.NoChain, "no path over every layer: %d endpoints, %d with layers, %d silent, %d failed this request",
-		len(list), held, silent, len(s.failedIDs)+len(s.refusedIDs)).WithRetryAfter(baseRetryAfter)
+		len(list), withLayers, silent, len(s.failedIDs)+len(s.refusedIDs)).WithRetryAfter(baseRetryAfter)
 }
 
 // chooseSingle picks an endpoint of a service whose endpoints hold everything.
--- a/pkg/gateway/comeback.go
+++ b/pkg/gateway/comeback.go
@@ -48,33 +48,33 @@
 }
 
 // record takes how a stream of a service began.
-func (c *retryAfterEstimator) record(service string, refused bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := c.shortages[service]
-	if r == nil {
-		r = &shortage{}
-		c.shortages[service] = r
+func (e *retryAfterEstimator) record(service string, refused bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	s := e.shortages[service]
+	if s == nil {
+		s = &shortage{}
+		e.shortages[service] = s
 	}
-	r.refusedShare *= 1 - refusalWeight
+	s.refusedShare *= 1 - refusalWeight
 	if refused {
-		r.refusedShare += refusalWeight
+		s.refusedShare += refusalWeight
 	}
 	switch {
-	case r.refusedShare < shortageEnd:
-		r.since = time.Time{}
-	case r.refusedShare >= shortageStart && r.since.IsZero():
-		r.since = c.svc.Now()
+	case s.refusedShare < shortageEnd:
+		s.since = time.Time{}
+	case s.refusedShare >= shortageStart && s.since.IsZero():
+		s.since = e.svc.Now()
 	}
 }
 
 // estimate returns when a caller of a service should come back, least at least.
-func (c *retryAfterEstimator) estimate(service string, least time.Duration) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	d := least
-	if r := c.shortages[service]; r != nil && !r.since.IsZero() {
-		d = max(d, c.svc.Now().Sub(r.since))
+func (e *retryAfterEstimator) estimate(service string, minimum time.Duration) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	d := minimum
+	if s := e.shortages[service]; s != nil && !s.since.IsZero() {
+		d = max(d, e.svc.Now().Sub(s.since))
 	}
 	d = time.Duration(float64(d) * (1 - shortageRetryJitter + 2*shortageRetryJitter*rand.Float64()))
 	return min(max(d, baseRetryAfter), maxRetryAfter)
--- a/pkg/gateway/feed.go
+++ b/pkg/gateway/feed.go
@@ -32,17 +32,17 @@
 }
 
 // put hands an item on, and reports whether anybody waits for more.
-func (f *answerReader) put(ctx context.Context, it answerItem) bool {
+func (r *answerReader) put(ctx context.Context, it answerItem) bool {
 	select {
-	case f.items <- it:
+	case r.items <- it:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (f *answerReader) end(ctx context.Context, err error) {
-	f.put(ctx, answerItem{
+func (r *answerReader) end(ctx context.Context, err error) {
+	r.put(ctx, answerItem{
 		ended: true,
 		err:   err,
 	})
@@ -52,48 +52,48 @@
 type sender func(ctx context.Context) (*Answer, error)
 
 // read reads the answer to a call to its end.
-func (f *answerReader) read(ctx context.Context, send sender) {
-	if err := group.Try(func() { f.run(ctx, send) }); err != nil {
-		f.end(ctx, &SendError{
+func (r *answerReader) read(ctx context.Context, send sender) {
+	if err := group.Try(func() { r.run(ctx, send) }); err != nil {
+		r.end(ctx, &SendError{
 			Sent:  true,
 			Cause: err,
 		})
 	}
 }
 
-func (f *answerReader) run(ctx context.Context, send sender) {
+func (r *answerReader) run(ctx context.Context, send sender) {
 	a, err := send(ctx)
 	if err != nil {
-		f.unsent.Store(notSent(err))
-		f.end(ctx, err)
+		r.unsent.Store(notSent(err))
+		r.end(ctx, err)
 		return
 	}
 	defer func() { _ = a.Body.Close() }() // it was read, or is given up
-	if !f.put(ctx, answerItem{head: a}) {
+	if !r.put(ctx, answerItem{head: a}) {
 		return
 	}
 	if a.NotRun || a.Misdirected || a.Status != http.StatusOK {
 		return
 	}
-	f.readEvents(ctx, a.Body)
+	r.readEvents(ctx, a.Body)
 }
 
-func (f *answerReader) readEvents(ctx context.Context, body io.Reader) {
-	r := newEventReader(body)
+func (r *answerReader) readEvents(ctx context.Context, body io.Reader) {
+	events := newEventReader(body)
 	for {
-		ev, err := r.next()
+		ev, err := events.next()
 		if errors.Is(err, io.EOF) {
-			f.end(ctx, nil)
+			r.end(ctx, nil)
 			return
 		}
 		if err != nil {
-			f.end(ctx, &SendError{
+			r.end(ctx, &SendError{
 				Sent:  true,
 				Cause: err,
 			})
 			return
 		}
-		if !f.put(ctx, answerItem{event: ev}) {
+		if !r.put(ctx, answerItem{event: ev}) {
 			return
 		}
 	}
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -105,18 +105,18 @@
 func (l *leaveWatch) replaceStages(ctx context.Context) {
 	s := l.s
 	l.moveTimer = nil
-	left := ""
+	address := ""
 	for _, p := range s.path[1:] {
 		if l.mustLeave(p) {
 			s.failedIDs[p.ID] = true
-			left = p.Address
+			address = p.Address
 		}
 	}
-	if left == "" {
+	if address == "" {
 		return
 	}
 	for _, path := range [][]fleet.Stage{s.pathAround(l.shouldReplace), s.pathAround(l.mustReplace), s.pathFrom(&s.path[0])} {
-		if path != nil && pathing.DomainCrossings(path) <= pathing.DomainCrossings(s.path) && s.offerPath(ctx, path, left) {
+		if path != nil && pathing.DomainCrossings(path) <= pathing.DomainCrossings(s.path) && s.offerPath(ctx, path, address) {
 			break
 		}
 	}
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -27,11 +27,11 @@
 	if id == "" || !g.permits.Observe(id, service, l, sent) {
 		return
 	}
-	says := "none"
+	reported := "none"
 	if l.Status == fleet.LimitSet {
-		says = "named"
+		reported = "named"
 	}
-	g.log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", id), eventlog.Str("says", says),
+	g.log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", id), eventlog.Str("says", reported),
 		eventlog.Str("per_second", strconv.FormatFloat(l.PerSecond, 'g', 4, 64)), eventlog.Str("by", "an answer"))
 	g.source.ReportLimits()
 }
@@ -40,21 +40,21 @@
 // another endpoint on the path, who, the limit may be of either: a wrong one ends with that
 // endpoint's next answer, while one that isn't kept harms it. That such an answer names
 // none says nothing.
-func (g *Gateway) observeAnswerLimit(j *job, c *Call, who string, l fleet.Limit, sent time.Time) {
-	if who == c.ID {
-		g.observeLimit(j.service.Name, who, l, sent)
+func (g *Gateway) observeAnswerLimit(j *job, c *Call, subject string, l fleet.Limit, sent time.Time) {
+	if subject == c.ID {
+		g.observeLimit(j.service.Name, subject, l, sent)
 		return
 	}
-	if l.Status == fleet.LimitSet && who != "" {
+	if l.Status == fleet.LimitSet && subject != "" {
 		g.observeLimit(j.service.Name, c.ID, l, sent)
-		g.observeLimit(j.service.Name, who, l, sent)
+		g.observeLimit(j.service.Name, subject, l, sent)
 	}
 }
 
 // countLimitedCall counts a call to an endpoint that has a limit, by the way it goes.
-func (g *Gateway) countLimitedCall(way, id string) {
+func (g *Gateway) countLimitedCall(kind, id string) {
 	if g.permits.HasLimit(id) {
-		g.metrics.Counter("calls_limited", metrics.Label{Name: "way", Value: way}).Inc(1)
+		g.metrics.Counter("calls_limited", metrics.Label{Name: "way", Value: kind}).Inc(1)
 	}
 }
 
@@ -101,9 +101,9 @@
 		d.backlog = max(0, d.backlog-float64(now.Sub(d.backlogAt))/float64(d.interval))
 	}
 	d.backlogAt = now
-	due := d.availableIn + time.Duration(d.backlog*float64(d.interval)) - now.Sub(d.receivedAt)
+	in := d.availableIn + time.Duration(d.backlog*float64(d.interval)) - now.Sub(d.receivedAt)
 	d.backlog++
-	return max(baseRetryAfter, due)
+	return max(baseRetryAfter, in)
 }
 
 func newPermitRequests(svc timer.Service) *permitRequests {
@@ -115,43 +115,43 @@
 
 // begin reports whether the leader may be asked, and else when a place is due. Who is
 // more urgent than the one that was denied is asked for.
-func (b *permitRequests) begin(what string, priority int) (due time.Duration, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.svc.Now()
-	d := b.denials[what]
-	if d != nil && (now.Sub(d.receivedAt) < denialLifetime && priority >= d.priority || b.running >= maxConcurrentPermitRequests) {
+func (p *permitRequests) begin(key string, priority int) (availableIn time.Duration, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.svc.Now()
+	d := p.denials[key]
+	if d != nil && (now.Sub(d.receivedAt) < denialLifetime && priority >= d.priority || p.running >= maxConcurrentPermitRequests) {
 		return d.nextAvailableIn(now), false
 	}
-	if b.running >= maxConcurrentPermitRequests {
+	if p.running >= maxConcurrentPermitRequests {
 		return permitWait, false
 	}
-	b.running++
+	p.running++
 	return 0, true
 }
 
 // end notes the leader's answer, and returns when a place is due; 0 if permits were lent.
-func (b *permitRequests) end(what string, priority int, l PermitReply) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.running--
-	if l.AvailableIn == 0 {
+func (p *permitRequests) end(key string, priority int, reply PermitReply) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.running--
+	if reply.AvailableIn == 0 {
 		return 0
 	}
-	now := b.svc.Now()
-	d := b.denials[what]
+	now := p.svc.Now()
+	d := p.denials[key]
 	if d == nil {
-		if len(b.denials) >= maxDenials {
-			b.denials = map[string]*denial{}
+		if len(p.denials) >= maxDenials {
+			p.denials = map[string]*denial{}
 		}
 		d = &denial{
 			backlogAt: now,
 		}
-		b.denials[what] = d
+		p.denials[key] = d
 	}
 	d.receivedAt = now
-	d.availableIn = l.AvailableIn
-	d.interval = l.Interval
+	d.availableIn = reply.AvailableIn
+	d.interval = reply.Interval
 	d.priority = priority
 	return d.nextAvailableIn(now)
 }
@@ -160,25 +160,25 @@
 // returns 0 once there is one on this host, or none is needed any more, and else when one
 // is due.
 func (g *Gateway) requestPermits(ctx context.Context, j *job, ids []string, each bool) time.Duration {
-	what := j.service.Name
+	key := j.service.Name
 	if each {
-		what = strings.Join(ids, " ")
+		key = strings.Join(ids, " ")
 	}
 	if !each && len(ids) > maxRequestedEndpoints {
 		rand.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 		ids = ids[:maxRequestedEndpoints]
 	}
-	due, ok := g.permitRequests.begin(what, j.priority)
+	availableIn, ok := g.permitRequests.begin(key, j.priority)
 	if !ok {
-		return due
+		return availableIn
 	}
 	wait := min(permitWait, j.deadline.Sub(g.svc.Now()))
-	due = g.permitRequests.end(what, j.priority, g.source.RequestPermits(ctx, ids, each, j.priority, wait))
-	g.metrics.Counter("borrowed", metrics.Label{Name: "lent", Value: yesNo(due == 0)}).Inc(1)
-	if due > 0 && slices.ContainsFunc(ids, g.permits.MayCall) {
+	availableIn = g.permitRequests.end(key, j.priority, g.source.RequestPermits(ctx, ids, each, j.priority, wait))
+	g.metrics.Counter("borrowed", metrics.Label{Name: "lent", Value: yesNo(availableIn == 0)}).Inc(1)
+	if availableIn > 0 && slices.ContainsFunc(ids, g.permits.MayCall) {
 		return 0
 	}
-	return due
+	return availableIn
 }
 
 // lackingPermit returns the endpoints of a service that lack nothing but a permit.
@@ -197,12 +197,12 @@
 
 // noPermitError refuses a request at once for which there is no permit in time, with the time at
 // which there is one, or some time before where that is too long for its caller.
-func (g *Gateway) noPermitError(due time.Duration) *failure.Error {
-	if due > maxRetryAfter {
-		due = time.Duration((1 + rand.Float64()) / 2 * float64(maxRetryAfter))
+func (g *Gateway) noPermitError(availableIn time.Duration) *failure.Error {
+	if availableIn > maxRetryAfter {
+		availableIn = time.Duration((1 + rand.Float64()) / 2 * float64(maxRetryAfter))
 	}
 	return failure.New(failure.Overloaded, "the endpoints take no more for now").
-		WithRetryAfter(min(maxRetryAfter, max(baseRetryAfter, lengthen(due))))
+		WithRetryAfter(min(maxRetryAfter, max(baseRetryAfter, lengthen(availableIn))))
 }
 
 // requestPathPermits asks for the permits that a path lacks where there is no other path. It
@@ -256,12 +256,12 @@
 // of endpoints that come new into its path: the others have the stream already.
 func (s *streamRun) acquireRepathPermits(path []fleet.Stage) bool {
 	ids := []string{s.path[0].ID}
-	had := map[string]bool{}
+	onPath := map[string]bool{}
 	for _, p := range s.path {
-		had[p.ID] = true
+		onPath[p.ID] = true
 	}
 	for _, p := range path {
-		if !had[p.ID] {
+		if !onPath[p.ID] {
 			ids = append(ids, p.ID)
 		}
 	}
--- a/pkg/gateway/pipes.go
+++ b/pkg/gateway/pipes.go
@@ -42,41 +42,41 @@
 
 // tryTake takes what a path's crossings need of the pipes, all or nothing, and
 // reports whether there was enough.
-func (p *linkBuckets) tryTake(e *fleet.Engine, path []fleet.Stage, tokens float64, hosts int) bool {
+func (l *linkBuckets) tryTake(e *fleet.Engine, path []fleet.Stage, tokens float64, hosts int) bool {
 	if e.PipeMbps <= 0 || e.ActivationB <= 0 {
 		return true
 	}
-	need := countDomainCrossings(path)
-	if len(need) == 0 {
+	crossings := countDomainCrossings(path)
+	if len(crossings) == 0 {
 		return true
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	rate := e.PipeMbps * 1e6 / 8 * linkShare / float64(max(1, hosts))
 	cost := tokens * e.ActivationB
-	for pair, n := range need {
-		if p.refill(pair, rate, cost).bytes < cost*float64(n) {
+	for pair, n := range crossings {
+		if l.refill(pair, rate, cost).bytes < cost*float64(n) {
 			return false
 		}
 	}
-	for pair, n := range need {
-		p.buckets[pair].bytes -= cost * float64(n)
+	for pair, n := range crossings {
+		l.buckets[pair].bytes -= cost * float64(n)
 	}
 	return true
 }
 
 // refill adds what came since the last look. A bucket always holds enough for
 // one request that crosses there and back.
-func (p *linkBuckets) refill(pair fleet.DomainPair, rate, cost float64) *linkBucket {
-	now := p.svc.Now()
-	b := p.buckets[pair]
+func (l *linkBuckets) refill(pair fleet.DomainPair, rate, cost float64) *linkBucket {
+	now := l.svc.Now()
+	b := l.buckets[pair]
 	size := max(rate*linkBurst, 2*cost)
 	if b == nil {
 		b = &linkBucket{
 			bytes:      size,
 			refilledAt: now,
 		}
-		p.buckets[pair] = b
+		l.buckets[pair] = b
 	}
 	b.bytes = min(size, b.bytes+rate*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
--- a/pkg/gateway/repath.go
+++ b/pkg/gateway/repath.go
@@ -22,10 +22,10 @@
 		return nil
 	}
 	s.exclude(s.path, address)
-	rests := s.g.backoffs.Remaining(s.path[0].ID) > 0 // it can't be told of another path
+	firstInBackoff := s.g.backoffs.Remaining(s.path[0].ID) > 0 // it can't be told of another path
 	for range repathTries {
 		path := s.pathAround(s.isExcluded)
-		if rests {
+		if firstInBackoff {
 			path = nil
 		} else if path == nil || pathing.DomainCrossings(path) > pathing.DomainCrossings(s.path) {
 			path = s.pathFrom(&s.path[0])
@@ -74,19 +74,19 @@
 		Address: first.Address,
 		Path:    path,
 	}
-	var away *fleet.RejectedError
-	if errors.As(err, &away) {
+	var rejected *fleet.RejectedError
+	if errors.As(err, &rejected) {
 		s.g.observeAnswer(s.j, call, &Answer{
-			Notice: away.Notice,
+			Notice: rejected.Notice,
 		}, sent)
 	}
-	var fault *RepathError
-	if errors.As(err, &fault) {
+	var atStage *RepathError
+	if errors.As(err, &atStage) {
 		s.g.observeAnswer(s.j, call, &Answer{
-			FaultAddress: fault.Address,
-			Notice:       fault.Notice,
+			FaultAddress: atStage.Address,
+			Notice:       atStage.Notice,
 		}, sent)
-		s.exclude(path, fault.Address)
+		s.exclude(path, atStage.Address)
 	}
 	return false
 }
@@ -133,17 +133,17 @@
 // parts that are bad, and all else as it stands: an endpoint that comes new into
 // a path reads every token so far, and one that stays keeps its memory. It
 // returns nil if no part is bad, or their layers can't be covered.
-func (s *streamRun) pathAround(bad func(p fleet.Stage) bool) []fleet.Stage {
-	kept, holes := splitStages(s.path, bad)
-	if len(holes) == 0 {
+func (s *streamRun) pathAround(replace func(p fleet.Stage) bool) []fleet.Stage {
+	kept, gaps := splitStages(s.path, replace)
+	if len(gaps) == 0 {
 		return nil
 	}
 	stages := make([]pathing.Candidate, 0, len(kept))
-	names := map[string]bool{
+	onPath := map[string]bool{
 		s.path[0].ID: true,
 	}
 	for _, p := range kept {
-		names[p.ID] = true
+		onPath[p.ID] = true
 		stages = append(stages, pathing.Candidate{
 			ID:      p.ID,
 			Address: p.Address,
@@ -152,10 +152,10 @@
 		})
 	}
 	fit := s.candidates(func(e *fleet.Endpoint) bool {
-		return names[e.ID] || s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
+		return onPath[e.ID] || s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	})
 	for _, st := range fit {
-		if c, ok := clip(st, holes); ok {
+		if c, ok := clip(st, gaps); ok {
 			stages = append(stages, c)
 		}
 	}
@@ -170,27 +170,27 @@
 
 // splitStages returns the parts of a path after the first that are good, and the
 // layers of those that are bad, neighbours joined.
-func splitStages(path []fleet.Stage, bad func(p fleet.Stage) bool) (kept []fleet.Stage, holes []fleet.Range) {
+func splitStages(path []fleet.Stage, replace func(p fleet.Stage) bool) (kept []fleet.Stage, gaps []fleet.Range) {
 	for _, p := range path[1:] {
-		n := len(holes)
+		n := len(gaps)
 		switch {
-		case !bad(p):
+		case !replace(p):
 			kept = append(kept, p)
-		case n > 0 && holes[n-1].To == p.Layers.From:
-			holes[n-1].To = p.Layers.To
+		case n > 0 && gaps[n-1].To == p.Layers.From:
+			gaps[n-1].To = p.Layers.To
 		default:
-			holes = append(holes, p.Layers)
+			gaps = append(gaps, p.Layers)
 		}
 	}
-	return kept, holes
+	return kept, gaps
 }
 
 // clip limits an endpoint to the first hole that it holds layers of: a path may
 // name it once only.
-func clip(st pathing.Candidate, holes []fleet.Range) (pathing.Candidate, bool) {
-	for _, h := range holes {
-		from := max(st.Layers.From, h.From)
-		to := min(st.Layers.To, h.To)
+func clip(st pathing.Candidate, gaps []fleet.Range) (pathing.Candidate, bool) {
+	for _, gap := range gaps {
+		from := max(st.Layers.From, gap.From)
+		to := min(st.Layers.To, gap.To)
 		if from < to {
 			st.LayersHeld = st.Layers.Len()
 			st.Layers = fleet.Range{
--- a/pkg/gateway/stall.go
+++ b/pkg/gateway/stall.go
@@ -83,10 +83,10 @@
 		w.arm(stallQueryRetry)
 		return nil
 	}
-	if at, ok := q.report.Addresses[s.j.req.ID]; ok {
-		s.avoidAddress(at, "stalled")
-		s.g.log.Event(eventlog.StreamStalled, eventlog.Str("request", s.j.req.ID), eventlog.Str("at", at), eventlog.Str("after", s.lastEvent))
-		if err := s.repath(ctx, at); err != nil {
+	if address, ok := q.report.Addresses[s.j.req.ID]; ok {
+		s.avoidAddress(address, "stalled")
+		s.g.log.Event(eventlog.StreamStalled, eventlog.Str("request", s.j.req.ID), eventlog.Str("at", address), eventlog.Str("after", s.lastEvent))
+		if err := s.repath(ctx, address); err != nil {
 			return err
 		}
 	}
--- a/pkg/gateway/stay.go
+++ b/pkg/gateway/stay.go
@@ -50,46 +50,46 @@
 }
 
 // record notes a stream that took d for so many expected tokens.
-func (p *durationEstimator) record(tokens float64, d time.Duration) {
+func (e *durationEstimator) record(tokens float64, d time.Duration) {
 	if tokens < 1 {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := p.rings[sizeClass(tokens)]
-	if r == nil {
-		r = &sampleRing{}
-		p.rings[sizeClass(tokens)] = r
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	ring := e.rings[sizeClass(tokens)]
+	if ring == nil {
+		ring = &sampleRing{}
+		e.rings[sizeClass(tokens)] = ring
 	}
-	pace := time.Duration(float64(d) / tokens)
-	if len(r.samples) < samplesPerClass {
-		r.samples = append(r.samples, pace)
+	perToken := time.Duration(float64(d) / tokens)
+	if len(ring.samples) < samplesPerClass {
+		ring.samples = append(ring.samples, perToken)
 		return
 	}
-	r.samples[r.next] = pace
-	r.next = (r.next + 1) % samplesPerClass
+	ring.samples[ring.next] = perToken
+	ring.next = (ring.next + 1) % samplesPerClass
 }
 
 // estimate returns how long nearly every stream of so many tokens takes.
-func (p *durationEstimator) estimate(tokens float64) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	kept := p.samplesNear(sizeClass(tokens))
-	if len(kept) == 0 {
+func (e *durationEstimator) estimate(tokens float64) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	samples := e.samplesNear(sizeClass(tokens))
+	if len(samples) == 0 {
 		return time.Duration(tokens * float64(initialTimePerToken))
 	}
-	slices.Sort(kept)
-	return time.Duration(tokens * float64(kept[int(durationQuantile*float64(len(kept)))]))
+	slices.Sort(samples)
+	return time.Duration(tokens * float64(samples[int(durationQuantile*float64(len(samples)))]))
 }
 
 // samplesNear returns a copy of the paces of a size, with those of the nearest sizes as far
 // as it takes to have enough.
-func (p *durationEstimator) samplesNear(size int) []time.Duration {
+func (e *durationEstimator) samplesNear(class int) []time.Duration {
 	var list []time.Duration
 	for d := 0; d <= maxSizeClasses && len(list) < minSamples; d++ {
-		for _, one := range []int{size - d, size + d} {
-			if r := p.rings[one]; r != nil && (one != size || len(list) == 0) {
-				list = append(list, r.samples...)
+		for _, near := range []int{class - d, class + d} {
+			if ring := e.rings[near]; ring != nil && (near != class || len(list) == 0) {
+				list = append(list, ring.samples...)
 			}
 		}
 	}
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -209,13 +209,13 @@
 	defer s.g.waits.end(s.pending)
 	grp := group.New(ctx)
 	defer grp.Stop()
-	f := newAnswerReader()
+	r := newAnswerReader()
 	grp.Go(func(ctx context.Context) {
-		f.read(ctx, func(ctx context.Context) (*Answer, error) { return s.g.send(ctx, s.j, call) })
+		r.read(ctx, func(ctx context.Context) (*Answer, error) { return s.g.send(ctx, s.j, call) })
 	})
-	end, cause := s.relay(ctx, f)
+	end, cause := s.relay(ctx, r)
 	grp.Stop()
-	s.unsent = f.unsent.Load()
+	s.unsent = r.unsent.Load()
 	if end == broken && s.unsent { // given up while the connection was made
 		s.attempts--
 		return notRun, &SendError{
@@ -226,7 +226,7 @@
 }
 
 // relay moves what a feed brings to the caller, and watches for stalls.
-func (s *streamRun) relay(ctx context.Context, f *answerReader) (outcome, error) {
+func (s *streamRun) relay(ctx context.Context, r *answerReader) (outcome, error) {
 	w := newStallWatch(s)
 	l := newLeaveWatch(s)
 	for {
@@ -235,8 +235,8 @@
 			l.check()
 		case <-l.moveTimer:
 			l.replaceStages(ctx)
-		case it := <-f.items:
-			if end, cause, over := s.handleItem(ctx, it, w); over {
+		case it := <-r.items:
+			if end, cause, done := s.handleItem(ctx, it, w); done {
 				return end, cause
 			}
 		case <-w.timer:
@@ -287,17 +287,17 @@
 
 // recordRefusal notes which endpoint refused.
 func (s *streamRun) recordRefusal(a *Answer) error {
-	at := s.path[0]
+	stage := s.path[0]
 	for _, p := range s.path {
 		if p.Address == a.FaultAddress {
-			at = p
+			stage = p
 		}
 	}
 	why := "status " + strconv.Itoa(a.Status)
-	s.refusedIDs[at.ID] = true
-	s.g.tracker.RecordFailure(at.ID, why)
-	s.g.logFailedAttempt(s.j, at.ID, why)
-	return errors.Errorf("endpoint %s: %s", at.ID, why)
+	s.refusedIDs[stage.ID] = true
+	s.g.tracker.RecordFailure(stage.ID, why)
+	s.g.logFailedAttempt(s.j, stage.ID, why)
+	return errors.Errorf("endpoint %s: %s", stage.ID, why)
 }
 
 func (s *streamRun) forward(ev event) error {
--- a/pkg/gateway/tracker.go
+++ b/pkg/gateway/tracker.go
@@ -48,22 +48,22 @@
 }
 
 func (t *Tracker) entry(id string) *trackerEntry {
-	r := t.entries[id]
-	if r == nil {
-		r = &trackerEntry{}
-		t.entries[id] = r
+	e := t.entries[id]
+	if e == nil {
+		e = &trackerEntry{}
+		t.entries[id] = e
 	}
-	r.lastUsed = t.svc.Now()
-	return r
+	e.lastUsed = t.svc.Now()
+	return e
 }
 
 // Begin counts work at an endpoint; the function returned ends it.
 func (t *Tracker) Begin(id string, tokens int) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.entry(id)
-	r.load.Requests++
-	r.load.Tokens += tokens
+	e := t.entry(id)
+	e.load.Requests++
+	e.load.Tokens += tokens
 	done := false
 	return func() {
 		t.mu.Lock()
@@ -72,8 +72,8 @@
 			return
 		}
 		done = true
-		r.load.Requests--
-		r.load.Tokens -= tokens
+		e.load.Requests--
+		e.load.Tokens -= tokens
 	}
 }
 
@@ -81,8 +81,8 @@
 func (t *Tracker) Load(id string) Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.entries[id]; r != nil {
-		return r.load
+	if e := t.entries[id]; e != nil {
+		return e.load
 	}
 	return Load{}
 }
@@ -93,12 +93,12 @@
 	defer t.mu.Unlock()
 	now := t.svc.Now()
 	list := map[string]Load{}
-	for id, r := range t.entries {
-		if r.load.Requests > 0 {
-			list[id] = r.load
+	for id, e := range t.entries {
+		if e.load.Requests > 0 {
+			list[id] = e.load
 			continue
 		}
-		if now.Sub(r.lastUsed) > idleEntryLifetime {
+		if now.Sub(e.lastUsed) > idleEntryLifetime {
 			delete(t.entries, id)
 		}
 	}
@@ -108,18 +108,18 @@
 // RecordFailure notes a failure of an endpoint, by which it gets no work for a while.
 func (t *Tracker) RecordFailure(id, why string) {
 	t.mu.Lock()
-	r := t.entry(id)
+	e := t.entry(id)
 	now := t.svc.Now()
-	fresh := now.After(r.avoidUntil)
-	if fresh {
-		r.failures++
+	wasAvailable := now.After(e.avoidUntil)
+	if wasAvailable {
+		e.failures++
 	}
-	d := min(maxAvoidTime, initialAvoidTime<<min(8, r.failures-1))
-	if until := now.Add(d); until.After(r.avoidUntil) {
-		r.avoidUntil = until
+	d := min(maxAvoidTime, initialAvoidTime<<min(8, e.failures-1))
+	if until := now.Add(d); until.After(e.avoidUntil) {
+		e.avoidUntil = until
 	}
 	t.mu.Unlock()
-	if fresh {
+	if wasAvailable {
 		t.log.Event(eventlog.EndpointAvoided, eventlog.Str("endpoint", id), eventlog.Str("why", why), eventlog.Ms("for_ms", d))
 	}
 }
@@ -130,8 +130,8 @@
 	defer t.mu.Unlock()
 	now := t.svc.Now()
 	var list []string
-	for id, r := range t.entries {
-		if now.Before(r.avoidUntil) {
+	for id, e := range t.entries {
+		if now.Before(e.avoidUntil) {
 			list = append(list, id)
 		}
 	}
@@ -142,23 +142,23 @@
 func (t *Tracker) RecordSuccess(id string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.entry(id)
-	r.failures = 0
-	r.avoidUntil = time.Time{}
+	e := t.entry(id)
+	e.failures = 0
+	e.avoidUntil = time.Time{}
 	ms := float64(d) / float64(time.Millisecond)
-	if r.latency == 0 {
-		r.latency = ms
+	if e.latency == 0 {
+		e.latency = ms
 		return
 	}
-	r.latency += latencyWeight * (ms - r.latency)
+	e.latency += latencyWeight * (ms - e.latency)
 }
 
 // Latency returns the mean time of an endpoint's answers in ms; 0 if unknown.
 func (t *Tracker) Latency(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.entries[id]; r != nil {
-		return r.latency
+	if e := t.entries[id]; e != nil {
+		return e.latency
 	}
 	return 0
 }
@@ -167,6 +167,6 @@
 func (t *Tracker) Avoided(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.entries[id]
-	return r != nil && t.svc.Now().Before(r.avoidUntil)
+	e := t.entries[id]
+	return e != nil && t.svc.Now().Before(e.avoidUntil)
 }
--- a/pkg/gateway/waits.go
+++ b/pkg/gateway/waits.go
@@ -55,21 +55,21 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.svc.Now()
-	r := w.entries[id]
-	if r == nil {
-		r = &waitEntry{
+	e := w.entries[id]
+	if e == nil {
+		e = &waitEntry{
 			pending:     map[*pendingSend]bool{},
 			current:     -1,
 			previous:    -1,
 			bucketStart: now,
 		}
-		w.entries[id] = r
+		w.entries[id] = e
 	}
 	s := &pendingSend{
 		id:     id,
 		sentAt: now,
 	}
-	r.pending[s] = true
+	e.pending[s] = true
 	return s
 }
 
@@ -77,25 +77,25 @@
 func (w *waitEstimator) firstEvent(s *pendingSend) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.entries[s.id]
-	if r == nil || !r.pending[s] {
+	e := w.entries[s.id]
+	if e == nil || !e.pending[s] {
 		return
 	}
-	delete(r.pending, s)
+	delete(e.pending, s)
 	now := w.svc.Now()
-	r.record(now, now.Sub(s.sentAt))
+	e.record(now, now.Sub(s.sentAt))
 }
 
 // end notes that a send has ended.
 func (w *waitEstimator) end(s *pendingSend) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.entries[s.id]
-	if r == nil {
+	e := w.entries[s.id]
+	if e == nil {
 		return
 	}
-	delete(r.pending, s)
-	if len(r.pending) == 0 && r.estimateAt(w.svc.Now()) == 0 {
+	delete(e.pending, s)
+	if len(e.pending) == 0 && e.estimateAt(w.svc.Now()) == 0 {
 		delete(w.entries, s.id)
 	}
 }
@@ -104,53 +104,53 @@
 func (w *waitEstimator) estimate(id string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r := w.entries[id]; r != nil {
-		return r.estimateAt(w.svc.Now())
+	if e := w.entries[id]; e != nil {
+		return e.estimateAt(w.svc.Now())
 	}
 	return 0
 }
 
 // rotate begins a new bucket if it is time.
-func (r *waitEntry) rotate(now time.Time) {
-	age := now.Sub(r.bucketStart)
+func (e *waitEntry) rotate(now time.Time) {
+	age := now.Sub(e.bucketStart)
 	if age < waitBucket {
 		return
 	}
-	r.previous = r.current
+	e.previous = e.current
 	if age >= 2*waitBucket {
-		r.previous = -1
+		e.previous = -1
 	}
-	r.current = -1
-	r.bucketStart = now
+	e.current = -1
+	e.bucketStart = now
 }
 
-func (r *waitEntry) record(now time.Time, d time.Duration) {
-	r.rotate(now)
-	if r.current < 0 || d < r.current {
-		r.current = d
+func (e *waitEntry) record(now time.Time, d time.Duration) {
+	e.rotate(now)
+	if e.current < 0 || d < e.current {
+		e.current = d
 	}
-	r.estimate = r.shortest()
-	r.estimatedAt = now
+	e.estimate = e.shortest()
+	e.estimatedAt = now
 }
 
 // shortest returns the shortest wait of both buckets; negative if there was none.
-func (r *waitEntry) shortest() time.Duration {
-	if r.current < 0 || r.previous >= 0 && r.previous < r.current {
-		return r.previous
+func (e *waitEntry) shortest() time.Duration {
+	if e.current < 0 || e.previous >= 0 && e.previous < e.current {
+		return e.previous
 	}
-	return r.current
+	return e.current
 }
 
 // estimateAt returns the estimate at now.
-func (r *waitEntry) estimateAt(now time.Time) time.Duration {
-	r.rotate(now)
-	if seen := r.shortest(); seen >= 0 {
-		r.estimate = seen
-		r.estimatedAt = now
-		return seen
+func (e *waitEntry) estimateAt(now time.Time) time.Duration {
+	e.rotate(now)
+	if shortest := e.shortest(); shortest >= 0 {
+		e.estimate = shortest
+		e.estimatedAt = now
+		return shortest
 	}
-	est := max(0, r.estimate-now.Sub(r.estimatedAt))
-	for s := range r.pending {
+	est := max(0, e.estimate-now.Sub(e.estimatedAt))
+	for s := range e.pending {
 		est = max(est, now.Sub(s.sentAt))
 	}
 	return est
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -40,8 +40,8 @@
 }
 
 // final reports whether a verdict is an answer that no other attempt betters.
-func (v *attemptResult) final() bool {
-	return v.err == nil && !v.notRun && v.status < http.StatusInternalServerError
+func (r *attemptResult) final() bool {
+	return r.err == nil && !r.notRun && r.status < http.StatusInternalServerError
 }
 
 // serveUnary answers a request of an ordinary service.
@@ -93,9 +93,9 @@
 	hedge := w.hedgeTimer()
 	for w.running > 0 {
 		select {
-		case v := <-w.results:
+		case r := <-w.results:
 			w.running--
-			if w.handleResult(v) {
+			if w.handleResult(r) {
 				return
 			}
 		case <-hedge:
@@ -119,35 +119,35 @@
 }
 
 // handleResult deals with an attempt's end; it reports whether the request is answered.
-func (w *unaryRun) handleResult(v *attemptResult) bool {
-	w.best = better(w.best, v)
-	if v.final() {
-		w.answer(v)
+func (w *unaryRun) handleResult(r *attemptResult) bool {
+	w.best = better(w.best, r)
+	if r.final() {
+		w.answer(r)
 		return true
 	}
-	if v.err != nil || v.notRun {
-		w.g.tracker.RecordFailure(v.endpoint.ID, w.failureReason(v))
-		w.g.logFailedAttempt(w.j, v.endpoint.ID, w.failureReason(v))
+	if r.err != nil || r.notRun {
+		w.g.tracker.RecordFailure(r.endpoint.ID, w.failureReason(r))
+		w.g.logFailedAttempt(w.j, r.endpoint.ID, w.failureReason(r))
 	}
-	if connectionLost(v.err) {
-		w.g.recordCrash(w.j, v.endpoint.ID, true, v.sentAt)
+	if connectionLost(r.err) {
+		w.g.recordCrash(w.j, r.endpoint.ID, true, r.sentAt)
 	}
-	if v.notRun || notSent(v.err) {
+	if r.notRun || notSent(r.err) {
 		w.attempts--
-		w.resend(afterFailure, v.err)
+		w.resend(afterFailure, r.err)
 		return false
 	}
 	if w.j.route.Kind == fleet.Safe && w.running == 0 {
-		w.resend(afterFailure, v.err)
+		w.resend(afterFailure, r.err)
 	}
 	return false
 }
 
-func (w *unaryRun) failureReason(v *attemptResult) string {
-	if v.err != nil {
-		return v.err.Error()
+func (w *unaryRun) failureReason(r *attemptResult) string {
+	if r.err != nil {
+		return r.err.Error()
 	}
-	return http.StatusText(v.status)
+	return http.StatusText(r.status)
 }
 
 // better prefers an endpoint's own answer to none.
@@ -167,14 +167,14 @@
 }
 
 // resend sends once more if attempts and the budget allow it.
-func (w *unaryRun) resend(why sendReason, cause error) {
+func (w *unaryRun) resend(reason sendReason, cause error) {
 	if w.attempts >= w.j.route.MaxAttempts || w.sends >= maxSends || w.g.checkQuarantine(w.j) != nil {
 		return
 	}
 	if notSent(cause) {
-		why = afterUnsent
+		reason = afterUnsent
 	}
-	w.send(why)
+	w.send(reason)
 }
 
 // sendReason is why a request is sent.
@@ -190,8 +190,8 @@
 // send starts an attempt, paid for by the budget if it is a repeat, and reports
 // whether an endpoint was there. A send beside another takes no permit: that is a place
 // of a request which wasn't sent yet.
-func (w *unaryRun) send(why sendReason) bool {
-	e, ok := w.pick(why)
+func (w *unaryRun) send(reason sendReason) bool {
+	e, ok := w.pick(reason)
 	if !ok {
 		return false
 	}
@@ -206,9 +206,9 @@
 }
 
 // pick chooses the endpoint of the next send, and takes what the send needs.
-func (w *unaryRun) pick(why sendReason) (fleet.Endpoint, bool) {
-	fits := func(id string) bool { return !w.tried[id] && (why != asHedge || !w.g.permits.HasLimit(id)) }
-	paid := why == firstSend || why == afterUnsent
+func (w *unaryRun) pick(reason sendReason) (fleet.Endpoint, bool) {
+	fits := func(id string) bool { return !w.tried[id] && (reason != asHedge || !w.g.permits.HasLimit(id)) }
+	paid := reason == firstSend || reason == afterUnsent
 	for {
 		e, ok := w.g.pick(w.j.service.Name, fits)
 		if !ok && w.sends == 0 {
@@ -236,26 +236,26 @@
 	return w.permitAvailableIn == 0
 }
 
-func (w *unaryRun) answer(v *attemptResult) {
+func (w *unaryRun) answer(r *attemptResult) {
 	w.g.recordAnswered(w.j)
-	w.g.logServed(w.j, v.status, v.endpoint.ID, w.sends)
-	w.j.out.WriteAnswer(v.status, v.header, v.body)
+	w.g.logServed(w.j, r.status, r.endpoint.ID, w.sends)
+	w.j.out.WriteAnswer(r.status, r.header, r.body)
 }
 
 // finish answers when no attempt is left.
 func (w *unaryRun) finish() {
-	v := w.best
+	r := w.best
 	switch {
-	case v != nil && v.err == nil && !v.notRun:
-		w.answer(v)
-	case v == nil && w.permitAvailableIn > 0:
+	case r != nil && r.err == nil && !r.notRun:
+		w.answer(r)
+	case r == nil && w.permitAvailableIn > 0:
 		w.refuse(w.g.noPermitError(w.permitAvailableIn))
-	case v == nil && w.g.backoffRemaining(w.j.service.Name) > 0:
+	case r == nil && w.g.backoffRemaining(w.j.service.Name) > 0:
 		w.refuse(w.g.backoffError(w.g.backoffRemaining(w.j.service.Name)))
-	case v == nil:
+	case r == nil:
 		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(lengthen(baseRetryAfter)))
 	case w.attempts > 0:
-		w.refuse(failure.Wrap(v.err, failure.EndpointFailed, "endpoint %s", v.endpoint.ID))
+		w.refuse(failure.Wrap(r.err, failure.EndpointFailed, "endpoint %s", r.endpoint.ID))
 	default:
 		w.refuse(failure.New(failure.Overloaded, "every endpoint that was asked refused").
 			WithRetryAfter(max(baseRetryAfter, lengthen(w.g.backoffRemaining(w.j.service.Name)))))
@@ -271,12 +271,12 @@
 	}
 	w.group.Stop()
 	for ; w.running > 0; w.running-- {
-		v := <-w.results
-		if v.final() {
-			w.answer(v)
+		r := <-w.results
+		if r.final() {
+			w.answer(r)
 			return
 		}
-		if v.notRun || notSent(v.err) {
+		if r.notRun || notSent(r.err) {
 			w.attempts--
 		}
 	}
@@ -349,8 +349,8 @@
 }
 
 // tryAttempt is attempt, which ends in a verdict whatever it meets.
-func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (v *attemptResult) {
-	if err := group.Try(func() { v = g.attempt(ctx, j, e) }); err != nil {
+func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (r *attemptResult) {
+	if err := group.Try(func() { r = g.attempt(ctx, j, e) }); err != nil {
 		return &attemptResult{
 			endpoint: e,
 			err: &SendError{
@@ -359,13 +359,13 @@
 			},
 		}
 	}
-	return v
+	return r
 }
 
 // attempt sends a request to one endpoint and reads the whole answer.
 func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *attemptResult {
 	began := g.svc.Now()
-	v := &attemptResult{
+	r := &attemptResult{
 		endpoint: e,
 		sentAt:   began,
 	}
@@ -380,28 +380,28 @@
 		Priority: j.priority,
 	})
 	if err != nil {
-		v.err = err
-		return v
+		r.err = err
+		return r
 	}
 	defer func() { _ = a.Body.Close() }() // it was read, or is given up
-	v.status = a.Status
-	v.notRun = a.NotRun || a.Misdirected
-	v.header = a.Header
-	v.body, err = io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
+	r.status = a.Status
+	r.notRun = a.NotRun || a.Misdirected
+	r.header = a.Header
+	r.body, err = io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	switch {
-	case v.notRun:
+	case r.notRun:
 	case err != nil:
-		v.err = &SendError{
+		r.err = &SendError{
 			Sent:  true,
 			Cause: err,
 		}
 	case !a.Verified:
-		v.err = &SendError{
+		r.err = &SendError{
 			Sent:  true,
 			Cause: errors.New("the answer is damaged"),
 		}
 	default:
 		g.tracker.RecordSuccess(e.ID, g.svc.Now().Sub(began))
 	}
-	return v
+	return r
 }
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -24,13 +24,13 @@
 	}
 	sent := g.svc.Now()
 	a, err := g.client.Send(ctx, c)
-	var lost *SendError
+	var sendErr *SendError
 	switch {
 	case err == nil:
 		g.observeAnswer(j, c, a, sent)
-	case errors.As(err, &lost):
-		g.observeNotice(c.ID, lost.Notice)
-		g.observeLimit(j.service.Name, c.ID, lost.Notice.Limit, sent)
+	case errors.As(err, &sendErr):
+		g.observeNotice(c.ID, sendErr.Notice)
+		g.observeLimit(j.service.Name, c.ID, sendErr.Notice.Limit, sent)
 	}
 	return a, err
 }
@@ -40,17 +40,17 @@
 // it starts again; so both are avoided for a moment only, and as suspects they are asked
 // by the leader: each of them tells of itself then.
 func (g *Gateway) observeAnswer(j *job, c *Call, a *Answer, sent time.Time) {
-	who := g.noticeSubject(j, c, a)
-	w := a.Notice
-	g.observeAnswerLimit(j, c, who, w.Limit, sent)
-	if w.Leaving && who != c.ID {
-		w.Leaving = false
+	subject := g.noticeSubject(j, c, a)
+	n := a.Notice
+	g.observeAnswerLimit(j, c, subject, n.Limit, sent)
+	if n.Leaving && subject != c.ID {
+		n.Leaving = false
 		g.tracker.RecordFailure(c.ID, stageLeaving)
-		if who != "" {
-			g.tracker.RecordFailure(who, stageLeaving)
+		if subject != "" {
+			g.tracker.RecordFailure(subject, stageLeaving)
 		}
 	}
-	g.observeNotice(who, w)
+	g.observeNotice(subject, n)
 }
 
 // stageLeaving is why endpoints are avoided that share a path of which one leaves.
@@ -80,19 +80,19 @@
 
 // observeNotice takes what an endpoint says of itself: a rest is for this host alone, a leave is
 // for all of them.
-func (g *Gateway) observeNotice(id string, w fleet.Notice) {
+func (g *Gateway) observeNotice(id string, n fleet.Notice) {
 	if id == "" {
 		return
 	}
-	if w.Leaving {
+	if n.Leaving {
 		g.source.MarkLeaving(id)
 	}
-	if w.Backoff <= 0 {
+	if n.Backoff <= 0 {
 		return
 	}
-	g.backoffs.Record(id, w.Backoff)
+	g.backoffs.Record(id, n.Backoff)
 	g.metrics.Counter("rests_asked").Inc(1)
-	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Backoff))
+	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", n.Backoff))
 }
 
 // acquireLastChoice reports whether an endpoint may be called as the last choice now, and counts
@@ -127,17 +127,17 @@
 // backoffRemaining returns how long it takes until an endpoint of a service may be called; 0 if
 // one may be now, or there is none.
 func (g *Gateway) backoffRemaining(service string) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, e := range g.source.Endpoints(service) {
 		left := g.backoffs.Remaining(e.ID)
 		if left == 0 {
 			return 0
 		}
-		if least == 0 || left < least {
-			least = left
+		if shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
-	return least
+	return shortest
 }
 
 // backoffRemaining returns how long it takes until endpoints that rest make a path whole; 0 if
@@ -146,20 +146,20 @@
 	if s.j.service.Engine == nil {
 		return s.g.backoffRemaining(s.j.service.Name)
 	}
-	var lefts []time.Duration
+	var remaining []time.Duration
 	for _, e := range s.g.source.Endpoints(s.j.service.Name) {
 		if left := s.g.backoffs.Remaining(e.ID); left > 0 && !s.failedIDs[e.ID] {
-			lefts = append(lefts, left)
+			remaining = append(remaining, left)
 		}
 	}
-	slices.Sort(lefts)
-	n := sort.Search(len(lefts), func(i int) bool {
-		return s.pathUsing(func(id string) bool { return s.g.backoffs.Remaining(id) <= lefts[i] }) != nil
+	slices.Sort(remaining)
+	n := sort.Search(len(remaining), func(i int) bool {
+		return s.pathUsing(func(id string) bool { return s.g.backoffs.Remaining(id) <= remaining[i] }) != nil
 	})
-	if n == len(lefts) {
+	if n == len(remaining) {
 		return 0
 	}
-	return lefts[n]
+	return remaining[n]
 }
 
 // pathUsing returns a whole path over endpoints that fit, whether they rest or not; those
