--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -92,9 +92,9 @@
 	cachedFingerprint quarantine.Fingerprint // once printed is set
 }
 
-// print returns the request's fingerprint. It is worked out only for requests that
+// fingerprint returns the request's fingerprint. It is worked out only for requests that
 // failed, or while any is watched or held. Only the goroutine that serves calls it.
-func (j *job) print() quarantine.Fingerprint {
+func (j *job) fingerprint() quarantine.Fingerprint {
 	if !j.hasFingerprint {
 		j.cachedFingerprint = quarantine.FingerprintOf(j.account, j.req.Method, j.req.Target, j.req.Body)
 		j.hasFingerprint = true
@@ -253,7 +253,7 @@
 		fields = append(fields, eventlog.Str("route", j.route.Name), eventlog.Str("account", j.account))
 	}
 	if j != nil && (event == eventlog.RequestFailed || e.Kind() == failure.Quarantined) {
-		fields = append(fields, eventlog.Str("fingerprint", j.print().String()))
+		fields = append(fields, eventlog.Str("fingerprint", j.fingerprint().String()))
 	}
 	g.log.Event(event, fields...)
 	g.metrics.Counter("requests_failed", metrics.Label{Name: "kind", Value: e.Kind().String()}).Inc(1)
@@ -277,7 +277,7 @@
 // logFailedAttempt logs one.
 func (g *Gateway) logFailedAttempt(j *job, endpoint, why string) {
 	g.metrics.Counter("attempts_failed").Inc(1)
-	g.log.Event(eventlog.AttemptFailed, eventlog.Str("request", j.req.ID), eventlog.Str("fingerprint", j.print().String()),
+	g.log.Event(eventlog.AttemptFailed, eventlog.Str("request", j.req.ID), eventlog.Str("fingerprint", j.fingerprint().String()),
 		eventlog.Str("endpoint", endpoint), eventlog.Str("why", why), eventlog.Ms("after_ms", g.svc.Now().Sub(j.req.Received)))
 }
 
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -25,7 +25,7 @@
 	if g.quarantine.Idle() {
 		return nil
 	}
-	left := g.quarantine.HoldRemaining(j.print())
+	left := g.quarantine.HoldRemaining(j.fingerprint())
 	if left <= 0 {
 		return nil
 	}
@@ -38,12 +38,12 @@
 	after := g.svc.Now().Sub(began)
 	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(early)}).Inc(1)
 	if g.quarantine.RecordCrash(quarantine.Crash{
-		Fingerprint:    j.print(),
+		Fingerprint:    j.fingerprint(),
 		Endpoint:       fleet.LoadKey(endpoint),
 		BeforeResponse: early,
 		After:          after,
 	}) {
-		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.print().String()), eventlog.Str("by", "this host"),
+		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.fingerprint().String()), eventlog.Str("by", "this host"),
 			eventlog.Str("request", j.req.ID), eventlog.Ms("for_ms", quarantine.LocalHold))
 	}
 }
@@ -58,7 +58,7 @@
 // recordAnswered notes that an endpoint answered a request: it doesn't end whatever runs it.
 func (g *Gateway) recordAnswered(j *job) {
 	if !g.quarantine.Idle() {
-		g.quarantine.RecordServed(j.print())
+		g.quarantine.RecordServed(j.fingerprint())
 	}
 }
 
