--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,5 +1,7 @@
-// Package gateway carries a caller's request: route, client account, limits,
-// endpoint or path, attempts, and the answer.
+// Package gateway serves callers' requests on an entry host: it matches the route,
+// authenticates the client account, applies retry budgets and rate limits, chooses an
+// endpoint or a path of endpoints, sends the request, retries it where that is allowed,
+// and returns the answer.
 package gateway
 
 import (
@@ -18,7 +20,7 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Gateway carries requests. It is safe for use by several goroutines.
+// Gateway serves requests. It is safe for use by several goroutines.
 type Gateway struct {
 	domain         string // this host's failure domain
 	client         EndpointClient
@@ -41,7 +43,7 @@
 	permitRequests *permitRequests
 }
 
-// New returns the gateway of a host in a failure domain.
+// New returns the gateway of an entry host in the given failure domain.
 func New(domain string, backend EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
 	rests := rest.New(svc)
 	g := &Gateway{
@@ -68,17 +70,19 @@
 	return g
 }
 
-// Backoffs returns which endpoints asked this host for rest.
+// Backoffs returns the endpoints that this host sends nothing for now, at their
+// request.
 func (g *Gateway) Backoffs() *rest.Tracker {
 	return g.backoffs
 }
 
-// Tracker returns what this host has under way and avoids.
+// Tracker returns the requests that this host has in flight at each endpoint, and the
+// endpoints that it avoids.
 func (g *Gateway) Tracker() *Tracker {
 	return g.tracker
 }
 
-// job is one request on its way, with what was decided of it.
+// job is a request that is being served, with the decisions made about it so far.
 type job struct {
 	req      *Request
 	out      Output
@@ -86,14 +90,15 @@
 	service  *fleet.Service
 	account  string
 	priority int
-	deadline time.Time // when it must be answered
+	deadline time.Time // the caller must have its answer by then
 
 	hasFingerprint    bool
-	cachedFingerprint quarantine.Fingerprint // once printed is set
+	cachedFingerprint quarantine.Fingerprint // valid if hasFingerprint
 }
 
-// fingerprint returns the request's fingerprint. It is worked out only for requests that
-// failed, or while any is watched or held. Only the goroutine that serves calls it.
+// fingerprint returns the request's fingerprint. It is computed only when a request has
+// failed, or while any request is watched or quarantined. Only the goroutine that
+// serves the request may call it.
 func (j *job) fingerprint() quarantine.Fingerprint {
 	if !j.hasFingerprint {
 		j.cachedFingerprint = quarantine.FingerprintOf(j.account, j.req.Method, j.req.Target, j.req.Body)
@@ -113,8 +118,9 @@
 		g.refuse(req, j, out, e)
 		return
 	}
-	// Contexts follow the steady clock, which the timer service's runs ahead of for good
-	// once the machine was suspended: a deadline would come that much too late.
+	// Context deadlines follow the monotonic clock. The clock of the timer service also
+	// counts the time that the host was suspended, so passing it an absolute deadline
+	// would make the deadline late by that time: pass the remaining duration instead.
 	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(g.svc.Now()))
 	defer cancel()
 	g.permits.CountRequest(j.service.Name)
@@ -125,12 +131,13 @@
 	g.serveUnary(ctx, j)
 }
 
-// readyWait is how long a request waits on a host that was just started, or
-// just lost the control hosts: an election takes 0.3 to 0.7 s, and a caller that
-// is refused has one more try, if any.
+// readyWait is how long a request waits on a host that was just started or just lost
+// contact with the control hosts. An election takes 0.3 to 0.7 s, and a caller that is
+// refused retries at most once.
 const readyWait = 800 * time.Millisecond
 
-// admitWhenReady admits a request, once this host knows what it needs for that.
+// admitWhenReady is admit, but waits up to readyWait while this host lacks the state
+// that it needs to decide.
 func (g *Gateway) admitWhenReady(ctx context.Context, req *Request, out Output) (*job, *failure.Error) {
 	end := g.svc.After(readyWait)
 	for {
@@ -149,12 +156,13 @@
 	}
 }
 
-// discoveryWait is how long after its arrival a request waits for endpoints that
-// may not have announced themselves yet: a heartbeat's interval.
+// discoveryWait is how long after its arrival a request waits for endpoints that may
+// not have announced themselves yet: one heartbeat interval.
 const discoveryWait = 1300 * time.Millisecond
 
-// awaitEndpoints waits for news of endpoints, where not all may be known yet.
-// It reports whether it makes sense to look again.
+// awaitEndpoints waits for a change of the known endpoints while some may not have
+// announced themselves yet. It reports whether the caller should look for an endpoint
+// again.
 func (g *Gateway) awaitEndpoints(ctx context.Context, req *Request, changed <-chan struct{}) bool {
 	left := discoveryWait - g.svc.Now().Sub(req.Received)
 	if g.source.Settled() || left <= 0 {
@@ -170,11 +178,11 @@
 	}
 }
 
-// admit decides by route and client account.
+// admit finds the route and the service and authenticates the client account.
 func (g *Gateway) admit(req *Request, out Output) (*job, *failure.Error) {
 	v := g.source.View()
 	if v.Index == nil {
-		return nil, notReady("no configuration is known here yet")
+		return nil, notReady("this host has no configuration yet")
 	}
 	route := v.Index.Route(req.Host, req.Path)
 	if route == nil {
@@ -197,17 +205,17 @@
 	return j, nil
 }
 
-// notReadyIfStale turns a final refusal into one that passes, if this host can't be
-// sure that it holds the newest configuration.
+// notReadyIfStale replaces a permanent refusal by a temporary one, unless the
+// configuration that it is based on was confirmed recently.
 func notReadyIfStale(v View, e *failure.Error) *failure.Error {
 	if v.Fresh {
 		return e
 	}
-	return notReady("the configuration was last confirmed %v ago; by it: %s", v.Age, e.Detail())
+	return notReady("the configuration was last confirmed %v ago; it says: %s", v.Age, e.Detail())
 }
 
-// notReadyRetryAfter is when a caller should come back to a host that waits for the
-// control hosts: after an election and a second for what follows it.
+// notReadyRetryAfter is the retry-after time of a host that waits for the control
+// hosts: the time of an election plus one second.
 const notReadyRetryAfter = 1600 * time.Millisecond
 
 func notReady(format string, args ...any) *failure.Error {
@@ -230,16 +238,16 @@
 	return nil
 }
 
-// routeRanks is how many priorities of routes are told apart within one of a
-// client account; endpoints know ten ranks in all.
+// routeRanks is the number of route priorities that are distinguished for each client
+// account priority. Endpoints know ten priorities in all.
 const routeRanks = 3
 
-// rank puts a client account's priority before its route's.
+// rank combines the priorities; the client account's counts before the route's.
 func rank(account, route int) int {
 	return account*routeRanks + min(route, routeRanks-1)
 }
 
-// refuse answers with a failure of our own and logs it.
+// refuse sends the caller a failure that this host produced, and logs and counts it.
 func (g *Gateway) refuse(req *Request, j *job, out Output, e *failure.Error) {
 	event := eventlog.RequestRefused
 	if e.Ran() != failure.RanNo {
@@ -260,7 +268,8 @@
 	out.Refuse(e)
 }
 
-// logServed counts and logs an answer; more is added to the line.
+// logServed logs and counts an answered request; more fields are appended to the log
+// event.
 func (g *Gateway) logServed(j *job, status int, endpoint string, attempts int, more ...eventlog.Field) {
 	took := g.svc.Now().Sub(j.req.Received)
 	metrics.Observe(g.metrics.Histogram("request_us", metrics.Label{Name: "class", Value: j.route.Kind.String()}), took)
@@ -274,14 +283,14 @@
 	g.log.Event(eventlog.RequestServed, append(fields, more...)...)
 }
 
-// logFailedAttempt logs one.
+// logFailedAttempt logs and counts an attempt that failed.
 func (g *Gateway) logFailedAttempt(j *job, endpoint, why string) {
 	g.metrics.Counter("attempts_failed").Inc(1)
 	g.log.Event(eventlog.AttemptFailed, eventlog.Str("request", j.req.ID), eventlog.Str("fingerprint", j.fingerprint().String()),
 		eventlog.Str("endpoint", endpoint), eventlog.Str("why", why), eventlog.Ms("after_ms", g.svc.Now().Sub(j.req.Received)))
 }
 
-// Refuse answers a request that isn't even begun.
+// Refuse answers a request that is refused before Serve would start on it.
 func (g *Gateway) Refuse(req *Request, out Output, e *failure.Error) {
 	g.refuse(req, nil, out, e)
 }
--- a/pkg/gateway/types.go
+++ b/pkg/gateway/types.go
@@ -10,7 +10,7 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// Request is a caller's request, read whole.
+// Request is a caller's request, with its complete body.
 type Request struct {
 	ID     string
 	Method string
@@ -18,17 +18,19 @@
 	Target string
 	Path   string
 	Host   string
-	// Header is what is passed on unchanged.
+	// Header holds the headers that are passed on unchanged.
 	Header http.Header
 	Body   []byte
-	// Key names the client account; empty if none was sent.
+	// Key identifies the client account; empty if the caller sent none.
 	Key string
 	// Timeout is how long the caller waits, counted from Received; 0 if unknown.
 	Timeout  time.Duration
 	Received time.Time
-	// LastEvent is the event after which the caller resumes a stream.
+	// LastEvent is the ID of the event after which the caller resumes a stream.
 	LastEvent string
-	// PromptTokens and MaxAnswer are tokens; AnswerHint is the caller's estimate.
+	// PromptTokens is the size of the prompt, MaxAnswerTokens the caller's limit for
+	// the answer, and AnswerTokensHint the caller's estimate of the answer; 0 if
+	// unknown.
 	PromptTokens     int
 	MaxAnswerTokens  int
 	AnswerTokensHint int
@@ -37,7 +39,7 @@
 // Call is one request as it is sent to an endpoint.
 type Call struct {
 	Request   *Request
-	ID        string // incarnation expected at Address
+	ID        string // ID of the incarnation expected at Address
 	Address   string
 	Account   string
 	Timeout   time.Duration
@@ -48,29 +50,33 @@
 	Repeatable bool
 }
 
-// Answer is an endpoint's.
+// Answer is an endpoint's answer to a call.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun says that the endpoint did not and will not run the request.
+	// NotRun says that the endpoint did not run the request and will not run it.
 	NotRun bool
-	// Misdirected says that another endpoint, or other layers, are there.
+	// Misdirected says that the address belongs to another endpoint now, or to one that
+	// holds other layers.
 	Misdirected bool
-	// FaultAddress is the address of the endpoint on the path that is at fault.
+	// FaultAddress is the address of the endpoint on the path that is at fault; empty
+	// if none is named.
 	FaultAddress string
-	// Verified says that the answer is the endpoint's own and not damaged.
+	// Verified says that the answer comes from the endpoint itself and is not damaged.
 	Verified bool
-	// Notice is of the endpoint at fault, or of who gave the answer if none is named.
+	// Notice is about the endpoint at FaultAddress if that is set, and else about the
+	// endpoint that answered.
 	Notice fleet.Notice
 }
 
-// SendError says that no answer came.
+// SendError is the error of a call that got no usable answer.
 type SendError struct {
 	// Sent says that the request may have reached the endpoint.
 	Sent  bool
 	Cause error
-	// Notice is what the endpoint says of itself in an answer that is no good.
+	// Notice is what the endpoint reported of itself with an answer that could not be
+	// used.
 	Notice fleet.Notice
 }
 
@@ -82,121 +88,129 @@
 	return "not sent: " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
 func (e *SendError) Unwrap() error {
 	return e.Cause
 }
 
-// RepathError says that a new path wasn't taken because of one endpoint on it:
-// it isn't there, or has no room.
+// RepathError says that a new path was rejected because of one endpoint on it, which is
+// gone or has no free capacity.
 type RepathError struct {
-	Address string // the endpoint's address
-	// Notice is of that endpoint, or of the first of the path.
+	Address string // of the endpoint that was the reason
+	// Notice is about that endpoint, or about the first one of the path.
 	Notice fleet.Notice
 }
 
 // Error implements error.
 func (e *RepathError) Error() string {
-	return "the endpoint at " + e.Address + " isn't there or has no room"
+	return "the endpoint at " + e.Address + " is gone or has no free capacity"
 }
 
-// StallReport is what the first endpoint of paths tells of requests that stand still.
+// StallReport lists the stalled requests that the first endpoint of their paths knows
+// of.
 type StallReport struct {
-	Addresses map[string]string // address by request
+	Addresses map[string]string // address of the endpoint where a request is stalled, by request ID
 	Notice    fleet.Notice
 }
 
-// EndpointClient reaches endpoints.
+// EndpointClient calls endpoints.
 type EndpointClient interface {
-	// Send sends a call; its error is a *SendError.
+	// Send sends a call. Its error is a *SendError.
 	Send(ctx context.Context, c *Call) (*Answer, error)
-	// QueryStalls asks the first endpoint of a path which requests stand still. What
-	// it says of itself is told with any answer, also beside an error.
+	// QueryStalls asks the first endpoint of a path which requests are stalled. The
+	// report's notice is valid with an error too, if an answer came.
 	QueryStalls(ctx context.Context, address string) (StallReport, error)
-	// Repath gives a request that is under way another path with the same
-	// first part. Its error is a *RepathError if it names an endpoint, or a
-	// *fleet.TurnedAway.
+	// Repath gives a request that is in flight another path with the same first stage.
+	// Its error is a *RepathError if one endpoint of the path was the reason, or a
+	// *fleet.RejectedError.
 	Repath(ctx context.Context, address, requestID string, path []fleet.Stage) error
 }
 
-// Output takes the answer to a caller.
+// Output writes the answer to a caller.
 type Output interface {
-	// Refuse writes a failure of our own.
+	// Refuse writes a failure that this host produced.
 	Refuse(e *failure.Error)
-	// WriteAnswer writes an endpoint's whole answer.
+	// WriteAnswer writes a non-streamed answer of an endpoint.
 	WriteAnswer(status int, header http.Header, body []byte)
-	// BeginStream writes the head of a stream.
+	// BeginStream writes status and headers of a stream.
 	BeginStream(status int, header http.Header)
-	// Event passes bytes on at once.
+	// Event writes bytes of a stream and flushes them.
 	Event(data []byte) error
-	// Abort breaks the answer off so that it doesn't look complete.
+	// Abort breaks the answer off in such a way that the caller can tell it is
+	// incomplete.
 	Abort()
 }
 
-// View is what an entry host believes at one moment.
+// View is an entry host's copy of the configuration, and how current it is.
 type View struct {
 	// Index is nil before the first configuration.
 	Index *fleet.Index
-	// Fresh says that the configuration was confirmed lately enough to refuse
-	// by it; Trusted that no key in it can have been taken away for longer
-	// than allowed.
+	// Fresh says that the configuration was confirmed recently enough to refuse
+	// requests because of it. Trusted says that no key in it can have been revoked for
+	// longer than is allowed.
 	Fresh   bool
 	Trusted bool
-	// Age is since when the configuration was last confirmed.
+	// Age is the time since the configuration was last confirmed.
 	Age time.Duration
 }
 
-// Source is where an entry host's beliefs come from.
+// Source is the local state of an entry host: configuration, endpoints and what other
+// hosts report.
 type Source interface {
 	View() View
 	// Endpoints returns the usable endpoints of a service.
 	Endpoints(service string) []fleet.Endpoint
-	// EndpointLeaving reports whether an endpoint is known to leave or gone.
+	// EndpointLeaving reports whether an endpoint is known to be leaving or gone.
 	EndpointLeaving(id string) bool
-	// MarkLeaving says that an endpoint told this host itself that it leaves.
+	// MarkLeaving records that an endpoint told this host directly that it is leaving.
 	MarkLeaving(id string)
-	// HasReleased reports whether an endpoint is known to have given up some of
-	// layers: it was ordered to hold others.
+	// HasReleased reports whether an endpoint is known to have released some of these
+	// layers because it was ordered to hold others.
 	HasReleased(id string, layers fleet.Range) bool
-	// EndpointSlowdown returns how many times as slow as its kind an endpoint is.
+	// EndpointSlowdown returns how many times as slow as is usual for its kind an
+	// endpoint is.
 	EndpointSlowdown(id string) float64
 	// Changed returns a channel that is closed when endpoints change.
 	Changed() <-chan struct{}
-	// Settled reports whether every endpoint had time to announce itself
-	// since the control hosts began.
+	// Settled reports whether every endpoint has had time to announce itself since the
+	// leader's term began.
 	Settled() bool
-	// Confirmed returns a channel that is closed with the next confirmation.
+	// Confirmed returns a channel that is closed when the configuration is confirmed
+	// again.
 	Confirmed() <-chan struct{}
-	// PeerLoad returns what the other entry hosts have under way.
+	// PeerLoad returns what the other entry hosts have in flight at an endpoint.
 	PeerLoad(id string) Load
-	// ShutdownIn returns how long this host still works, once it was told to stop.
+	// ShutdownIn returns how long this host will go on serving once it was told to
+	// stop.
 	ShutdownIn() (left time.Duration, stops bool)
-	// HostCount returns how many entry hosts share the work.
+	// HostCount returns the number of entry hosts, which share the load.
 	HostCount() int
-	// RequestPermits asks the leader for permits, one for each of the endpoints or one for any
-	// of them, and waits so long for it.
+	// RequestPermits asks the leader for permits, one for each of the endpoints if each
+	// is set, and one for any of them otherwise. It waits at most wait for them to
+	// become available.
 	RequestPermits(ctx context.Context, ids []string, each bool, priority int, wait time.Duration) PermitReply
-	// ReportLimits has the leader told at once of what this host heard of limits.
+	// ReportLimits sends the rate limits that this host observed to the leader at once.
 	ReportLimits()
 }
 
-// PermitReply is the leader's answer to a host that borrows.
+// PermitReply is the leader's answer to a request for permits.
 type PermitReply struct {
-	// AvailableIn is 0 once the permits are in the host's book, and else when there is one.
+	// AvailableIn is 0 once the granted permits are in the host's Holder, and otherwise
+	// the time until a permit is available.
 	AvailableIn time.Duration
-	// Interval is the time between two permits for this host; 0 if that isn't known.
+	// Interval is the time between two permits for this host; 0 if unknown.
 	Interval time.Duration
 }
 
-// Load is work under way at an endpoint.
+// Load is the work in flight at an endpoint.
 type Load struct {
 	Requests int
 	Tokens   int
 }
 
-// RetryBudget bounds repeats over all hosts.
+// RetryBudget limits the retries and hedges of all hosts together.
 type RetryBudget struct {
-	// Ratio is repeats for each request, Extra those beyond it in a Window.
+	// Ratio is the number of retries allowed for each request, and Extra the number
+	// allowed beyond that in each Window.
 	Ratio  float64
 	Extra  float64
 	Window time.Duration
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// maxSends bounds the sends of one request, with those that endpoints
-	// refused without running them.
+	// maxSends limits how often one request is sent, including sends that an endpoint
+	// refused without running the request.
 	maxSends = 4
-	// hedgeShare is the part of the latency goal after which a request that
-	// may be repeated is sent to a second endpoint too. Half of the goal is
-	// over twice the mean work, so few calm requests are repeated.
+	// hedgeShare is the part of the latency goal after which a request that may run
+	// more than once is also sent to a second endpoint. Half of the goal is more than
+	// twice the mean processing time, so few requests are hedged while the load is
+	// normal.
 	hedgeShare = 0.5
-	// maxAnswerBytes bounds an answer that is held whole.
+	// maxAnswerBytes limits the size of a non-streamed answer, which is held in memory.
 	maxAnswerBytes = 8 << 20
-	// baseRetryAfter is when a refused caller should return: an endpoint that
-	// failed is avoided for as long.
+	// baseRetryAfter is the usual retry-after time of a refused caller, and the least
+	// that is told where the time until capacity is available is known.
 	baseRetryAfter = 300 * time.Millisecond
 )
 
-// attemptResult is how one attempt ended.
+// attemptResult is the outcome of one attempt.
 type attemptResult struct {
 	endpoint fleet.Endpoint
 	status   int
@@ -39,12 +40,12 @@
 	sentAt   time.Time
 }
 
-// final reports whether a verdict is an answer that no other attempt betters.
+// final reports whether this is an answer that no other attempt can improve on.
 func (r *attemptResult) final() bool {
 	return r.err == nil && !r.notRun && r.status < http.StatusInternalServerError
 }
 
-// serveUnary answers a request of an ordinary service.
+// serveUnary serves a request whose answer is not a stream.
 func (g *Gateway) serveUnary(ctx context.Context, j *job) {
 	w := &unaryRun{
 		g:       g,
@@ -59,7 +60,7 @@
 	w.run(ctx)
 }
 
-// unaryRun is a request's attempts.
+// unaryRun is the state of a request with a non-streamed answer, over all its attempts.
 type unaryRun struct {
 	g        *Gateway
 	j        *job
@@ -70,8 +71,8 @@
 	running  int
 	attempts int // attempts that may have run
 	best     *attemptResult
-	// permitRequests is how often it asked for permits, and due when there is one, if there
-	// wasn't.
+	// permitRequests is how often the leader was asked for permits. If it granted none,
+	// permitAvailableIn is the time until one is available.
 	permitRequests    int
 	permitAvailableIn time.Duration
 }
@@ -109,8 +110,8 @@
 	w.finish()
 }
 
-// hedgeTimer fires when a repeatable request has waited long enough; a nil
-// channel never does.
+// hedgeTimer returns a channel that fires when it is time to hedge, or nil if the
+// request must not be hedged.
 func (w *unaryRun) hedgeTimer() <-chan time.Time {
 	if w.j.route.Kind != fleet.Safe || w.j.route.Goal <= 0 {
 		return nil
@@ -118,7 +119,8 @@
 	return w.g.svc.After(time.Duration(hedgeShare * float64(w.j.route.Goal)))
 }
 
-// handleResult deals with an attempt's end; it reports whether the request is answered.
+// handleResult processes the end of an attempt and reports whether the request is
+// answered.
 func (w *unaryRun) handleResult(r *attemptResult) bool {
 	w.best = better(w.best, r)
 	if r.final() {
@@ -150,7 +152,8 @@
 	return http.StatusText(r.status)
 }
 
-// better prefers an endpoint's own answer to none.
+// better returns the result to answer with: an answer of an endpoint is preferred to a
+// failure without one.
 func better(a, b *attemptResult) *attemptResult {
 	if a == nil || a.err != nil || a.notRun {
 		return b
@@ -166,7 +169,8 @@
 	return errors.As(err, &e) && !e.Sent
 }
 
-// resend sends once more if attempts and the budget allow it.
+// resend sends the request once more if the limit of attempts and the retry budget
+// allow it.
 func (w *unaryRun) resend(reason sendReason, cause error) {
 	if w.attempts >= w.j.route.MaxAttempts || w.sends >= maxSends || w.g.checkQuarantine(w.j) != nil {
 		return
@@ -182,14 +186,14 @@
 
 const (
 	firstSend    sendReason = iota
-	afterFailure            // an attempt failed, or was refused
+	afterFailure            // an attempt failed or was refused
 	afterUnsent             // an attempt reached no endpoint
-	asHedge                 // an attempt still runs
+	asHedge                 // another attempt is still running
 )
 
-// send starts an attempt, paid for by the budget if it is a repeat, and reports
-// whether an endpoint was there. A send beside another takes no permit: that is a place
-// of a request which wasn't sent yet.
+// send starts an attempt and reports whether it did. A retry or hedge is charged to the
+// retry budget, unless the attempt before reached no endpoint. A hedge never uses a
+// permit, which would take it from a request that has not been sent yet.
 func (w *unaryRun) send(reason sendReason) bool {
 	e, ok := w.pick(reason)
 	if !ok {
@@ -205,7 +209,7 @@
 	return true
 }
 
-// pick chooses the endpoint of the next send, and takes what the send needs.
+// pick chooses the endpoint for the next attempt and acquires what the attempt needs.
 func (w *unaryRun) pick(reason sendReason) (fleet.Endpoint, bool) {
 	fits := func(id string) bool { return !w.tried[id] && (reason != asHedge || !w.g.permits.HasLimit(id)) }
 	paid := reason == firstSend || reason == afterUnsent
@@ -224,8 +228,8 @@
 	}
 }
 
-// requestPermit asks for a permit where nothing else is lacking, and reports whether to choose
-// again.
+// requestPermit asks the leader for a permit if only a permit is missing, and reports
+// whether to choose an endpoint again.
 func (w *unaryRun) requestPermit(ctx context.Context) bool {
 	ids := w.g.lackingPermit(w.j.service.Name, w.tried)
 	if len(ids) == 0 || w.permitRequests >= maxPermitRequests {
@@ -242,7 +246,7 @@
 	w.j.out.WriteAnswer(r.status, r.header, r.body)
 }
 
-// finish answers when no attempt is left.
+// finish answers the request when no attempt is running.
 func (w *unaryRun) finish() {
 	r := w.best
 	switch {
@@ -253,21 +257,22 @@
 	case r == nil && w.g.backoffRemaining(w.j.service.Name) > 0:
 		w.refuse(w.g.backoffError(w.g.backoffRemaining(w.j.service.Name)))
 	case r == nil:
-		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(lengthen(baseRetryAfter)))
+		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service is available").WithRetryAfter(lengthen(baseRetryAfter)))
 	case w.attempts > 0:
 		w.refuse(failure.Wrap(r.err, failure.EndpointFailed, "endpoint %s", r.endpoint.ID))
 	default:
-		w.refuse(failure.New(failure.Overloaded, "every endpoint that was asked refused").
+		w.refuse(failure.New(failure.Overloaded, "every endpoint that was tried refused the request").
 			WithRetryAfter(max(baseRetryAfter, lengthen(w.g.backoffRemaining(w.j.service.Name)))))
 	}
 }
 
-// expired answers when time ran out or the caller left. Attempts that reached no
-// endpoint by then surely didn't run, and their caller is told so: one whose
-// request must not be repeated may come back only after that.
+// expired answers the request when its time has run out or the caller has disconnected.
+// Attempts that have not reached an endpoint by then cannot have run. The caller is
+// told if none has run: a caller whose request must not run twice may only retry after
+// that.
 func (w *unaryRun) expired(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return // nobody is there to be answered
+		return // the caller has disconnected
 	}
 	w.group.Stop()
 	for ; w.running > 0; w.running-- {
@@ -291,18 +296,19 @@
 	w.g.refuse(w.j.req, w.j, w.j.out, e)
 }
 
-// pick chooses the endpoint that should answer first, of those that may be called now.
+// pick chooses the best of the endpoints that may be called now.
 func (g *Gateway) pick(service string, fits func(id string) bool) (fleet.Endpoint, bool) {
 	return g.best(service, func(id string) bool { return fits(id) && g.backoffs.Remaining(id) == 0 && g.permits.MayCall(id) })
 }
 
-// lastChoice chooses one that rests, and counts that it is called in its rest.
+// lastChoice chooses an endpoint that is in backoff but may be called once
+// nevertheless, and records that call.
 func (g *Gateway) lastChoice(service string, tried map[string]bool) (fleet.Endpoint, bool) {
 	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.backoffs.MayCall(id) && g.permits.MayCall(id) })
 	return e, ok && g.acquireLastChoice(e.ID)
 }
 
-// best returns the endpoint with the lowest score of those that fit.
+// best returns the endpoint with the lowest score of those for which fits returns true.
 func (g *Gateway) best(service string, fits func(id string) bool) (fleet.Endpoint, bool) {
 	var best fleet.Endpoint
 	bestScore := -1.0
@@ -319,13 +325,15 @@
 }
 
 const (
-	// avoidedScore puts endpoints that failed or went silent behind all others.
+	// avoidedScore ranks endpoints that failed, and silentScore those that are silent,
+	// behind all others.
 	avoidedScore = 1e6
 	silentScore  = 1e3
-	// permitScore puts endpoints whose permit this host holds before others: one that
-	// isn't used is lost to all hosts for a second.
+	// permitScore ranks endpoints before others if this host holds a permit for them: a
+	// permit that is not used is lost to all hosts for a second.
 	permitScore = 0.25
-	// unknownLatency, in ms, stands for an endpoint that never answered here.
+	// unknownLatency, in ms, is used for endpoints that have not answered this host
+	// yet.
 	unknownLatency = 50
 )
 
@@ -348,7 +356,7 @@
 	return score
 }
 
-// tryAttempt is attempt, which ends in a verdict whatever it meets.
+// tryAttempt is attempt, but turns a panic into a failed attempt.
 func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (r *attemptResult) {
 	if err := group.Try(func() { r = g.attempt(ctx, j, e) }); err != nil {
 		return &attemptResult{
@@ -362,7 +370,7 @@
 	return r
 }
 
-// attempt sends a request to one endpoint and reads the whole answer.
+// attempt sends a request to one endpoint and reads the complete answer.
 func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *attemptResult {
 	began := g.svc.Now()
 	r := &attemptResult{
@@ -383,7 +391,7 @@
 		r.err = err
 		return r
 	}
-	defer func() { _ = a.Body.Close() }() // it was read, or is given up
+	defer func() { _ = a.Body.Close() }() // the body was read completely or is no longer needed
 	r.status = a.Status
 	r.notRun = a.NotRun || a.Misdirected
 	r.header = a.Header
