--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -11,7 +11,7 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// demand is the request's need of memory and steps.
+// demand estimates what the request needs.
 func (s *streamRun) demand() pathing.Demand {
 	e := s.j.service.Engine
 	d := pathing.Demand{
@@ -31,7 +31,8 @@
 	return d
 }
 
-// candidates returns the endpoints that hold layers and may be called now, with their load.
+// candidates returns the endpoints that hold layers and may be called now, with their
+// load, except those for which skip returns true.
 func (s *streamRun) candidates(skip func(e *fleet.Endpoint) bool) []pathing.Candidate {
 	if !s.g.backoffs.HasAny() && !s.g.permits.HasLimits() {
 		return s.allCandidates(skip)
@@ -41,7 +42,8 @@
 	})
 }
 
-// allCandidates is stages with endpoints that rest or have no permit.
+// allCandidates is candidates, but includes endpoints that are in backoff or for which
+// this host holds no permit.
 func (s *streamRun) allCandidates(skip func(e *fleet.Endpoint) bool) []pathing.Candidate {
 	list := s.g.source.Endpoints(s.j.service.Name)
 	out := make([]pathing.Candidate, 0, len(list))
@@ -67,8 +69,9 @@
 	return out
 }
 
-// jitter returns a factor for an endpoint's cost. Streams that were cut are
-// spread more widely: they come all at once, before loads can tell.
+// jitter returns a random factor for the cost of an endpoint. It varies more for
+// streams that were interrupted: many of them look for a new path at once, before the
+// loads can show it.
 func (s *streamRun) jitter() float64 {
 	width := jitterWidth
 	if s.attempts > 0 {
@@ -77,15 +80,16 @@
 	return 1 - width + 2*width*rand.Float64()
 }
 
-// choosePath finds a path, once there is one. While endpoints may still
-// announce themselves, one that crosses failure domains isn't taken.
+// choosePath finds a path and takes it, waiting for one if that is worthwhile. While
+// some endpoints may not have announced themselves yet, it takes no path that crosses
+// failure domains.
 func (s *streamRun) choosePath(ctx context.Context) *failure.Error {
 	for {
 		changed := s.g.source.Changed()
 		path, e := s.findPath()
 		if e == nil && (pathing.DomainCrossings(path) == 0 || s.g.source.Settled()) {
 			if !s.g.permits.TryAcquire(endpointIDs(path)...) {
-				continue // another request was before this one
+				continue // another request took the permits
 			}
 			s.setPath(path)
 			return nil
@@ -110,17 +114,18 @@
 }
 
 const (
-	// capacityWait is how long a stream that has begun waits for a path: its caller
-	// gives it up after a gap of two seconds, of which a third may be over.
+	// capacityWait is how long an interrupted stream waits for a path with free
+	// capacity. Its caller gives it up after a gap of two seconds, of which a third may
+	// be over by then.
 	capacityWait = 900 * time.Millisecond
-	// capacityPollInterval is how often it looks: memory is freed with every stream that
-	// ends, a few dozen a second.
+	// capacityPollInterval is how often it looks for a path meanwhile. Memory is freed
+	// with every stream that ends, a few dozen each second.
 	capacityPollInterval = 100 * time.Millisecond
 )
 
-// awaitCapacity waits a little before a stream that was cut looks for a path again.
-// When an endpoint is lost, its streams come to the others all at once, and
-// find them full for a moment.
+// awaitCapacity pauses before a stream that was interrupted looks for a path again, and
+// reports whether it should. When an endpoint is lost, all its streams move to the
+// others at once, which have no free capacity for a moment.
 func (s *streamRun) awaitCapacity(ctx context.Context, e *failure.Error) bool {
 	if e == nil || s.attempts == 0 || s.capacityWaited >= capacityWait {
 		return false
@@ -130,8 +135,10 @@
 	return timer.Sleep(ctx, s.g.svc, capacityPollInterval) == nil
 }
 
-// findPath finds a path around what failed this request or this host lately;
-// without one, around what failed this request only.
+// findPath returns a path without the endpoints that failed this request and those that
+// this host avoids. If there is none, it allows the avoided ones, and then endpoints in
+// backoff that may be called once nevertheless. If the links between failure domains
+// have no bandwidth left for the path, the path must stay in one failure domain.
 func (s *streamRun) findPath() ([]fleet.Stage, *failure.Error) {
 	e := s.j.service.Engine
 	if e == nil {
@@ -155,13 +162,14 @@
 	}
 	d.SingleDomain = true
 	if path = pathing.Choose(e, strict, d, s.jitter); path == nil {
-		return nil, failure.New(failure.Overloaded, "the pipes between failure domains are full").WithRetryAfter(linkRetryAfter)
+		return nil, failure.New(failure.Overloaded, "the links between failure domains have no bandwidth left").WithRetryAfter(linkRetryAfter)
 	}
 	return path, nil
 }
 
-// linkRetryAfter is when a caller should come back after a refusal for full pipes:
-// the endpoint that left a hole is replaced in one to five seconds.
+// linkRetryAfter is the retry-after time of requests that are refused because the
+// inter-domain links are saturated. The endpoint whose loss makes paths cross domains
+// is replaced within one to five seconds.
 const linkRetryAfter = time.Second
 
 // failed reports whether an endpoint failed or refused this request.
@@ -169,7 +177,8 @@
 	return s.failedIDs[id] || s.refusedIDs[id]
 }
 
-// noPathError says why no path was found.
+// noPathError returns the failure for a request for which there is no path, with the
+// reason.
 func (s *streamRun) noPathError() *failure.Error {
 	if left := s.backoffRemaining(); left > 0 {
 		return s.g.backoffError(left)
@@ -189,7 +198,8 @@
 		len(list), withLayers, silent, len(s.failedIDs)+len(s.refusedIDs)).WithRetryAfter(baseRetryAfter)
 }
 
-// chooseSingle picks an endpoint of a service whose endpoints hold everything.
+// chooseSingle chooses an endpoint of a service each of whose endpoints runs a request
+// alone.
 func (s *streamRun) chooseSingle() ([]fleet.Stage, *failure.Error) {
 	tried := map[string]bool{}
 	for _, e := range s.g.source.Endpoints(s.j.service.Name) {
@@ -209,7 +219,8 @@
 	}}, nil
 }
 
-// setPath counts the request at every part of a path.
+// setPath makes path the current one and counts the request as load of each of its
+// endpoints.
 func (s *streamRun) setPath(path []fleet.Stage) {
 	s.release()
 	s.path = path
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -17,12 +17,14 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Permits returns what this host knows of endpoints that have limits.
+// Permits returns the endpoints that have a rate limit and this host's permits for
+// them.
 func (g *Gateway) Permits() *permit.Holder {
 	return g.permits
 }
 
-// observeLimit takes what an answer to a call sent at a time says of an endpoint's limit.
+// observeLimit records the rate limit that an endpoint reported with the answer to a
+// call sent at sent. A change is logged and sent to the leader at once.
 func (g *Gateway) observeLimit(service, id string, l fleet.Limit, sent time.Time) {
 	if id == "" || !g.permits.Observe(id, service, l, sent) {
 		return
@@ -36,10 +38,11 @@
 	g.source.ReportLimits()
 }
 
-// observeAnswerLimit takes the limit that the answer to a call names. Where the answer is about
-// another endpoint on the path, who, the limit may be of either: a wrong one ends with that
-// endpoint's next answer, while one that isn't kept harms it. That such an answer names
-// none says nothing.
+// observeAnswerLimit records the rate limit reported with the answer to a call. If the
+// answer is about another endpoint on the path, subject, it is unclear whose limit it
+// is, so both get it: a limit that an endpoint does not have is removed with its next
+// answer, while calls beyond a limit would harm the endpoint. If such an answer reports
+// no limit, nothing follows from that.
 func (g *Gateway) observeAnswerLimit(j *job, c *Call, subject string, l fleet.Limit, sent time.Time) {
 	if subject == c.ID {
 		g.observeLimit(j.service.Name, subject, l, sent)
@@ -51,7 +54,7 @@
 	}
 }
 
-// countLimitedCall counts a call to an endpoint that has a limit, by the way it goes.
+// countLimitedCall counts a call to an endpoint that has a rate limit, by kind of call.
 func (g *Gateway) countLimitedCall(kind, id string) {
 	if g.permits.HasLimit(id) {
 		g.metrics.Counter("calls_limited", metrics.Label{Name: "way", Value: kind}).Inc(1)
@@ -59,43 +62,49 @@
 }
 
 const (
-	// permitWait is how long a request waits for a permit where one comes in time.
+	// permitWait is how long a request waits for a permit.
 	permitWait = 250 * time.Millisecond
-	// maxConcurrentPermitRequests bounds the requests of a host that ask the leader for permits at the
-	// same time; it can serve few of them, and each is a call.
+	// maxConcurrentPermitRequests limits how many requests of this host ask the leader
+	// for permits at the same time. The leader can grant only few of them, and each
+	// costs a call.
 	maxConcurrentPermitRequests = 8
-	// denialLifetime is for how long others are refused for the same endpoints without a
-	// call to the leader.
+	// denialLifetime is how long requests for permits of the same endpoints are denied
+	// without another call to the leader.
 	denialLifetime = 150 * time.Millisecond
-	// maxRequestedEndpoints bounds the endpoints, of those that would do, that one call names.
+	// maxRequestedEndpoints limits how many alternative endpoints one call to the
+	// leader lists.
 	maxRequestedEndpoints = 32
-	// maxDenials bounds what is remembered.
+	// maxDenials limits how many denials are remembered.
 	maxDenials = 256
 )
 
-// permitRequests is this host's asking for permits. It is safe for use by several goroutines.
+// permitRequests limits the calls in which this host asks the leader for permits. It is
+// safe for use by several goroutines.
 type permitRequests struct {
 	svc timer.Service
 
 	mu      sync.Mutex
 	running int
-	denials map[string]*denial // by what was asked for
+	denials map[string]*denial // by the endpoints or the service that was asked for
 }
 
-// denial is an answer by which there is no permit, and who was refused by it.
+// denial is an answer of the leader that granted no permit, and how many requests were
+// denied because of it.
 type denial struct {
 	receivedAt  time.Time
-	availableIn time.Duration // after at
+	availableIn time.Duration // counted from receivedAt
 	priority    int
-	// interval is the time between two places for requests of this host.
+	// interval is the time between two permits for this host.
 	interval time.Duration
-	// backlog is how many were refused whose places are still to come.
+	// backlog is the number of denied requests for which the permit that they were
+	// promised is not due yet.
 	backlog   float64
-	backlogAt time.Time // of backlog
+	backlogAt time.Time // when backlog was last updated
 }
 
-// nextAvailableIn returns when a place is due for one more, behind those that were refused before:
-// who is refused in one moment isn't told to be back in one moment.
+// nextAvailableIn counts one more denied request and returns when a permit is available
+// for it, after those denied before it. So requests that are denied at the same moment
+// are not all told to retry at the same moment.
 func (d *denial) nextAvailableIn(now time.Time) time.Duration {
 	if d.interval > 0 {
 		d.backlog = max(0, d.backlog-float64(now.Sub(d.backlogAt))/float64(d.interval))
@@ -113,8 +122,9 @@
 	}
 }
 
-// begin reports whether the leader may be asked, and else when a place is due. Who is
-// more urgent than the one that was denied is asked for.
+// begin reports whether the leader may be asked, and if not, when a permit is
+// available. A request that is more urgent than the denied one may ask the leader
+// again.
 func (p *permitRequests) begin(key string, priority int) (availableIn time.Duration, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +140,8 @@
 	return 0, true
 }
 
-// end notes the leader's answer, and returns when a place is due; 0 if permits were lent.
+// end records the reply of the leader and returns when a permit is available; 0 if
+// permits were granted.
 func (p *permitRequests) end(key string, priority int, reply PermitReply) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,9 +167,9 @@
 	return d.nextAvailableIn(now)
 }
 
-// requestPermits asks the leader for a permit for each of the endpoints, or for any of them. It
-// returns 0 once there is one on this host, or none is needed any more, and else when one
-// is due.
+// requestPermits asks the leader for a permit for each of the endpoints, or for any one
+// of them. It returns 0 once this host has one or needs none any longer, and otherwise
+// the time until one is available.
 func (g *Gateway) requestPermits(ctx context.Context, j *job, ids []string, each bool) time.Duration {
 	key := j.service.Name
 	if each {
@@ -181,7 +192,8 @@
 	return availableIn
 }
 
-// lackingPermit returns the endpoints of a service that lack nothing but a permit.
+// lackingPermit returns the endpoints of a service that could be called if this host
+// had a permit.
 func (g *Gateway) lackingPermit(service string, tried map[string]bool) []string {
 	if !g.permits.HasLimits() {
 		return nil
@@ -195,18 +207,19 @@
 	return ids
 }
 
-// noPermitError refuses a request at once for which there is no permit in time, with the time at
-// which there is one, or some time before where that is too long for its caller.
+// noPermitError returns the failure for a request for which no permit is available in
+// time. It tells the caller when one is available, or an earlier time at random if that
+// is longer than callers wait.
 func (g *Gateway) noPermitError(availableIn time.Duration) *failure.Error {
 	if availableIn > maxRetryAfter {
 		availableIn = time.Duration((1 + rand.Float64()) / 2 * float64(maxRetryAfter))
 	}
-	return failure.New(failure.Overloaded, "the endpoints take no more for now").
+	return failure.New(failure.Overloaded, "the rate limits of the endpoints are exhausted").
 		WithRetryAfter(min(maxRetryAfter, max(baseRetryAfter, lengthen(availableIn))))
 }
 
-// requestPathPermits asks for the permits that a path lacks where there is no other path. It
-// reports whether to choose again.
+// requestPathPermits asks for the permits that a path lacks, for use where there is no
+// other path. It reports whether to choose a path again.
 func (s *streamRun) requestPathPermits(ctx context.Context) bool {
 	if !s.g.permits.HasLimits() || s.permitRequests >= maxPermitRequests {
 		return false
@@ -220,12 +233,12 @@
 	return s.permitAvailableIn == 0
 }
 
-// maxPermitRequests is how often one stream asks for permits: others on this host may take those
-// that it is lent.
+// maxPermitRequests is how often one request asks for permits. Other requests on this
+// host may take the permits that were granted for it.
 const maxPermitRequests = 3
 
-// missingPermits returns the endpoints whose permits would let the stream be sent: each of them,
-// or any.
+// missingPermits returns the endpoints whose permits would allow the stream to be sent,
+// and whether it needs a permit for each of them or for any one.
 func (s *streamRun) missingPermits() (ids []string, each bool) {
 	if s.j.service.Engine == nil {
 		tried := map[string]bool{}
@@ -243,7 +256,7 @@
 	return ids, true
 }
 
-// endpointIDs returns the endpoints of a path.
+// endpointIDs returns the IDs of the endpoints of a path.
 func endpointIDs(path []fleet.Stage) []string {
 	ids := make([]string, 0, len(path))
 	for _, p := range path {
@@ -252,8 +265,9 @@
 	return ids
 }
 
-// acquireRepathPermits takes the permits that an order to a stream's first endpoint needs, and those
-// of endpoints that come new into its path: the others have the stream already.
+// acquireRepathPermits acquires the permits for a call that gives the first endpoint a
+// new path, and for the endpoints that the path adds. The other endpoints have the
+// stream already.
 func (s *streamRun) acquireRepathPermits(path []fleet.Stage) bool {
 	ids := []string{s.path[0].ID}
 	onPath := map[string]bool{}
--- a/pkg/gateway/repath.go
+++ b/pkg/gateway/repath.go
@@ -10,19 +10,19 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// errResendElsewhere says that a stream is better continued by other endpoints, all
-// in one failure domain, than by a path that crosses domains: each token so far
-// would have to cross too, and the pipe between domains is shared.
+// errResendElsewhere says that it is better to continue a stream on a path within one
+// failure domain than to repath it across domains. In a new path across domains all
+// tokens so far would have to cross as well, over a link that all streams share.
 var errResendElsewhere = errors.New("no other endpoint in the failure domain; continued elsewhere")
 
-// repath puts other endpoints in the place of the one at address. Its error
-// says that the stream must be sent anew.
+// repath replaces the endpoint at address in the path. Its error says that the stream
+// must be sent anew.
 func (s *streamRun) repath(ctx context.Context, address string) error {
 	if address == s.path[0].Address {
 		return nil
 	}
 	s.exclude(s.path, address)
-	firstInBackoff := s.g.backoffs.Remaining(s.path[0].ID) > 0 // it can't be told of another path
+	firstInBackoff := s.g.backoffs.Remaining(s.path[0].ID) > 0 // then it must not be called with a new path
 	for range repathTries {
 		path := s.pathAround(s.isExcluded)
 		if firstInBackoff {
@@ -40,20 +40,20 @@
 	return nil
 }
 
-// repathTries is how many paths are offered at once: one may be refused for an
-// endpoint that has no room or was lost with the first.
+// repathTries is how many paths are offered at once. The first may be rejected because
+// an endpoint on it has no free capacity or was lost too.
 const repathTries = 2
 
-// repathTimeout bounds the call that offers one.
+// repathTimeout limits the call that offers a path.
 const repathTimeout = 200 * time.Millisecond
 
-// isExcluded reports whether a part failed this request.
+// isExcluded reports whether the endpoint of a stage failed this request.
 func (s *streamRun) isExcluded(p fleet.Stage) bool {
 	return s.failedIDs[p.ID]
 }
 
-// offerPath gives the stream a path around the part at address, and reports
-// whether the first endpoint took it.
+// offerPath calls the first endpoint with a new path that avoids the endpoint at
+// address, and reports whether it accepted the path.
 func (s *streamRun) offerPath(ctx context.Context, path []fleet.Stage, address string) bool {
 	first := s.path[0]
 	if s.g.backoffs.Remaining(first.ID) > 0 || !s.acquireRepathPermits(path) {
@@ -91,7 +91,7 @@
 	return false
 }
 
-// exclude keeps this request off the part of a path at address.
+// exclude keeps this request off the endpoint at address on path.
 func (s *streamRun) exclude(path []fleet.Stage, address string) {
 	for _, p := range path {
 		if p.Address == address {
@@ -100,7 +100,8 @@
 	}
 }
 
-// pathFrom returns a path that begins with a part that stands, or any if nil.
+// pathFrom returns a new path that begins with the given first stage, or with any if
+// first is nil. It returns nil if there is none.
 func (s *streamRun) pathFrom(first *fleet.Stage) []fleet.Stage {
 	demand := s.demand()
 	if first != nil {
@@ -116,8 +117,8 @@
 	return path
 }
 
-// betterElsewhere reports whether a stream should be sent anew rather than
-// follow path.
+// betterElsewhere reports whether the stream should be sent anew rather than continue
+// on path. If so, the new send is charged to the retry budget already.
 func (s *streamRun) betterElsewhere(path []fleet.Stage) bool {
 	if !s.j.route.Resumable || s.attempts+1 >= s.j.route.MaxAttempts || path != nil && pathing.DomainCrossings(path) == 0 {
 		return false
@@ -129,10 +130,11 @@
 	return s.reserveRetry()
 }
 
-// pathAround returns the stream's path with other endpoints in the place of the
-// parts that are bad, and all else as it stands: an endpoint that comes new into
-// a path reads every token so far, and one that stays keeps its memory. It
-// returns nil if no part is bad, or their layers can't be covered.
+// pathAround returns the path of the stream with other endpoints for the stages for
+// which replace returns true, and the other stages unchanged: an endpoint that joins a
+// path has to process all tokens so far, while one that stays keeps its KV cache. It
+// returns nil if there is nothing to replace, or if other endpoints do not cover the
+// layers.
 func (s *streamRun) pathAround(replace func(p fleet.Stage) bool) []fleet.Stage {
 	kept, gaps := splitStages(s.path, replace)
 	if len(gaps) == 0 {
@@ -168,8 +170,8 @@
 	return path
 }
 
-// splitStages returns the parts of a path after the first that are good, and the
-// layers of those that are bad, neighbours joined.
+// splitStages returns the stages of a path after the first that are kept, and the layer
+// ranges of those that are replaced, with adjacent ranges joined.
 func splitStages(path []fleet.Stage, replace func(p fleet.Stage) bool) (kept []fleet.Stage, gaps []fleet.Range) {
 	for _, p := range path[1:] {
 		n := len(gaps)
@@ -185,8 +187,8 @@
 	return kept, gaps
 }
 
-// clip limits an endpoint to the first hole that it holds layers of: a path may
-// name it once only.
+// clip limits a candidate to the first gap of which it holds layers, because a path may
+// contain an endpoint only once.
 func clip(st pathing.Candidate, gaps []fleet.Range) (pathing.Candidate, bool) {
 	for _, gap := range gaps {
 		from := max(st.Layers.From, gap.From)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -16,52 +16,53 @@
 )
 
 const (
-	// maxStreamSends bounds the sends of one stream, with those that endpoints
-	// refused without running them.
+	// maxStreamSends limits how often one stream is sent, including sends that an
+	// endpoint refused without running the request.
 	maxStreamSends = 5
-	// stallWait is how long nothing may come before the first endpoint of the
-	// path is asked what stands still. Endpoints tell of a stall 0.2 to 0.3 s
-	// after it began: a question before that costs a connection and brings nothing.
+	// stallWait is how long no event may come before the first endpoint of the path is
+	// sent a stall query. Endpoints report a stall 0.2 to 0.3 s after it began: an
+	// earlier query costs a connection and finds nothing.
 	stallWait = 300 * time.Millisecond
-	// stallQueryRetry is the pause before a question that stayed without an answer is
-	// asked again.
+	// stallQueryRetry is the pause after a stall query that was not answered.
 	stallQueryRetry = 10 * time.Millisecond
-	// maxStallQueries bounds the questions of one stream.
+	// maxStallQueries limits the stall queries of one stream.
 	maxStallQueries = 8
-	// eventQueue lets the reader run ahead of a caller that reads slowly.
+	// eventQueue is how many events are read ahead of a caller that reads slowly.
 	eventQueue = 4
-	// jitterWidth is how far hosts that know the same differ in their choice.
+	// jitterWidth is the relative width of the random factor on the cost of an
+	// endpoint, so that hosts with the same view do not all choose the same endpoint.
+	// resumeJitterWidth applies to streams that were interrupted.
 	jitterWidth       = 0.1
 	resumeJitterWidth = 0.4
 )
 
-// streamRun is one stream on its way to a caller.
+// streamRun is the state of one stream, over all its sends.
 type streamRun struct {
 	g               *Gateway
 	j               *job
 	sends           int
-	attempts        int
-	headWritten     bool
-	sentAt          time.Time       // of the present send
-	gotEvent        bool            // it has brought an event
-	lastEvent       string          // id of the last event passed on
-	callerLastEvent string          // where the caller wanted to resume
-	failedIDs       map[string]bool // failed this request
-	refusedIDs      map[string]bool // had no room for it just now
+	attempts        int             // sends that may have run
+	headWritten     bool            // the caller has status and headers
+	sentAt          time.Time       // time of the current send
+	gotEvent        bool            // the current send has brought an event
+	lastEvent       string          // ID of the last event that was passed on
+	callerLastEvent string          // ID after which the caller wanted to resume
+	failedIDs       map[string]bool // endpoints that failed this request
+	refusedIDs      map[string]bool // endpoints without free capacity for it at the moment
 	path            []fleet.Stage
-	releases        []func()
-	// unsent says that the present send reached no endpoint.
+	releases        []func() // undo the load counted for the current path
+	// unsent says that the current send reached no endpoint.
 	unsent bool
-	// retryPaid says that the next send has its repeat from the budget.
+	// retryPaid says that the next send is already charged to the retry budget.
 	retryPaid bool
-	// capacityWaited is how long it has waited for room.
+	// capacityWaited is how long the stream has waited for free capacity.
 	capacityWaited time.Duration
-	// resumeDelay is how long it waited behind streams that begin.
+	// resumeDelay is how long the stream was delayed in favour of new streams.
 	resumeDelay time.Duration
 	pauses      pauseTracker
-	pending     *pendingSend // of the present send
-	// permitRequests is how often it asked for permits, and due when there is one, if there
-	// wasn't.
+	pending     *pendingSend // of the current send
+	// permitRequests is how often the leader was asked for permits. If it granted none,
+	// permitAvailableIn is the time until one is available.
 	permitRequests    int
 	permitAvailableIn time.Duration
 }
@@ -70,13 +71,13 @@
 type outcome int
 
 const (
-	finished  outcome = iota // the caller has the whole stream
-	notRun                   // refused by endpoints, nothing ran
-	broken                   // it ran and broke
-	abandoned                // the caller left or its time is up
+	finished  outcome = iota // the caller has the complete stream
+	notRun                   // endpoints refused it without running it
+	broken                   // it ran and was interrupted
+	abandoned                // the caller disconnected or its time ran out
 )
 
-// serveStream answers a request by a stream of events.
+// serveStream answers a request with a stream of events.
 func (g *Gateway) serveStream(ctx context.Context, j *job) {
 	s := &streamRun{
 		g:               g,
@@ -109,12 +110,12 @@
 			return
 		case notRun:
 			if !s.mayRetry(cause) {
-				s.fail(failure.Wrap(cause, failure.Overloaded, "endpoints refused").WithRetryAfter(baseRetryAfter))
+				s.fail(failure.Wrap(cause, failure.Overloaded, "endpoints refused the request").WithRetryAfter(baseRetryAfter))
 				return
 			}
 		case broken:
 			if !s.mayResume(cause) {
-				s.fail(failure.Wrap(cause, failure.EndpointFailed, "the stream broke"))
+				s.fail(failure.Wrap(cause, failure.EndpointFailed, "the stream was interrupted"))
 				return
 			}
 			g.log.Event(eventlog.StreamResumed, eventlog.Str("request", j.req.ID), eventlog.Str("after", s.lastEvent), eventlog.Err(cause))
@@ -122,15 +123,16 @@
 	}
 }
 
-// delayResume lets a stream that its caller resumes wait for those that begin, where such
-// streams come all at once. A caller that leaves meanwhile is noticed by what follows.
+// delayResume delays a stream that its caller resumes, in favour of new streams, when
+// many streams are resumed at once. If the caller disconnects during the delay, the
+// next step notices it.
 func (s *streamRun) delayResume(ctx context.Context) {
 	if s.callerLastEvent == "" {
 		s.g.resumes.NoteNew()
 		return
 	}
 	if _, stops := s.g.source.ShutdownIn(); stops {
-		return // each stream must end soon here
+		return // every stream should end soon on this host
 	}
 	s.resumeDelay = s.g.resumes.ResumeDelay(s.j.req.Received)
 	if s.resumeDelay > 0 {
@@ -138,7 +140,8 @@
 	}
 }
 
-// logFields tells the log how a stream went that was served.
+// logFields returns the fields about pauses and delays for the log event of a served
+// stream.
 func (s *streamRun) logFields() []eventlog.Field {
 	fields := s.pauses.fields(s.j.req.Received)
 	if s.resumeDelay > 0 {
@@ -147,7 +150,7 @@
 	return fields
 }
 
-// release takes back what the present path was counted for.
+// release removes the load that was counted for the current path.
 func (s *streamRun) release() {
 	for _, end := range s.releases {
 		end()
@@ -155,8 +158,9 @@
 	s.releases = nil
 }
 
-// mayRetry reports whether a send may follow one that ended by cause. Those
-// that never reached an endpoint aren't paid for.
+// mayRetry reports whether the stream may be sent again after a send that ended with
+// cause, and charges the retry budget. A send after one that reached no endpoint is
+// free.
 func (s *streamRun) mayRetry(cause error) bool {
 	if s.sends >= maxStreamSends {
 		return false
@@ -166,8 +170,8 @@
 	return paid || notSent(cause) || s.g.retries.withdraw(s.g.source.HostCount())
 }
 
-// reserveRetry takes a repeat from the budget before a stream that still runs is
-// given up for another send; without one it is better left running.
+// reserveRetry charges the retry budget before a stream that still runs is given up for
+// another send. If the budget is used up, it is better to leave the stream running.
 func (s *streamRun) reserveRetry() bool {
 	s.retryPaid = s.retryPaid || s.sends < maxStreamSends && s.g.retries.withdraw(s.g.source.HostCount())
 	return s.retryPaid
@@ -177,7 +181,7 @@
 	return s.j.route.Resumable && s.attempts < s.j.route.MaxAttempts && s.g.checkQuarantine(s.j) == nil && s.mayRetry(cause)
 }
 
-// resumeFrom is the id after which the next send continues.
+// resumeFrom returns the ID of the event after which the next send continues.
 func (s *streamRun) resumeFrom() string {
 	if s.lastEvent != "" {
 		return s.lastEvent
@@ -185,7 +189,7 @@
 	return s.callerLastEvent
 }
 
-// send sends the request along the path and passes on what comes.
+// send sends the request along the current path and passes the events on to the caller.
 func (s *streamRun) send(ctx context.Context) (outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -216,7 +220,7 @@
 	end, cause := s.relay(ctx, r)
 	grp.Stop()
 	s.unsent = r.unsent.Load()
-	if end == broken && s.unsent { // given up while the connection was made
+	if end == broken && s.unsent { // the send was given up while connecting
 		s.attempts--
 		return notRun, &SendError{
 			Cause: cause,
@@ -225,7 +229,8 @@
 	return end, cause
 }
 
-// relay moves what a feed brings to the caller, and watches for stalls.
+// relay passes what is read from the answer on to the caller, and watches for stalled
+// and leaving stages.
 func (s *streamRun) relay(ctx context.Context, r *answerReader) (outcome, error) {
 	w := newStallWatch(s)
 	l := newLeaveWatch(s)
@@ -250,7 +255,7 @@
 	}
 }
 
-// handleItem deals with one item; over says that the send has ended.
+// handleItem processes one item of the answer; done says that the send has ended.
 func (s *streamRun) handleItem(ctx context.Context, it answerItem, w *stallWatch) (outcome, error, bool) {
 	switch {
 	case it.head != nil:
@@ -267,7 +272,8 @@
 	return finished, nil, false
 }
 
-// handleHead deals with an answer's head; over says that the send has ended.
+// handleHead processes status and headers of the answer; the last result says that the
+// send has ended.
 func (s *streamRun) handleHead(a *Answer) (outcome, error, bool) {
 	if a.NotRun || a.Misdirected {
 		return notRun, s.recordRefusal(a), true
@@ -285,7 +291,7 @@
 	return finished, nil, false
 }
 
-// recordRefusal notes which endpoint refused.
+// recordRefusal records which endpoint of the path refused the request.
 func (s *streamRun) recordRefusal(a *Answer) error {
 	stage := s.path[0]
 	for _, p := range s.path {
@@ -315,7 +321,7 @@
 	return nil
 }
 
-// handleEnd deals with the end of a feed; err is nil if the stream is whole.
+// handleEnd processes the end of the answer; err is nil if the stream is complete.
 func (s *streamRun) handleEnd(ctx context.Context, err error) (outcome, error) {
 	if err == nil {
 		return finished, nil
--- a/pkg/gateway/tracker.go
+++ b/pkg/gateway/tracker.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// initialAvoidTime is how long an endpoint that failed once is left alone;
-	// each failure in a row doubles it, up to avoidMost.
+	// initialAvoidTime is how long an endpoint is avoided after a first failure. Each
+	// further failure in a row doubles the time, up to maxAvoidTime.
 	initialAvoidTime = 500 * time.Millisecond
 	maxAvoidTime     = 4 * time.Second
-	// latencyWeight is the newest answer's weight in the mean.
+	// latencyWeight is the weight of the newest answer in the moving average.
 	latencyWeight = 0.3
 )
 
-// Tracker knows what this host has under way at each endpoint, and which ones
-// failed it. It is safe for use by several goroutines.
+// Tracker holds the load that this host has in flight at each endpoint, and which
+// endpoints failed recently. It is safe for use by several goroutines.
 type Tracker struct {
 	svc timer.Service
 	log *eventlog.Log
@@ -29,16 +29,16 @@
 
 type trackerEntry struct {
 	load       Load
-	avoidUntil time.Time // avoided
-	failures   int       // in a row
-	latency    float64   // mean ms of answers; 0 if none came
+	avoidUntil time.Time
+	failures   int     // in a row
+	latency    float64 // moving average in ms; 0 if there was no answer yet
 	lastUsed   time.Time
 }
 
-// idleEntryLifetime is how long a row without work is kept.
+// idleEntryLifetime is how long an entry without load is kept.
 const idleEntryLifetime = 2 * time.Minute
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns a tracker without entries.
 func NewTracker(svc timer.Service, log *eventlog.Log) *Tracker {
 	return &Tracker{
 		svc:     svc,
@@ -57,7 +57,7 @@
 	return e
 }
 
-// Begin counts work at an endpoint; the function returned ends it.
+// Begin counts a request as load of an endpoint, until the returned function is called.
 func (t *Tracker) Begin(id string, tokens int) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// Load returns what is under way at an endpoint.
+// Load returns the load in flight at an endpoint.
 func (t *Tracker) Load(id string) Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +87,8 @@
 	return Load{}
 }
 
-// Loads returns what is under way at every endpoint, and forgets old rows.
+// Loads returns the load in flight at every endpoint that has any, and deletes entries
+// that were idle for long.
 func (t *Tracker) Loads() map[string]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +106,7 @@
 	return list
 }
 
-// RecordFailure notes a failure of an endpoint, by which it gets no work for a while.
+// RecordFailure records that an endpoint failed. It gets no new work for a while.
 func (t *Tracker) RecordFailure(id, why string) {
 	t.mu.Lock()
 	e := t.entry(id)
@@ -124,7 +125,7 @@
 	}
 }
 
-// Suspects returns the endpoints that are avoided now.
+// Suspects returns the endpoints that are currently avoided.
 func (t *Tracker) Suspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +139,8 @@
 	return list
 }
 
-// RecordSuccess notes an answer of an endpoint that took d.
+// RecordSuccess records an answer of an endpoint that took d. The endpoint is not
+// avoided any longer.
 func (t *Tracker) RecordSuccess(id string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,7 +155,7 @@
 	e.latency += latencyWeight * (ms - e.latency)
 }
 
-// Latency returns the mean time of an endpoint's answers in ms; 0 if unknown.
+// Latency returns the moving average of an endpoint's answer times in ms; 0 if unknown.
 func (t *Tracker) Latency(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,7 +165,7 @@
 	return 0
 }
 
-// Avoided reports whether an endpoint gets no work now.
+// Avoided reports whether an endpoint is currently avoided.
 func (t *Tracker) Avoided(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -14,9 +14,9 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// send sends a call, and takes what the answer says of an endpoint at once, whether or
-// not anybody still waits for the answer: each answer that tells of a leave or a rest is
-// heard here, and each choice of endpoints heeds it.
+// send sends a call and records at once what the endpoint reports with its answer,
+// whether or not anybody still waits for the answer. All notices that come with answers
+// pass through here, so every later choice of endpoints takes them into account.
 func (g *Gateway) send(ctx context.Context, j *job, c *Call) (*Answer, error) {
 	g.countLimitedCall("request", c.ID)
 	for _, p := range c.Path[min(1, len(c.Path)):] {
@@ -35,10 +35,11 @@
 	return a, err
 }
 
-// observeAnswer takes the word of an answer. Where it names another endpoint at fault, the
-// leave may be of either. Booked on the wrong one it would keep that from every host until
-// it starts again; so both are avoided for a moment only, and as suspects they are asked
-// by the leader: each of them tells of itself then.
+// observeAnswer records the notice of an answer. If the answer names another endpoint
+// as at fault, either of the two may be the one that is leaving. Recording that for the
+// wrong one would keep all hosts from using it until it restarts. So both are only
+// avoided for a moment, and the leader probes avoided endpoints: each of them then
+// reports its own state.
 func (g *Gateway) observeAnswer(j *job, c *Call, a *Answer, sent time.Time) {
 	subject := g.noticeSubject(j, c, a)
 	n := a.Notice
@@ -53,15 +54,17 @@
 	g.observeNotice(subject, n)
 }
 
-// stageLeaving is why endpoints are avoided that share a path of which one leaves.
+// stageLeaving is the reason given for avoiding the endpoints of a path of which one is
+// leaving.
 const stageLeaving = "it or another on the path leaves"
 
-// noticeSubject returns the endpoint that an answer's word is about: the one that it names as
-// at fault, or else who gave it. Empty: that can't be told.
+// noticeSubject returns the endpoint that an answer's notice is about: the one named as
+// at fault, or else the one that answered. It returns an empty string if that is
+// unknown.
 func (g *Gateway) noticeSubject(j *job, c *Call, a *Answer) string {
 	switch {
 	case a.FaultAddress == "" && a.Misdirected:
-		return "" // another endpoint is at the address
+		return "" // another endpoint is at the address now
 	case a.FaultAddress == "" || a.FaultAddress == c.Address:
 		return c.ID
 	}
@@ -78,8 +81,8 @@
 	return ""
 }
 
-// observeNotice takes what an endpoint says of itself: a rest is for this host alone, a leave is
-// for all of them.
+// observeNotice records what an endpoint reports of itself. A backoff applies to this
+// host only, leaving to all hosts.
 func (g *Gateway) observeNotice(id string, n fleet.Notice) {
 	if id == "" {
 		return
@@ -95,8 +98,8 @@
 	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", n.Backoff))
 }
 
-// acquireLastChoice reports whether an endpoint may be called as the last choice now, and counts
-// and logs it if that is in its rest.
+// acquireLastChoice reports whether an endpoint may be called as the last choice, and
+// counts and logs the call if the endpoint is in backoff.
 func (g *Gateway) acquireLastChoice(id string) bool {
 	left := g.backoffs.Remaining(id)
 	if !g.backoffs.TryAcquire(id) {
@@ -109,23 +112,24 @@
 	return true
 }
 
-// backoffRetryJitter is the part of a rest by which callers are told to come back later than its
-// end: those that were refused together must not return together.
+// backoffRetryJitter is the part of a backoff by which retry-after times are lengthened
+// at most, so that callers that were refused together do not retry together.
 const backoffRetryJitter = 0.25
 
-// lengthen returns a time that is somewhat longer.
+// lengthen returns d, lengthened by a random part.
 func lengthen(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + backoffRetryJitter*rand.Float64()))
 }
 
-// backoffError refuses a request at once for which every endpoint rests: held until the rest
-// is over, it would only come with all others.
+// backoffError returns the failure for a request all of whose endpoints are in backoff.
+// It is refused at once: if it was delayed until the backoff ends, it would only arrive
+// together with all others.
 func (g *Gateway) backoffError(left time.Duration) *failure.Error {
-	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
+	return failure.New(failure.Overloaded, "the endpoints asked for backoff").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
 }
 
-// backoffRemaining returns how long it takes until an endpoint of a service may be called; 0 if
-// one may be now, or there is none.
+// backoffRemaining returns the time until an endpoint of a service is out of backoff; 0
+// if one is now, or if there is no endpoint.
 func (g *Gateway) backoffRemaining(service string) time.Duration {
 	shortest := time.Duration(0)
 	for _, e := range g.source.Endpoints(service) {
@@ -140,8 +144,8 @@
 	return shortest
 }
 
-// backoffRemaining returns how long it takes until endpoints that rest make a path whole; 0 if
-// no rest stands in the way, or not rests alone.
+// backoffRemaining returns the time until enough endpoints are out of backoff for a
+// complete path; 0 if no backoff prevents one, or not only backoffs do.
 func (s *streamRun) backoffRemaining() time.Duration {
 	if s.j.service.Engine == nil {
 		return s.g.backoffRemaining(s.j.service.Name)
@@ -162,8 +166,9 @@
 	return remaining[n]
 }
 
-// pathUsing returns a whole path over endpoints that fit, whether they rest or not; those
-// that had no room for this request just now may have it later.
+// pathUsing returns a complete path over endpoints for which fits returns true, also if
+// they are in backoff. It allows endpoints that had no free capacity for this request,
+// because they may have some later.
 func (s *streamRun) pathUsing(fits func(id string) bool) []fleet.Stage {
 	e := s.j.service.Engine
 	list := s.allCandidates(func(p *fleet.Endpoint) bool { return s.failedIDs[p.ID] || !fits(p.ID) })
@@ -174,8 +179,9 @@
 	return path
 }
 
-// lastChoicePath returns a path over endpoints that rest, where there is no other for a stream
-// that wasn't sent yet, and counts that they are called in their rests.
+// lastChoicePath returns a path over endpoints that may be called in spite of a
+// backoff, for a stream that was not sent yet and has no other path, and records these
+// calls.
 func (s *streamRun) lastChoicePath() []fleet.Stage {
 	if s.sends > 0 || !s.g.backoffs.HasAny() {
 		return nil
@@ -183,7 +189,7 @@
 	path := s.pathUsing(func(id string) bool { return s.g.backoffs.MayCall(id) && s.g.permits.MayCall(id) })
 	for _, p := range path {
 		if !s.g.acquireLastChoice(p.ID) {
-			return nil // another stream was before this one
+			return nil // another stream took the one call that was allowed
 		}
 	}
 	return path
