--- a/pkg/gateway/accounts.go
+++ b/pkg/gateway/accounts.go
@@ -2,20 +2,20 @@
 
 import "sync"
 
-// maxAccounts is how many client accounts have a histogram of their own on one
-// host; the others share one. A histogram takes 6 KB, so that a host of 64 MB
-// for control and 1,200 accounts keeps within 0.4 MB.
+// maxAccounts is how many client accounts have a histogram of their own on one host;
+// the others share one. A histogram takes 6 KB, which keeps a host with 64 MB for
+// control and 1,200 accounts within 0.4 MB.
 const maxAccounts = 64
 
-// otherAccounts is the label of those that share one, and noAccount of requests
-// on routes that need no key.
+// otherAccounts is the label of the client accounts that share a histogram, and
+// noAccount that of requests on routes that need no key.
 const (
 	otherAccounts = "(others)"
 	noAccount     = "(none)"
 )
 
-// accountLabels gives client accounts their label in metrics. The first that
-// are served get their own name.
+// accountLabels assigns client accounts their labels in metrics. The first ones that
+// are served get their own names.
 type accountLabels struct {
 	mu    sync.Mutex
 	named map[string]bool
--- a/pkg/gateway/asker.go
+++ b/pkg/gateway/asker.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// stallQueryTimeout bounds a question.
 	stallQueryTimeout = 150 * time.Millisecond
-	// answerReuse is how long an answer serves whoever asks: endpoints tell what
-	// was 200 ms before, so an answer half as old misses little.
+	// answerReuse is how long an answer is reused. Endpoints report the state of 200 ms
+	// ago, so little is missed by reusing an answer for half as long.
 	answerReuse = 100 * time.Millisecond
-	// unresponsiveAfter is how many questions in a row without an answer make an endpoint
-	// count as lost.
+	// unresponsiveAfter is how many stall queries in a row must remain unanswered for
+	// an endpoint to count as unresponsive.
 	unresponsiveAfter = 2
 )
 
-// stallQuerier asks the first endpoints of paths which requests stand still. At each
-// one question is under way at a time, and its answer serves every stream that
-// asked meanwhile or shortly after: when an endpoint is slow or lost, all of its
-// streams ask at once. It is safe for use by several goroutines.
+// stallQuerier asks the first endpoints of paths which requests are stalled. There is
+// at most one query in flight to each endpoint, and its answer serves all streams that
+// ask at the same time or shortly after, because all streams of an endpoint ask at once
+// when it is slow or lost. It is safe for use by several goroutines.
 type stallQuerier struct {
 	client EndpointClient
 	policy queryPolicy
@@ -33,15 +32,16 @@
 	queries map[string]*stallQuery // by address
 }
 
-// queryPolicy is what endpoints want of calls to them.
+// queryPolicy decides which endpoints may be sent stall queries.
 type queryPolicy interface {
-	// admitQuery reports whether an endpoint may be asked now, and takes what that needs.
+	// admitQuery reports whether an endpoint may be queried now, and acquires what the
+	// query needs.
 	admitQuery(id string) bool
-	// observeQueryAnswer takes what the answer to a question sent at a time says of an endpoint.
+	// observeQueryAnswer records the notice in the answer to a query sent at sent.
 	observeQueryAnswer(service, id string, w fleet.Notice, sent time.Time)
 }
 
-// admitQuery implements manners.
+// admitQuery implements queryPolicy.
 func (g *Gateway) admitQuery(id string) bool {
 	if !g.backoffs.MayCall(id) || !g.permits.TryAcquire(id) || !g.backoffs.TryAcquire(id) {
 		return false
@@ -50,23 +50,23 @@
 	return true
 }
 
-// observeQueryAnswer implements manners.
+// observeQueryAnswer implements queryPolicy.
 func (g *Gateway) observeQueryAnswer(service, id string, n fleet.Notice, sent time.Time) {
 	g.observeNotice(id, n)
 	g.observeLimit(service, id, n.Limit, sent)
 }
 
-// stallQuery is the newest one to an address.
+// stallQuery is the latest query to an address.
 type stallQuery struct {
-	done       chan struct{} // closed with the answer
-	answeredAt time.Time     // of the answer; zero before it
+	done       chan struct{} // closed when the query is complete
+	answeredAt time.Time     // zero before the query is complete
 	report     StallReport
 	err        error
-	unanswered int // questions in a row without an answer, with this one
+	unanswered int // number of unanswered queries in a row, including this one
 }
 
-// maxQueriedAddresses is how many addresses are remembered: more than a deployment has
-// endpoints that hold first layers.
+// maxQueriedAddresses limits how many addresses are remembered. It is larger than the
+// number of endpoints that hold first layers in any deployment.
 const maxQueriedAddresses = 1000
 
 func newStallQuerier(m queryPolicy, backend EndpointClient, svc timer.Service) *stallQuerier {
@@ -78,9 +78,10 @@
 	}
 }
 
-// query returns the newest answer of an endpoint, and asks for one if there is none. A
-// question outlives the stream that asked it. It returns nil if the endpoint wants none:
-// it rests and was asked once in that, or has a limit and there is no permit.
+// query returns the latest answer of an endpoint, and sends a query if there is no
+// recent one. The query goes on if the stream that caused it ends. The result is nil if
+// the endpoint must not be queried: it is in backoff and was called once already, or it
+// has a rate limit and this host has no permit.
 func (s *stallQuerier) query(ctx context.Context, service, id, address string) *stallQuery {
 	q, owner := s.join(id, address)
 	if q == nil {
@@ -102,7 +103,7 @@
 	return q
 }
 
-// join returns the question that serves now; mine says that the caller must ask it.
+// join returns the query to use; owner says that the caller must send it.
 func (s *stallQuerier) join(id, address string) (q *stallQuery, owner bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +127,8 @@
 	return q, true
 }
 
-// reusable reports whether a question is under way, or its answer is new enough. One
-// that stayed without an answer serves once it tells that the endpoint is lost.
+// reusable reports whether a query is still in flight, or its answer is recent enough.
+// An unanswered query is only reused once it shows that the endpoint is unresponsive.
 func (s *stallQuerier) reusable(q *stallQuery) bool {
 	if q.answeredAt.IsZero() {
 		return true
@@ -148,7 +149,7 @@
 	close(q.done)
 }
 
-// unresponsive reports whether questions in a row stayed without an answer.
+// unresponsive reports whether the endpoint left too many queries in a row unanswered.
 func (q *stallQuery) unresponsive() bool {
 	return q.err != nil && q.unanswered >= unresponsiveAfter
 }
--- a/pkg/gateway/comeback.go
+++ b/pkg/gateway/comeback.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// maxRetryAfter bounds when a refused caller is told to return: callers heed a
-	// third of the time that they have left, and must be answered after that.
+	// maxRetryAfter limits the retry-after time. Callers wait for at most a third of
+	// the time that they have left, and must be answered after that.
 	maxRetryAfter = 4 * time.Second
-	// refusalWeight is the newest stream's weight in the share that is refused: a
-	// host begins a few streams a second.
+	// refusalWeight is the weight of the newest stream in the share of refused streams.
+	// A host starts a few streams each second.
 	refusalWeight = 0.25
-	// shortageStart and troubleEnds are the shares of streams refused at which a
-	// service counts as short of layers, and as served again.
+	// shortageStart is the share of refused streams at which a service is considered
+	// short of layers, and shortageEnd the share below which it is not any longer.
 	shortageStart = 0.4
 	shortageEnd   = 0.1
-	// shortageRetryJitter spreads returns by this part of the time either way: callers
-	// that were refused together must not return together.
+	// shortageRetryJitter is the part by which retry-after times vary in either
+	// direction, so that callers that were refused together do not retry together.
 	shortageRetryJitter = 0.25
 )
 
-// retryAfterEstimator tells when a caller should return that is refused for want of layers, by
-// service. What has lasted some time is expected to last as long again: nothing tells
-// a host when layers are loaded, and a caller that returns too soon is refused once
-// more and has no try left.
+// retryAfterEstimator estimates, for each service, when a caller should retry that is
+// refused because layers are missing. A shortage that has lasted some time is expected
+// to last as long again: nothing tells a host when layers are loaded, and a caller that
+// retries too early is refused once more and has no attempt left.
 type retryAfterEstimator struct {
 	svc timer.Service
 
@@ -36,8 +36,8 @@
 }
 
 type shortage struct {
-	refusedShare float64   // of streams that were refused lately
-	since        time.Time // when that became much; zero: it isn't
+	refusedShare float64   // moving average of streams that were refused
+	since        time.Time // start of the shortage; zero if there is none
 }
 
 func newRetryAfterEstimator(svc timer.Service) *retryAfterEstimator {
@@ -47,7 +47,7 @@
 	}
 }
 
-// record takes how a stream of a service began.
+// record notes whether a stream of a service was refused or started.
 func (e *retryAfterEstimator) record(service string, refused bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,7 +68,8 @@
 	}
 }
 
-// estimate returns when a caller of a service should come back, least at least.
+// estimate returns when a caller of a service should retry. The result is minimum or
+// longer before it is varied.
 func (e *retryAfterEstimator) estimate(service string, minimum time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -11,10 +11,11 @@
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 )
 
-// fail answers a request that goes no further.
+// fail ends a request that cannot be continued: it refuses the request if the caller
+// has received nothing yet, and aborts the stream otherwise.
 func (s *streamRun) fail(e *failure.Error) {
 	if s.attempts > 0 && e.Kind() != failure.EndpointFailed {
-		e = failure.Wrap(e, failure.EndpointFailed, "the stream broke and couldn't be continued")
+		e = failure.Wrap(e, failure.EndpointFailed, "the stream was interrupted and could not be continued")
 	}
 	if !s.headWritten {
 		s.g.refuse(s.j.req, s.j, s.j.out, s.withRetryAfter(e))
@@ -28,9 +29,10 @@
 	s.j.out.Abort()
 }
 
-// withRetryAfter tells a caller that is refused for want of layers when to come back.
-// One that is refused for want of room isn't told to wait longer: room frees with
-// every stream that ends, and callers that wait come back to the next crowd.
+// withRetryAfter sets the retry-after time if the request is refused because layers are
+// missing. A request that is refused for lack of capacity keeps its time: capacity is
+// freed with every stream that ends, and callers that wait longer only return together
+// with the next burst of callers.
 func (s *streamRun) withRetryAfter(e *failure.Error) *failure.Error {
 	if e.Kind() != failure.NoChain {
 		return e
@@ -40,7 +42,7 @@
 	return e.WithRetryAfter(s.g.retryAfters.estimate(service, e.RetryAfter()))
 }
 
-// expire ends a request whose time is up or whose caller left.
+// expire ends a request whose time ran out or whose caller disconnected.
 func (s *streamRun) expire(ctx context.Context) {
 	s.g.log.Event(eventlog.RequestLeft, eventlog.Str("request", s.j.req.ID), eventlog.Str("path", formatPath(s.path)),
 		eventlog.Str("after", s.lastEvent), eventlog.Ms("after_ms", s.g.svc.Now().Sub(s.j.req.Received)), eventlog.Err(ctx.Err()))
@@ -58,7 +60,7 @@
 	s.g.refuse(s.j.req, s.j, s.j.out, failure.New(failure.DeadlineExceeded, "no event in time"))
 }
 
-// formatPath writes a path for the log: endpoint and layers of each part.
+// formatPath formats a path for the log, as endpoint and layers of each stage.
 func formatPath(path []fleet.Stage) string {
 	parts := make([]string, 0, len(path))
 	for _, p := range path {
--- a/pkg/gateway/events.go
+++ b/pkg/gateway/events.go
@@ -8,21 +8,22 @@
 	"github.com/go-faster/errors"
 )
 
-// event is one event of a stream, with the blank line behind it.
+// event is one event of a stream, including the blank line that ends it.
 type event struct {
 	id   string
 	data []byte
 }
 
-// maxEventBytes bounds one event.
+// maxEventBytes limits the size of one event.
 const maxEventBytes = 1 << 20
 
-// eventReader parts a stream into events.
+// eventReader splits a stream into events.
 type eventReader struct {
 	r *bufio.Reader
 }
 
-// eventBuffer holds several events of the usual size.
+// eventBuffer is the buffer size of the reader: room for several events of the usual
+// size.
 const eventBuffer = 2 << 10
 
 func newEventReader(r io.Reader) *eventReader {
@@ -34,7 +35,7 @@
 // errTruncated says that a stream ended within an event.
 var errTruncated = errors.New("the stream ended within an event")
 
-// next returns the next event; io.EOF if the stream ended whole before it.
+// next returns the next event, or io.EOF if the stream ended after a complete event.
 func (e *eventReader) next() (event, error) {
 	ev := event{}
 	for {
--- a/pkg/gateway/feed.go
+++ b/pkg/gateway/feed.go
@@ -10,15 +10,16 @@
 	"github.com/larchwinch/larchwinch/pkg/group"
 )
 
-// answerItem is one step of an answer: its head first, then events, then its end.
+// answerItem is one step of an answer: status and headers first, then events, then the
+// end.
 type answerItem struct {
 	head  *Answer
 	event event
 	ended bool
-	err   error // of the end; nil if the answer is whole
+	err   error // reason for the end; nil if the answer is complete
 }
 
-// answerReader reads one answer.
+// answerReader reads one answer in a goroutine of its own.
 type answerReader struct {
 	items chan answerItem
 	// unsent says that the request never reached the endpoint.
@@ -31,7 +32,7 @@
 	}
 }
 
-// put hands an item on, and reports whether anybody waits for more.
+// put passes an item on, and reports whether the reader should go on.
 func (r *answerReader) put(ctx context.Context, it answerItem) bool {
 	select {
 	case r.items <- it:
@@ -48,10 +49,11 @@
 	})
 }
 
-// sender makes the call whose answer a feed reads.
+// sender makes the call whose answer is read.
 type sender func(ctx context.Context) (*Answer, error)
 
-// read reads the answer to a call to its end.
+// read makes the call and reads the answer to its end. A panic ends the answer with an
+// error.
 func (r *answerReader) read(ctx context.Context, send sender) {
 	if err := group.Try(func() { r.run(ctx, send) }); err != nil {
 		r.end(ctx, &SendError{
@@ -68,7 +70,7 @@
 		r.end(ctx, err)
 		return
 	}
-	defer func() { _ = a.Body.Close() }() // it was read, or is given up
+	defer func() { _ = a.Body.Close() }() // the body was read completely or is no longer needed
 	if !r.put(ctx, answerItem{head: a}) {
 		return
 	}
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -12,29 +12,32 @@
 )
 
 const (
-	// leaveGrace is how long a stream stays on a part that leaves: it serves on
-	// for 2 s after its leave was acknowledged, and most streams end before.
-	// Moving all at once would have every prompt read again at the same time.
+	// leaveGrace is how long a stream stays on a stage that is leaving. The endpoint
+	// goes on serving for 2 s after its leave was acknowledged, and most streams end
+	// before that. If all streams moved at once, all their prompts would be processed
+	// again at the same time.
 	leaveGrace = 1200 * time.Millisecond
-	// leaveRetryInterval is how often a stream looks again for another part in the same
-	// failure domain: the endpoint that replaces the leaving one may be loading.
+	// leaveRetryInterval is how often a stream looks again for another stage in the
+	// same failure domain. The endpoint that replaces the leaving one may still be
+	// loading.
 	leaveRetryInterval = 300 * time.Millisecond
-	// releaseSpread is the time over which the streams of all hosts leave a part
-	// that gave up its layers. It loads others only once the last has left; but
-	// 60 prompts of 900 tokens, read again for 8 layers by a slow accelerator,
-	// take 0.25 s by the engines' figures, and a stream's pause must stay under 0.2 s.
+	// releaseSpread is the time over which the streams of all hosts move off a stage
+	// that released its layers. The endpoint loads other layers only once the last
+	// stream has left. But by the parameters of the engines, a slow accelerator needs
+	// 0.25 s to process 60 prompts of 900 tokens again for 8 layers, and the pause of a
+	// stream must stay below 0.2 s.
 	releaseSpread = 700 * time.Millisecond
 )
 
-// leaveWatch takes a stream off the parts of its path that leave, give up their
-// layers or turn slow, where that needs no new send. The first part can't be left
-// without one: a stream stays there until it ends or the endpoint breaks it
-// off, and is continued then. To give it up sooner would cut streams that still
+// leaveWatch moves a stream off the stages of its path that are leaving, release their
+// layers or have become slow, if that needs no new send. A new first stage would need
+// one, so a stream stays there until it ends or until the endpoint breaks it off, and
+// is then continued elsewhere. Giving it up earlier would interrupt streams that still
 // had time to end.
 type leaveWatch struct {
 	s         *streamRun
 	changed   <-chan struct{}
-	moveTimer <-chan time.Time // when to move off
+	moveTimer <-chan time.Time // fires when stages must be replaced
 }
 
 func newLeaveWatch(s *streamRun) *leaveWatch {
@@ -47,7 +50,7 @@
 	return l
 }
 
-// check starts the clock for parts that should be left.
+// check starts the timer if there are stages to move off.
 func (l *leaveWatch) check() {
 	s := l.s
 	l.changed = s.g.source.Changed()
@@ -66,42 +69,43 @@
 	}
 }
 
-// fraction returns a number from 0 to 1 that differs from request to request.
+// fraction returns a number from 0 to 1 that depends on the request ID only, and is
+// spread evenly over requests.
 func fraction(id string) float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	return float64(h.Sum32()) / math.MaxUint32
 }
 
-// slowStageFactor is how many times as slow as its kind a part must be for streams to
-// leave it; the plan covers its layers again from there on (pkg/placement).
+// slowStageFactor is the slowdown from which on streams move off a stage. From the same
+// slowdown on, pkg/placement has the layers covered again by other endpoints.
 const slowStageFactor = 4
 
 func (l *leaveWatch) slow(p fleet.Stage) bool {
 	return l.s.g.source.EndpointSlowdown(p.ID) >= slowStageFactor
 }
 
-// mustLeave reports whether a stream should leave a part of its path.
+// mustLeave reports whether the stream should move off a stage.
 func (l *leaveWatch) mustLeave(p fleet.Stage) bool {
 	return l.s.g.source.EndpointLeaving(p.ID) || l.s.g.source.HasReleased(p.ID, p.Layers) || l.slow(p)
 }
 
-// shouldReplace reports whether a part isn't to be kept if that can be helped; worse,
-// whether it isn't to be kept though one that leaves is: that one still serves,
-// while an order waits for the streams on a part that gave up its layers.
+// shouldReplace reports whether a stage should be replaced if possible.
 func (l *leaveWatch) shouldReplace(p fleet.Stage) bool {
 	return l.s.isExcluded(p) || l.mustLeave(p)
 }
 
+// mustReplace is shouldReplace without stages that are leaving. Those still serve,
+// while an order waits for the streams on a stage that released its layers to end.
 func (l *leaveWatch) mustReplace(p fleet.Stage) bool {
 	return l.shouldReplace(p) && !l.s.g.source.EndpointLeaving(p.ID)
 }
 
-// replaceStages puts other endpoints in the place of all parts that must be left, or else
-// of those that don't merely leave, or else chooses the path behind the first
-// part anew, if that takes no crossing: an endpoint that could take over may
-// stand on the path already. A stream that would have to cross stays as long as
-// it is served.
+// replaceStages replaces all stages to move off. If that is not possible, it replaces
+// those that are not merely leaving, and if that is not possible either, it chooses all
+// stages after the first one anew, because an endpoint that could take over may already
+// be on the path. It takes no path with more domain crossings than the current one: a
+// stream that would need one stays as long as it is served.
 func (l *leaveWatch) replaceStages(ctx context.Context) {
 	s := l.s
 	l.moveTimer = nil
--- a/pkg/gateway/pipes.go
+++ b/pkg/gateway/pipes.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// linkShare is the part of a pipe between failure domains that requests
-	// may fill on average: a prompt's tokens come in bursts, and a stream's
-	// tokens must not wait behind them.
+	// linkShare is the part of the bandwidth of an inter-domain link that requests may
+	// use on average. The tokens of a prompt come in bursts, and the tokens of running
+	// streams must not wait behind them.
 	linkShare = 0.6
-	// linkBurst is how much of a second's share may be used at once.
+	// linkBurst is the burst size: the part of the bandwidth of one second that may be
+	// used at once.
 	linkBurst = 0.5
 )
 
-// linkBuckets holds this host to its share of the pipes between failure domains,
-// which all hosts' requests share. Without it, a domain that lost a part sends
-// more across than the pipe carries, and every stream that crosses is late.
+// linkBuckets limits this host to its share of the links between failure domains, which
+// the requests of all hosts share. Without it, a failure domain that lost an endpoint
+// would send more to other domains than the link carries, and every stream that crosses
+// domains would be late.
 type linkBuckets struct {
 	svc timer.Service
 
@@ -27,7 +29,8 @@
 	buckets map[fleet.DomainPair]*linkBucket
 }
 
-// linkBucket is a bucket of bytes; its size is known with the engine's figures.
+// linkBucket is a token bucket of bytes. Its size depends on the engine and the
+// request.
 type linkBucket struct {
 	bytes      float64
 	refilledAt time.Time
@@ -40,8 +43,8 @@
 	}
 }
 
-// tryTake takes what a path's crossings need of the pipes, all or nothing, and
-// reports whether there was enough.
+// tryTake takes the bytes that all domain crossings of a path need, all or nothing, and
+// reports whether there were enough.
 func (l *linkBuckets) tryTake(e *fleet.Engine, path []fleet.Stage, tokens float64, hosts int) bool {
 	if e.PipeMbps <= 0 || e.ActivationB <= 0 {
 		return true
@@ -65,7 +68,7 @@
 	return true
 }
 
-// refill adds what came since the last look. A bucket always holds enough for
+// refill adds what accumulated since the last call. A bucket always holds enough for
 // one request that crosses there and back.
 func (l *linkBuckets) refill(pair fleet.DomainPair, rate, cost float64) *linkBucket {
 	now := l.svc.Now()
@@ -83,7 +86,8 @@
 	return b
 }
 
-// countDomainCrossings counts a path's changes of failure domain, by pair.
+// countDomainCrossings counts the domain crossings of a path for each pair of failure
+// domains.
 func countDomainCrossings(path []fleet.Stage) map[fleet.DomainPair]int {
 	list := map[fleet.DomainPair]int{}
 	for i := 1; i < len(path); i++ {
--- a/pkg/gateway/pulse.go
+++ b/pkg/gateway/pulse.go
@@ -6,17 +6,17 @@
 	"github.com/larchwinch/larchwinch/pkg/eventlog"
 )
 
-// pauseTracker is what a caller notices of a stream's pace: when its first event came,
-// and the longest pause between two events.
+// pauseTracker records what a caller notices of the progress of a stream: the time of
+// the first event, and the longest pause between two events.
 type pauseTracker struct {
 	firstEvent   time.Time // zero before the first event
 	lastEvent    time.Time
 	longest      time.Duration
-	longestAfter string // id of the event before the longest pause
+	longestAfter string // ID of the event before the longest pause
 }
 
-// record notes an event that is passed on at now; before is the id of the one
-// passed on before.
+// record notes an event that is passed on at now; before is the ID of the event passed
+// on before it.
 func (p *pauseTracker) record(now time.Time, before string) {
 	if p.firstEvent.IsZero() {
 		p.firstEvent = now
@@ -30,7 +30,7 @@
 	p.lastEvent = now
 }
 
-// fields returns the pace of a request that was received at a time, for the log.
+// fields returns the log fields for a request that was received at received.
 func (p *pauseTracker) fields(received time.Time) []eventlog.Field {
 	if p.firstEvent.IsZero() {
 		return nil
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -13,14 +13,14 @@
 	"github.com/larchwinch/larchwinch/pkg/quarantine"
 )
 
-// Quarantine returns what this host knows of requests that end endpoints.
+// Quarantine returns what this host knows about requests that crash endpoints.
 func (g *Gateway) Quarantine() *quarantine.Enforcer {
 	return g.quarantine
 }
 
-// checkQuarantine refuses a request that is kept from endpoints. It comes again with a new id
-// after each try, so that neither attempts of one request nor the budget of repeats
-// bound it.
+// checkQuarantine refuses a request that is quarantined. Its caller sends it again with
+// a new ID after each refusal, so neither the limit of attempts nor the retry budget
+// limits how many endpoints it crashes.
 func (g *Gateway) checkQuarantine(j *job) *failure.Error {
 	if g.quarantine.Idle() {
 		return nil
@@ -29,11 +29,11 @@
 	if left <= 0 {
 		return nil
 	}
-	return failure.New(failure.Quarantined, "endpoints ended under this request").WithRetryAfter(left)
+	return failure.New(failure.Quarantined, "endpoints crashed while they ran this request").WithRetryAfter(left)
 }
 
-// recordCrash notes that an endpoint broke its connection, or went silent, under a request
-// that was sent to it at began.
+// recordCrash records that an endpoint broke its connection or stopped answering while
+// it had a request that was sent to it at sentAt.
 func (g *Gateway) recordCrash(j *job, endpoint string, early bool, began time.Time) {
 	after := g.svc.Now().Sub(began)
 	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(early)}).Inc(1)
@@ -55,15 +55,17 @@
 	return "no"
 }
 
-// recordAnswered notes that an endpoint answered a request: it doesn't end whatever runs it.
+// recordAnswered records that an endpoint answered a request: the request does not
+// crash every endpoint that runs it.
 func (g *Gateway) recordAnswered(j *job) {
 	if !g.quarantine.Idle() {
 		g.quarantine.RecordServed(j.fingerprint())
 	}
 }
 
-// connectionLost reports whether a send ended since the endpoint's connection broke, as it does
-// when the endpoint ends. An endpoint whose answer is damaged stands.
+// connectionLost reports whether a send failed because the connection to the endpoint
+// broke, as it does when the endpoint crashes. An endpoint that sent a damaged answer
+// did not crash.
 func connectionLost(err error) bool {
 	var e *SendError
 	if !errors.As(err, &e) || !e.Sent {
--- a/pkg/gateway/repeats.go
+++ b/pkg/gateway/repeats.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// budgetShare is the part of the deployment's budget that its hosts use:
-	// the rest covers hosts that come and the unevenness of their shares.
+	// budgetShare is the part of the retry budget of the deployment that its hosts use.
+	// The rest covers hosts that join, and hosts with different shares.
 	budgetShare = 0.85
-	// burstShare is the part of a host's share that may be spent at once, as
-	// when an endpoint is lost under many streams; the rest comes back over a
-	// window.
+	// burstShare is the part of a host's share that may be spent at once, for instance
+	// when an endpoint with many streams is lost. The rest is refilled over a window.
 	burstShare = 0.8
 )
 
-// retryBucket is this host's share of the budget of repeats: a token bucket whose
-// size and refill together stay under the budget in every window.
+// retryBucket is this host's share of the retry budget: a token bucket whose size and
+// refill rate together stay within the budget in every window.
 type retryBucket struct {
 	budget RetryBudget
 	svc    timer.Service
@@ -32,7 +31,7 @@
 	return &retryBucket{
 		budget:     budget,
 		svc:        svc,
-		tokens:     1, // a host that was restarted doesn't know what it spent
+		tokens:     1, // a restarted host does not know what it has spent
 		refilledAt: svc.Now(),
 	}
 }
@@ -45,7 +44,7 @@
 	r.tokens = min(r.size(hosts), r.tokens+r.budget.Ratio*budgetShare)
 }
 
-// withdraw takes one repeat, if there is one.
+// withdraw takes one retry, and reports whether there was one.
 func (r *retryBucket) withdraw(hosts int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,12 +56,12 @@
 	return true
 }
 
-// size is the most that may be spent at once.
+// size returns the most retries that may be spent at once.
 func (r *retryBucket) size(hosts int) float64 {
 	return max(1, burstShare*r.share(hosts))
 }
 
-// share is this host's part of the budget's extra repeats in a window.
+// share returns this host's part of the extra retries of the budget in a window.
 func (r *retryBucket) share(hosts int) float64 {
 	return budgetShare * r.budget.Extra / float64(max(1, hosts))
 }
--- a/pkg/gateway/stall.go
+++ b/pkg/gateway/stall.go
@@ -8,8 +8,8 @@
 	"github.com/larchwinch/larchwinch/pkg/eventlog"
 )
 
-// stallWatch asks, when a stream pauses, whether a part of its path stands
-// still, and puts another in its place.
+// stallWatch sends a stall query when a stream pauses, and replaces the stage that is
+// stalled, if any.
 type stallWatch struct {
 	s       *streamRun
 	timer   <-chan time.Time
@@ -32,7 +32,7 @@
 	w.timer = w.s.g.svc.After(d)
 }
 
-// sawEvent notes an event.
+// sawEvent restarts the timer after an event.
 func (w *stallWatch) sawEvent() {
 	if w.s.j.service.Engine == nil || w.queries >= maxStallQueries {
 		return
@@ -40,20 +40,21 @@
 	w.arm(stallWait)
 }
 
-// backoffQueryInterval is how often a stream looks whether its first endpoint, which rests, may be
-// asked.
+// backoffQueryInterval is the longest time between two checks whether the first
+// endpoint, which is in backoff or has a rate limit, may be sent a stall query.
 const backoffQueryInterval = time.Second
 
 const (
-	// highestPriority is the priority of a question about streams that stand still: one
-	// answer serves all of them.
+	// highestPriority is the priority of a permit for a stall query, whose answer
+	// serves all streams of the endpoint.
 	highestPriority = 0
-	// queryPermitWait is how long it waits for a permit. The stream's events wait as long.
+	// queryPermitWait is how long a stall query waits for a permit. The events of the
+	// stream wait as long.
 	queryPermitWait = 50 * time.Millisecond
 )
 
-// check finds what stands still. Its error says that the stream must be sent
-// anew.
+// check finds out whether a stage is stalled and replaces it. Its error says that the
+// stream must be sent anew.
 func (w *stallWatch) check(ctx context.Context) error {
 	if w.queries >= maxStallQueries {
 		w.timer = nil
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// avoidAddress keeps new requests of this host off the part at address.
+// avoidAddress makes this host avoid the endpoint of the path at address for new
+// requests.
 func (s *streamRun) avoidAddress(address, why string) {
 	for _, p := range s.path {
 		if p.Address == address {
--- a/pkg/gateway/stay.go
+++ b/pkg/gateway/stay.go
@@ -10,31 +10,35 @@
 )
 
 const (
-	// initialTimePerToken is the time of a token before any stream has ended: twice that of most.
+	// initialTimePerToken is the assumed time for each token before any stream has
+	// ended: twice that of most streams.
 	initialTimePerToken = 32 * time.Millisecond
-	// durationQuantile is the share of streams of a size that end within what is expected: a
-	// stream that is cut costs its caller more than one that is sent away.
+	// durationQuantile is the share of streams of a size class that end within the
+	// estimated time. Interrupting a stream costs its caller more than refusing one.
 	durationQuantile = 0.95
-	// samplesPerClass is how many streams of a size are remembered: those of about a minute.
+	// samplesPerClass is how many streams of a size class are remembered: those of
+	// about a minute.
 	samplesPerClass = 32
-	// minSamples is how many must have ended before they count for their size alone.
+	// minSamples is how many samples an estimate needs before it uses no other size
+	// classes.
 	minSamples = 8
-	// drainingRetryAfter is when a caller should come back whose stream would not
-	// end here in time, to another host.
+	// drainingRetryAfter is the retry-after time of a stream that would not end here
+	// before this host stops. Its caller should try another host.
 	drainingRetryAfter = 100 * time.Millisecond
 )
 
-// durationEstimator is how long streams took lately for each token that their callers expected,
-// by the size expected: short answers often turn out longer, and long ones shorter.
-// It is safe for use by several goroutines.
+// durationEstimator estimates how long streams take, from the time for each expected
+// token of recent streams. It does so for each size class, because short answers often
+// turn out longer than expected, and long ones shorter. It is safe for use by several
+// goroutines.
 type durationEstimator struct {
 	mu    sync.Mutex
 	rings map[int]*sampleRing
 }
 
-// sampleRing is the paces of the last streams of a size, in a ring.
+// sampleRing holds the samples of the latest streams of a size class.
 type sampleRing struct {
-	samples []time.Duration // for a token
+	samples []time.Duration // time for each expected token
 	next    int
 }
 
@@ -44,7 +48,8 @@
 	}
 }
 
-// sizeClass returns the class of an answer of so many tokens; each is twice the one before.
+// sizeClass returns the size class of an answer of so many tokens. Each class is twice
+// as large as the one before.
 func sizeClass(tokens float64) int {
 	return max(0, int(math.Log2(max(1, tokens))))
 }
@@ -70,7 +75,8 @@
 	ring.next = (ring.next + 1) % samplesPerClass
 }
 
-// estimate returns how long nearly every stream of so many tokens takes.
+// estimate returns the time within which nearly all streams of so many expected tokens
+// end.
 func (e *durationEstimator) estimate(tokens float64) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,8 +88,8 @@
 	return time.Duration(tokens * float64(samples[int(durationQuantile*float64(len(samples)))]))
 }
 
-// samplesNear returns a copy of the paces of a size, with those of the nearest sizes as far
-// as it takes to have enough.
+// samplesNear returns a copy of the samples of a size class, with those of the nearest
+// other classes until there are enough.
 func (e *durationEstimator) samplesNear(class int) []time.Duration {
 	var list []time.Duration
 	for d := 0; d <= maxSizeClasses && len(list) < minSamples; d++ {
@@ -96,11 +102,11 @@
 	return list
 }
 
-// maxSizeClasses is how many classes of sizes there may be: answers of a million tokens.
+// maxSizeClasses is the number of size classes, enough for answers of a million tokens.
 const maxSizeClasses = 20
 
-// refuseIfTooLong refuses a stream that would likely be cut off by the end of this host,
-// which was told to stop: nothing was sent, and others have the time.
+// refuseIfTooLong refuses a stream that would likely be interrupted by the end of this
+// host, which was told to stop. Nothing was sent yet, and other hosts have the time.
 func (s *streamRun) refuseIfTooLong() *failure.Error {
 	left, stops := s.g.source.ShutdownIn()
 	if !stops || s.j.service.Engine == nil || s.g.durations.estimate(s.demand().Answer) <= left {
--- a/pkg/gateway/waits.go
+++ b/pkg/gateway/waits.go
@@ -7,17 +7,17 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// waitBucket is the time of which the shortest wait counts: a host begins a few
-// streams at each first endpoint in it.
+// waitBucket is the time window of which the shortest wait counts. A host sends a few
+// streams to each first endpoint within it.
 const waitBucket = 500 * time.Millisecond
 
-// waitEstimator tells how long a stream that is sent now would wait at the first endpoint
-// of its path for its first event, by what this host's own streams see: whatever
-// the cause, a queue of prompts, memory that is full or passes that take long, it
-// shows there. Streams that share a first endpoint may go on by different paths,
-// one of which holds them up, so of all waits in a bucket the shortest counts.
-// What nothing tells anew shrinks as fast as time passes, as a queue does that
-// nothing joins. It is safe for use by several goroutines.
+// waitEstimator estimates how long a stream that is sent now would wait for its first
+// event, by the first endpoint of its path. It uses what this host's own streams
+// observe, because any cause of a delay shows there: queued prompts, full memory or
+// slow steps. Streams with the same first endpoint may continue on different paths,
+// only one of which delays them, so the shortest wait in a window counts. Without new
+// observations an estimate decreases as fast as time passes, like a queue that nothing
+// joins. It is safe for use by several goroutines.
 type waitEstimator struct {
 	svc timer.Service
 
@@ -27,19 +27,19 @@
 
 type waitEntry struct {
 	pending map[*pendingSend]bool
-	// current is the shortest wait in the bucket that began at since, and before
-	// that of the bucket before; negative if there was none.
+	// current is the shortest wait in the window that began at bucketStart, and
+	// previous that of the window before it; negative if there was none.
 	current     time.Duration
 	previous    time.Duration
 	bucketStart time.Time
-	// estimate is the newest estimate, and when it was made.
+	// estimate is the latest estimate, made at estimatedAt.
 	estimate    time.Duration
 	estimatedAt time.Time
 }
 
-// pendingSend is one send of a stream before its first event.
+// pendingSend is a send of a stream that is still waiting for its first event.
 type pendingSend struct {
-	id     string // of the first endpoint
+	id     string // first endpoint
 	sentAt time.Time
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// begin notes a send to a first endpoint.
+// begin records that a stream is sent to a first endpoint.
 func (w *waitEstimator) begin(id string) *pendingSend {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,7 +73,8 @@
 	return s
 }
 
-// firstEvent notes an event: the first one of a send ends its wait.
+// firstEvent records an event. The first event of a send ends its wait; further events
+// have no effect.
 func (w *waitEstimator) firstEvent(s *pendingSend) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +87,7 @@
 	e.record(now, now.Sub(s.sentAt))
 }
 
-// end notes that a send has ended.
+// end records that a send has ended.
 func (w *waitEstimator) end(s *pendingSend) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,7 +101,8 @@
 	}
 }
 
-// estimate returns how long a stream that begins at an endpoint now would wait.
+// estimate returns how long a stream that is sent to an endpoint now would wait for its
+// first event.
 func (w *waitEstimator) estimate(id string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -110,7 +112,7 @@
 	return 0
 }
 
-// rotate begins a new bucket if it is time.
+// rotate starts a new window if the current one is over.
 func (e *waitEntry) rotate(now time.Time) {
 	age := now.Sub(e.bucketStart)
 	if age < waitBucket {
@@ -133,7 +135,7 @@
 	e.estimatedAt = now
 }
 
-// shortest returns the shortest wait of both buckets; negative if there was none.
+// shortest returns the shortest wait in both windows; negative if there was none.
 func (e *waitEntry) shortest() time.Duration {
 	if e.current < 0 || e.previous >= 0 && e.previous < e.current {
 		return e.previous
