--- a/pkg/gateway/asker.go
+++ b/pkg/gateway/asker.go
@@ -69,10 +69,10 @@
 // number of endpoints that hold first layers in any deployment.
 const maxQueriedAddresses = 1000
 
-func newStallQuerier(m queryPolicy, backend EndpointClient, svc timer.Service) *stallQuerier {
+func newStallQuerier(policy queryPolicy, client EndpointClient, svc timer.Service) *stallQuerier {
 	return &stallQuerier{
-		client:  backend,
-		policy:  m,
+		client:  client,
+		policy:  policy,
 		svc:     svc,
 		queries: map[string]*stallQuery{},
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -44,11 +44,11 @@
 }
 
 // New returns the gateway of an entry host in the given failure domain.
-func New(domain string, backend EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
+func New(domain string, client EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
 	rests := rest.New(svc)
 	g := &Gateway{
 		domain:         domain,
-		client:         backend,
+		client:         client,
 		source:         source,
 		svc:            svc,
 		log:            log,
@@ -66,7 +66,7 @@
 		permits:        permit.NewHolder(svc, rand.Uint64()),
 		permitRequests: newPermitRequests(svc),
 	}
-	g.querier = newStallQuerier(g, backend, svc)
+	g.querier = newStallQuerier(g, client, svc)
 	return g
 }
 
