--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -162,7 +162,7 @@
 	}
 	d.SingleDomain = true
 	if path = pathing.Choose(e, strict, d, s.jitter); path == nil {
-		return nil, failure.New(failure.Overloaded, "the links between failure domains have no bandwidth left").WithRetryAfter(linkRetryAfter)
+		return nil, failure.New(failure.Overloaded, "the pipes between failure domains are full").WithRetryAfter(linkRetryAfter)
 	}
 	return path, nil
 }
--- a/pkg/gateway/ending.go
+++ b/pkg/gateway/ending.go
@@ -15,7 +15,7 @@
 // has received nothing yet, and aborts the stream otherwise.
 func (s *streamRun) fail(e *failure.Error) {
 	if s.attempts > 0 && e.Kind() != failure.EndpointFailed {
-		e = failure.Wrap(e, failure.EndpointFailed, "the stream was interrupted and could not be continued")
+		e = failure.Wrap(e, failure.EndpointFailed, "the stream broke and couldn't be continued")
 	}
 	if !s.headWritten {
 		s.g.refuse(s.j.req, s.j, s.j.out, s.withRetryAfter(e))
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -182,7 +182,7 @@
 func (g *Gateway) admit(req *Request, out Output) (*job, *failure.Error) {
 	v := g.source.View()
 	if v.Index == nil {
-		return nil, notReady("this host has no configuration yet")
+		return nil, notReady("no configuration is known here yet")
 	}
 	route := v.Index.Route(req.Host, req.Path)
 	if route == nil {
@@ -211,7 +211,7 @@
 	if v.Fresh {
 		return e
 	}
-	return notReady("the configuration was last confirmed %v ago; it says: %s", v.Age, e.Detail())
+	return notReady("the configuration was last confirmed %v ago; by it: %s", v.Age, e.Detail())
 }
 
 // notReadyRetryAfter is the retry-after time of a host that waits for the control
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -214,7 +214,7 @@
 	if availableIn > maxRetryAfter {
 		availableIn = time.Duration((1 + rand.Float64()) / 2 * float64(maxRetryAfter))
 	}
-	return failure.New(failure.Overloaded, "the rate limits of the endpoints are exhausted").
+	return failure.New(failure.Overloaded, "the endpoints take no more for now").
 		WithRetryAfter(min(maxRetryAfter, max(baseRetryAfter, lengthen(availableIn))))
 }
 
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -29,7 +29,7 @@
 	if left <= 0 {
 		return nil
 	}
-	return failure.New(failure.Quarantined, "endpoints crashed while they ran this request").WithRetryAfter(left)
+	return failure.New(failure.Quarantined, "endpoints ended under this request").WithRetryAfter(left)
 }
 
 // recordCrash records that an endpoint broke its connection or stopped answering while
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -110,12 +110,12 @@
 			return
 		case notRun:
 			if !s.mayRetry(cause) {
-				s.fail(failure.Wrap(cause, failure.Overloaded, "endpoints refused the request").WithRetryAfter(baseRetryAfter))
+				s.fail(failure.Wrap(cause, failure.Overloaded, "endpoints refused").WithRetryAfter(baseRetryAfter))
 				return
 			}
 		case broken:
 			if !s.mayResume(cause) {
-				s.fail(failure.Wrap(cause, failure.EndpointFailed, "the stream was interrupted"))
+				s.fail(failure.Wrap(cause, failure.EndpointFailed, "the stream broke"))
 				return
 			}
 			g.log.Event(eventlog.StreamResumed, eventlog.Str("request", j.req.ID), eventlog.Str("after", s.lastEvent), eventlog.Err(cause))
--- a/pkg/gateway/types.go
+++ b/pkg/gateway/types.go
@@ -102,7 +102,7 @@
 
 // Error implements error.
 func (e *RepathError) Error() string {
-	return "the endpoint at " + e.Address + " is gone or has no free capacity"
+	return "the endpoint at " + e.Address + " isn't there or has no room"
 }
 
 // StallReport lists the stalled requests that the first endpoint of their paths knows
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -257,11 +257,11 @@
 	case r == nil && w.g.backoffRemaining(w.j.service.Name) > 0:
 		w.refuse(w.g.backoffError(w.g.backoffRemaining(w.j.service.Name)))
 	case r == nil:
-		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service is available").WithRetryAfter(lengthen(baseRetryAfter)))
+		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(lengthen(baseRetryAfter)))
 	case w.attempts > 0:
 		w.refuse(failure.Wrap(r.err, failure.EndpointFailed, "endpoint %s", r.endpoint.ID))
 	default:
-		w.refuse(failure.New(failure.Overloaded, "every endpoint that was tried refused the request").
+		w.refuse(failure.New(failure.Overloaded, "every endpoint that was asked refused").
 			WithRetryAfter(max(baseRetryAfter, lengthen(w.g.backoffRemaining(w.j.service.Name)))))
 	}
 }
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -125,7 +125,7 @@
 // It is refused at once: if it was delayed until the backoff ends, it would only arrive
 // together with all others.
 func (g *Gateway) backoffError(left time.Duration) *failure.Error {
-	return failure.New(failure.Overloaded, "the endpoints asked for backoff").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
+	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
 }
 
 // backoffRemaining returns the time until an endpoint of a service is out of backoff; 0
