--- a/pkg/gateway/asker_test.go
+++ b/pkg/gateway/asker_test.go
@@ -14,7 +14,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// queryClient counts questions, and answers each when release lets it.
+// queryClient counts stall queries, and answers each one with the next error or nil
+// from results.
 type queryClient struct {
 	EndpointClient
 	queries atomic.Int64
@@ -28,7 +29,7 @@
 	return StallReport{Addresses: map[string]string{"r1": "x:1"}, Notice: fleet.Notice{Leaving: true}}, err
 }
 
-// withStallQuerier runs f on an asker whose questions wait for release.
+// withStallQuerier runs f on a querier whose queries wait for results.
 func withStallQuerier(f func(a *stallQuerier, b *queryClient, clock *timer.Manual)) {
 	b := &queryClient{
 		results: make(chan error, 10),
@@ -37,7 +38,8 @@
 	f(newStallQuerier(&fakeQueryPolicy{backoffs: rest.New(clock), client: b}, b, clock), b, clock)
 }
 
-// fakeQueryPolicy lets endpoints that don't rest be asked, and notes what they say.
+// fakeQueryPolicy admits queries to endpoints that are not in backoff, and records the
+// notices in answers.
 type fakeQueryPolicy struct {
 	backoffs *rest.Tracker
 	client   *queryClient
@@ -49,8 +51,8 @@
 	l.client.notices = append(l.client.notices, w)
 }
 
-var _ = Describe("questions to endpoints", func() {
-	It("are one at a time for an endpoint, and serve all who ask meanwhile or shortly after", func() {
+var _ = Describe("stall queries", func() {
+	It("are sent to an endpoint one at a time, and each serves all streams that ask meanwhile or shortly after", func() {
 		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
 			g := group.New(context.Background())
 			answers := make(chan *stallQuery, 20)
@@ -69,14 +71,14 @@
 			clock.Advance(answerReuse)
 			b.results <- nil
 			a.query(context.Background(), "s", "x", "x:1")
-			Expect(b.queries.Load()).To(Equal(int64(2)), "an old answer serves nobody")
+			Expect(b.queries.Load()).To(Equal(int64(2)), "an old answer is not reused")
 			b.results <- nil
 			a.query(context.Background(), "s", "y", "y:1")
-			Expect(b.queries.Load()).To(Equal(int64(3)), "another endpoint is asked for itself")
+			Expect(b.queries.Load()).To(Equal(int64(3)), "another endpoint needs a query of its own")
 		})
 	})
 
-	It("are heard once each, also where the answer is an error and whoever asked has left", func() {
+	It("have their notice recorded once each, also if the answer is an error or the stream that asked has ended", func() {
 		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
@@ -91,17 +93,17 @@
 		})
 	})
 
-	It("count those in a row that stayed without an answer", func() {
+	It("mark an endpoint as unresponsive after several unanswered ones in a row", func() {
 		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
 			cases := []struct {
 				what string
 				err  error
 				lost bool
 			}{
-				{"one may be lost on its way", errors.New("timeout"), false},
-				{"an answer", nil, false},
-				{"one again", errors.New("timeout"), false},
-				{"two in a row", errors.New("timeout"), true},
+				{"a single one may be lost", errors.New("timeout"), false},
+				{"answered", nil, false},
+				{"unanswered again", errors.New("timeout"), false},
+				{"two unanswered in a row", errors.New("timeout"), true},
 			}
 			for _, c := range cases {
 				b.results <- c.err
--- a/pkg/gateway/comeback_test.go
+++ b/pkg/gateway/comeback_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("when a refused caller should come back", func() {
-	It("follows how long streams have been refused, and ends with that", func() {
+var _ = Describe("the retry-after time of refused callers", func() {
+	It("grows with the time that streams have been refused, and falls back once they are served", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		c := newRetryAfterEstimator(clock)
 		within := func(want time.Duration) {
@@ -36,12 +36,12 @@
 		within(baseRetryAfter)
 	})
 
-	It("is never sooner than what is known of the cause", func() {
+	It("is never much below the time that the cause of the refusal gives", func() {
 		c := newRetryAfterEstimator(timer.NewManual(time.Unix(1000, 0)))
 		Expect(c.estimate("s", 3*time.Second)).To(BeNumerically(">=", 2*time.Second))
 	})
 
-	It("isn't moved by one refusal among many that are served", func() {
+	It("does not change after a single refusal among many served streams", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		c := newRetryAfterEstimator(clock)
 		for range 20 {
--- a/pkg/gateway/fixture_test.go
+++ b/pkg/gateway/fixture_test.go
@@ -26,19 +26,19 @@
 	RunSpecs(t, "gateway")
 }
 
-// fakeClient answers calls by a script and remembers them.
+// fakeClient answers calls by a script and records them.
 type fakeClient struct {
 	mu      sync.Mutex
 	calls   []*Call
 	repaths [][]fleet.Stage
 	answer  func(n int, c *Call) (*Answer, error)
-	// answerCtx, if set, answers in place of answer, and may wait for ctx.
+	// answerCtx, if set, is used instead of answer, and may wait for ctx.
 	answerCtx     func(ctx context.Context, n int) (*Answer, error)
 	stalled       map[string]string
 	stallErr      error
-	rejectAddress string // repaths that name this address are refused for it
+	rejectAddress string // repaths are rejected because of the endpoint at this address
 	queries       int
-	repathError   func() error // answers new paths
+	repathError   func() error // if set, returns the error of repaths
 }
 
 func (b *fakeClient) Send(ctx context.Context, c *Call) (*Answer, error) {
@@ -53,7 +53,7 @@
 	if a != nil {
 		body := a.Body
 		context.AfterFunc(ctx, func() {
-			_ = body.Close() // a connection ends with its request
+			_ = body.Close() // as a connection is closed when its request ends
 		})
 	}
 	return a, err
@@ -73,21 +73,21 @@
 	return StallReport{Addresses: b.stalled}, b.stallErr
 }
 
-// failRepaths answers new paths by f.
+// failRepaths makes repaths fail with the error that f returns.
 func (b *fakeClient) failRepaths(f func() error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repathError = f
 }
 
-// stallQueries returns how often endpoints were asked what stands still.
+// stallQueries returns the number of stall queries so far.
 func (b *fakeClient) stallQueries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.queries
 }
 
-// stall makes a request stand still at an address.
+// stall makes a request stall at an address.
 func (b *fakeClient) stall(request, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,7 +123,7 @@
 	return len(b.repaths)
 }
 
-// fakeSource believes what a test says.
+// fakeSource is a Source whose state a test sets.
 type fakeSource struct {
 	mu         sync.Mutex
 	view       View
@@ -134,14 +134,14 @@
 	changed    chan struct{}
 	confirmed  chan struct{}
 	unsettled  bool
-	shutdownIn time.Duration // 0: it wasn't told to stop
-	// grantPermits answers for the leader what is borrowed; without it, there is nothing.
+	shutdownIn time.Duration // 0: the host was not told to stop
+	// grantPermits answers requests for permits in place of the leader. If it is nil,
+	// none are granted.
 	grantPermits   func(ids []string, each bool, priority int) time.Duration
 	permitRequests int
-	limitReports   int // that limits were heard
+	limitReports   int // calls of ReportLimits
 }
 
-// RequestPermits asks lend.
 func (s *fakeSource) RequestPermits(_ context.Context, ids []string, each bool, priority int, _ time.Duration) PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +205,7 @@
 	return s.confirmed
 }
 
-// MarkLeaving says that an endpoint leaves, by its own word.
+// MarkLeaving records that an endpoint is leaving and removes it from the endpoints.
 func (s *fakeSource) MarkLeaving(id string) {
 	s.change(func() {
 		s.leaving[id] = true
@@ -215,17 +215,17 @@
 	})
 }
 
-// leave says that an endpoint leaves.
+// leave marks an endpoint as leaving.
 func (s *fakeSource) leave(id string) {
 	s.change(func() { s.leaving[id] = true })
 }
 
-// release says that an endpoint gave up its layers.
+// release marks the layers of an endpoint as released.
 func (s *fakeSource) release(id string) {
 	s.change(func() { s.released[id] = true })
 }
 
-// change makes a change of endpoints known.
+// change runs f and announces a change of the endpoints.
 func (s *fakeSource) change(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +234,7 @@
 	s.changed = make(chan struct{})
 }
 
-// confirm brings a view.
+// confirm installs a view and announces a confirmation.
 func (s *fakeSource) confirm(v View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +243,7 @@
 	s.confirmed = make(chan struct{})
 }
 
-// fakeOutput remembers an answer.
+// fakeOutput records an answer.
 type fakeOutput struct {
 	mu      sync.Mutex
 	refusal *failure.Error
@@ -299,7 +299,7 @@
 
 const (
 	key   = "k1"
-	extra = 100 // repeats that the budget allows in a window
+	extra = 100 // retries that the budget allows in a window
 )
 
 func configuration() *fleet.Configuration {
@@ -359,7 +359,7 @@
 	gateway *Gateway
 }
 
-// withGateway runs f on a gateway over a scripted backend and a manual clock.
+// withGateway runs f on a gateway with a scripted endpoint client and a manual clock.
 func withGateway(f func(b *fixture)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	source := &fakeSource{
@@ -382,7 +382,7 @@
 		clock:   clock,
 		gateway: New("a", backend, source, budget, clock, nil, metrics.New()),
 	}
-	clock.Advance(10 * time.Second) // the budget fills
+	clock.Advance(10 * time.Second) // refills the retry budget
 	f(b)
 }
 
@@ -399,7 +399,6 @@
 	}
 }
 
-// serve answers one request.
 func (b *fixture) serve(route string) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
@@ -407,7 +406,7 @@
 	return out
 }
 
-// serveFor answers one request that may take wait.
+// serveFor serves one request whose caller waits at most wait.
 func (b *fixture) serveFor(route string, wait time.Duration) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
@@ -416,7 +415,8 @@
 	return out
 }
 
-// stream starts a stream that ends with ctx at the latest; done tells its end.
+// stream starts a stream that ends with ctx at the latest; done receives a value at its
+// end.
 func (b *fixture) stream(ctx context.Context) (out *fakeOutput, done chan bool) {
 	out = &fakeOutput{}
 	done = make(chan bool, 1)
@@ -428,8 +428,8 @@
 	return out, done
 }
 
-// streamInFlight starts a stream at endpoints that give its first event and no more,
-// and returns once the caller has it. end ends it.
+// streamInFlight starts a stream whose endpoints send the first event and no more, and
+// returns once the caller has that event. The function returned ends the stream.
 func (b *fixture) streamInFlight() (end func()) {
 	b.client.answer = func(int, *Call) (*Answer, error) {
 		return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
@@ -459,7 +459,8 @@
 	return s.String()
 }
 
-// brokenBody gives text and then an error, as a reset connection does.
+// brokenBody returns the text of Reader and then an error, like a connection that is
+// reset.
 type brokenBody struct {
 	io.Reader
 }
@@ -474,7 +475,7 @@
 
 func (brokenBody) Close() error { return nil }
 
-// background runs f beside the test, which sees to its end.
+// background runs f in a goroutine, which the test must bring to its end.
 func background(f func()) {
 	group.New(context.Background()).Go(func(context.Context) {
 		f()
--- a/pkg/gateway/leaves_test.go
+++ b/pkg/gateway/leaves_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("an endpoint that says in answers that it leaves", func() {
+var _ = Describe("an endpoint that reports in answers that it is leaving", func() {
 	for _, c := range routesAndEndpoints {
-		It("gets nothing new, not even where there is nothing else: "+c.route, func() {
+		It("gets no new request, even if it is the only endpoint: "+c.route, func() {
 			withGateway(func(b *fixture) {
 				b.source.setEndpoints("app", appEndpoint("p"))
 				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
@@ -26,16 +26,16 @@
 		})
 	}
 
-	It("is heard in answers of failures, without a body, and in those that turn a request away", func() {
+	It("is marked as leaving by error answers, answers without a body and refusals too", func() {
 		cases := []struct {
 			name   string
 			answer *Answer
 		}{
 			{name: "failure", answer: completeAnswer(500, "no")},
 			{name: "no body", answer: completeAnswer(204, "")},
-			{name: "turned away", answer: refusedBy("")},
+			{name: "refused", answer: refusedBy("")},
 			{name: "damaged", answer: &Answer{Status: 200, Body: http.NoBody}},
-			{name: "torn", answer: &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader("half")}}},
+			{name: "truncated", answer: &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader("half")}}},
 		}
 		for _, c := range cases {
 			for _, route := range []string{"unsafe", "stream"} {
@@ -54,7 +54,7 @@
 		}
 	})
 
-	It("may be a later part of a path, and then streams under way leave it", func() {
+	It("is replaced in the paths of running streams if it is a later stage", func() {
 		withGateway(func(b *fixture) {
 			end := b.streamInFlight()
 			defer end()
@@ -70,7 +70,7 @@
 		})
 	})
 
-	It("is left by streams under way only once their first endpoint, which rests, may be told so", func() {
+	It("is replaced only once the first endpoint of the path is out of backoff and can be called with a new path", func() {
 		withGateway(func(b *fixture) {
 			end := b.streamInFlight()
 			defer end()
@@ -89,7 +89,7 @@
 		})
 	})
 
-	It("keeps the streams that it runs as the first of their paths", func() {
+	It("keeps the streams of which it is the first endpoint", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(_ int, c *Call) (*Answer, error) { return leavingAnswer(c), nil }
 			out := b.serve("stream")
@@ -98,7 +98,7 @@
 		})
 	})
 
-	It("gets no stream back that its first endpoint, which rests, can't bring around what stands still", func() {
+	It("is not sent a stream again that it could not repath around a stalled stage because it was in backoff", func() {
 		withGateway(func(b *fixture) {
 			end := b.streamInFlight()
 			defer end()
@@ -108,13 +108,13 @@
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
 				return len(b.client.sent())
-			}, "5s", "5ms").Should(Equal(2), "another first endpoint continues it")
+			}, "5s", "5ms").Should(Equal(2), "another first endpoint continues the stream")
 			Expect(b.client.sent()[1].ID).NotTo(Equal(path[0].ID))
 			Expect(b.client.repathCount()).To(BeZero())
 		})
 	})
 
-	It("isn't forgotten among many", func() {
+	It("has its backoff kept until it is over, also among many others", func() {
 		withGateway(func(b *fixture) {
 			for n := range 5000 {
 				b.gateway.observeNotice("gone-"+strconv.Itoa(n), fleet.Notice{Backoff: time.Second})
@@ -122,7 +122,7 @@
 			Expect(b.gateway.backoffs.Len()).To(BeNumerically("<=", 5000))
 			b.clock.Advance(2 * time.Second)
 			b.gateway.observeNotice("p", fleet.Notice{Backoff: time.Second})
-			Expect(b.gateway.backoffs.Len()).To(Equal(1), "what is over is forgotten")
+			Expect(b.gateway.backoffs.Len()).To(Equal(1), "expired backoffs are deleted")
 		})
 	})
 })
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -18,7 +18,8 @@
 	return fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: perSecond}}
 }
 
-// reportingLimit answers well, and endpoints name a limit in their answers.
+// reportingLimit answers successfully; the given endpoints report a rate limit in their
+// answers.
 func reportingLimit(ids ...string) func(int, *Call) (*Answer, error) {
 	return func(_ int, c *Call) (*Answer, error) {
 		a := goodAnswer(c)
@@ -30,14 +31,14 @@
 	}
 }
 
-// reportLimit has endpoints name a limit to this host.
+// reportLimit makes endpoints report a rate limit to this host.
 func (b *fixture) reportLimit(ids ...string) {
 	for _, id := range ids {
 		b.gateway.observeLimit("app", id, limitNotice(8).Limit, b.clock.Now())
 	}
 }
 
-// grantPermits has this host hold a permit for each of the endpoints.
+// grantPermits gives this host a permit for each of the endpoints.
 func (b *fixture) grantPermits(ids ...string) {
 	list := permit.Counts{}
 	for _, id := range ids {
@@ -46,7 +47,7 @@
 	b.gateway.permits.AddPermits(0, list, b.clock.Now().Add(permit.Lifetime))
 }
 
-// grantAllRequests has the leader lend all that is asked for.
+// grantAllRequests makes the leader grant all permits that are requested.
 func (b *fixture) grantAllRequests() {
 	b.source.grantPermits = func(ids []string, each bool, _ int) time.Duration {
 		if !each {
@@ -57,9 +58,9 @@
 	}
 }
 
-var _ = Describe("an endpoint that names a limit", func() {
+var _ = Describe("an endpoint that reports a rate limit", func() {
 	for _, c := range routesAndEndpoints {
-		It("gets a call for each permit and no other, while others serve: "+c.route, func() {
+		It("gets one call for each permit and no other, while other endpoints serve: "+c.route, func() {
 			withGateway(func(b *fixture) {
 				b.client.answer = reportingLimit(c.id)
 				b.serveUntil(c.route, c.id)
@@ -71,12 +72,12 @@
 					Expect(b.serve(c.route).refusal).To(BeNil())
 				}
 				Expect(b.client.sentTo(c.id)).To(BeNumerically("<=", n+3))
-				Expect(b.source.permitRequests).To(BeZero(), "others have room")
-				Expect(b.source.limitReports).To(BeNumerically(">", 0), "the leader is told at once")
+				Expect(b.source.permitRequests).To(BeZero(), "other endpoints have capacity")
+				Expect(b.source.limitReports).To(BeNumerically(">", 0), "the limit is sent to the leader at once")
 			})
 		})
 
-		It("gets what the leader lends where there is nothing else, and others are told at once when to return: "+c.route, func() {
+		It("gets what the leader grants if it is the only endpoint, and other requests are refused at once with a retry-after time: "+c.route, func() {
 			withGateway(func(b *fixture) {
 				b.source.setEndpoints("app", appEndpoint("p"))
 				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
@@ -99,12 +100,12 @@
 				}
 				Expect(b.client.sentTo(c.id)).To(Equal(n))
 				Expect(len(times)).To(BeNumerically(">", 10))
-				Expect(b.source.permitRequests).To(BeNumerically("<", 10), "the leader isn't asked for each")
+				Expect(b.source.permitRequests).To(BeNumerically("<", 10), "not every request asks the leader")
 			})
 		})
 	}
 
-	It("may be one of several on a path that all have one", func() {
+	It("may be one of several on a path, each of which needs a permit", func() {
 		withGateway(func(b *fixture) {
 			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4))
 			b.reportLimit("x", "y")
@@ -121,11 +122,11 @@
 			b.source.grantPermits = nil
 			b.grantPermits("x")
 			Expect(b.serve("stream").refusal).NotTo(BeNil())
-			Expect(b.gateway.permits.MayCall("x")).To(BeTrue(), "a permit of half a path isn't used up")
+			Expect(b.gateway.permits.MayCall("x")).To(BeTrue(), "permits for a part of a path are not used up")
 		})
 	})
 
-	It("gets no second send beside a first, but a repeat of one that failed", func() {
+	It("gets no hedge, but a retry of an attempt that failed", func() {
 		withGateway(func(b *fixture) {
 			b.reportLimit("p", "q", "s")
 			b.grantPermits("p", "q", "s")
@@ -140,7 +141,7 @@
 				done <- true
 			})
 			Eventually(b.client.sent, "5s").Should(HaveLen(1))
-			b.clock.Advance(300 * time.Millisecond) // over the time for a second send
+			b.clock.Advance(300 * time.Millisecond) // past the time for a hedge
 			time.Sleep(5 * time.Millisecond)
 			Expect(b.client.sent()).To(HaveLen(1))
 			close(release)
@@ -160,7 +161,7 @@
 		})
 	})
 
-	It("is asked what stands still by a permit, and gives streams another path by one", func() {
+	It("is sent a stall query only with a permit, and likewise a new path for a stream", func() {
 		withGateway(func(b *fixture) {
 			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
 			end := b.streamInFlight()
@@ -189,7 +190,7 @@
 		})
 	})
 
-	It("is told of a new path by a permit, and so is who comes new into it", func() {
+	It("is called with a new path only with a permit, and so are endpoints that the path adds", func() {
 		withGateway(func(b *fixture) {
 			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
 			end := b.streamInFlight()
@@ -210,7 +211,7 @@
 		})
 	})
 
-	It("isn't left for it by the streams that it runs", func() {
+	It("keeps the streams that it runs", func() {
 		withGateway(func(b *fixture) {
 			end := b.streamInFlight()
 			defer end()
@@ -225,7 +226,7 @@
 		})
 	})
 
-	It("is named at fault by the first of a path: then both are taken to have it, and neither to have none", func() {
+	It("may be named as at fault by the first endpoint of a path: then both get the limit, and neither loses one that way", func() {
 		withGateway(func(b *fixture) {
 			says := limitNotice(8)
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
@@ -248,7 +249,7 @@
 		})
 	})
 
-	It("isn't the one that another incarnation's answer is about", func() {
+	It("gets no limit from the answer of another incarnation at its address", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(_ int, c *Call) (*Answer, error) {
 				return &Answer{Status: 421, Misdirected: true, Notice: limitNotice(8), Body: http.NoBody}, nil
@@ -258,7 +259,7 @@
 		})
 	})
 
-	It("is heard in answers of failures, to questions, and in those that turn a path away", func() {
+	It("has it recorded from error answers, refusals, answers to another request and answers to stall queries", func() {
 		for _, a := range []*Answer{completeAnswer(500, "no"), refusedBy(""), {Status: 200, Body: http.NoBody}} {
 			withGateway(func(b *fixture) {
 				a.Notice = limitNotice(8)
@@ -285,7 +286,7 @@
 		})
 	})
 
-	It("is asked for by the more urgent though less urgent ones were just denied", func() {
+	It("is requested a permit for by a more urgent request although a less urgent one was just denied", func() {
 		withGateway(func(b *fixture) {
 			at := b.gateway.permitRequests
 			_, ok := at.begin("e", 5)
@@ -302,12 +303,12 @@
 				Expect(ok).To(BeTrue())
 			}
 			due, ok := at.begin("e", 5)
-			Expect(ok).To(BeFalse(), "not too many at once")
+			Expect(ok).To(BeFalse(), "too many requests to the leader at once")
 			Expect(due).To(BeNumerically(">", 0))
 		})
 	})
 
-	It("isn't asked for by who needs no permit any more once the answer is there", func() {
+	It("serves a request without a permit if its limit was removed while a permit was requested", func() {
 		withGateway(func(b *fixture) {
 			b.source.setEndpoints("app", appEndpoint("p"))
 			b.client.answer = reportingLimit("p")
@@ -321,7 +322,7 @@
 		})
 	})
 
-	It("may rest or leave at once with it, and then no permit helps", func() {
+	It("gets no call in spite of a permit while it is in backoff or leaving", func() {
 		for _, word := range []fleet.Notice{{Backoff: testBackoff}, {Leaving: true}} {
 			withGateway(func(b *fixture) {
 				b.reportLimit("p")
@@ -336,7 +337,7 @@
 		}
 	})
 
-	It("has counted a call whose caller left", func() {
+	It("has a permit used up by a call whose caller disconnected", func() {
 		withGateway(func(b *fixture) {
 			b.source.setEndpoints("app", appEndpoint("p"))
 			b.reportLimit("p")
@@ -352,7 +353,7 @@
 		})
 	})
 
-	It("has places promised one after the other to who is refused", func() {
+	It("has permits promised one after the other to the requests that are denied", func() {
 		withGateway(func(b *fixture) {
 			at := b.gateway.permitRequests
 			loan := PermitReply{AvailableIn: 500 * time.Millisecond, Interval: time.Second}
@@ -364,7 +365,7 @@
 			}
 			b.clock.Advance(10 * time.Second)
 			_, _ = at.begin("e", 5)
-			Expect(at.end("e", 5, loan)).To(Equal(loan.AvailableIn), "these had their places")
+			Expect(at.end("e", 5, loan)).To(Equal(loan.AvailableIn), "the permits promised before are past")
 		})
 	})
 })
--- a/pkg/gateway/panic_test.go
+++ b/pkg/gateway/panic_test.go
@@ -8,11 +8,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// inChild says that this process is the test's own child, which may end.
+// inChild is set in the environment of the child process in which the test itself runs,
+// because a panic would end the process.
 const inChild = "GATEWAY_TEST_CHILD"
 
-var _ = Describe("a request whose answer ends the goroutine that reads it", func() {
-	// Such a request would end one host after the other, as its caller tries them all.
+var _ = Describe("a request whose answer makes the goroutine that reads it panic", func() {
+	// The caller of such a request retries it at every host, so it would end one after
+	// the other.
 	for _, route := range []string{"stream", "safe", "unsafe"} {
 		It("is answered as failed, and the host goes on: "+route, func() {
 			if os.Getenv(inChild) == "" {
@@ -24,7 +26,7 @@
 			}
 			withGateway(func(b *fixture) {
 				b.client.answer = func(int, *Call) (*Answer, error) {
-					panic("an answer that nobody thought of")
+					panic("unexpected answer")
 				}
 				out := b.serve(route)
 				Expect(out.refusal).NotTo(BeNil())
--- a/pkg/gateway/pipes_test.go
+++ b/pkg/gateway/pipes_test.go
@@ -17,20 +17,20 @@
 	return path
 }
 
-var _ = Describe("the pipes between failure domains", func() {
+var _ = Describe("the bandwidth limit of inter-domain links", func() {
 	engine := &fleet.Engine{
-		PipeMbps:    8, // a million bytes a second
+		PipeMbps:    8, // 1,000,000 bytes a second
 		ActivationB: 1000,
 	}
 
-	It("let paths within a domain pass, however many", func() {
+	It("does not apply to paths within a domain", func() {
 		p := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
 		for range 10000 {
 			Expect(p.tryTake(engine, pathThrough("a", "a"), 1000, 10)).To(BeTrue())
 		}
 	})
 
-	It("are filled by all hosts together to their share and no further", func() {
+	It("is reached and not exceeded by all hosts together", func() {
 		const hosts = 5
 		const tokens = 10 // 10,000 bytes
 		clock := timer.NewManual(time.Unix(0, 0))
@@ -53,7 +53,7 @@
 		Expect(float64(taken)).To(BeNumerically(">=", share*seconds*0.9))
 	})
 
-	It("are parted by pair, either way, and taken all or not at all", func() {
+	It("applies to each pair of domains, in both directions together, and is taken for all pairs of a path or none", func() {
 		p := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
 		for p.tryTake(engine, pathThrough("b", "a"), 100, 1) {
 			continue
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// replaceEndpoints puts new incarnations in the place of all endpoints, as after their ends.
+// replaceEndpoints replaces all endpoints by new incarnations, as after crashes.
 func (s *fakeSource) replaceEndpoints(n int) {
 	mark := "-" + strconv.Itoa(n)
 	s.change(func() {
@@ -22,14 +22,14 @@
 	})
 }
 
-// crashing is how a send ends under which the endpoint fell: with a broken connection.
+// crashing is the answer of an endpoint that crashes: the connection breaks.
 func crashing(int, *Call) (*Answer, error) {
 	return nil, &SendError{Sent: true, Cause: io.ErrUnexpectedEOF}
 }
 
-var _ = Describe("a request under which endpoints end", func() {
+var _ = Describe("a request that crashes endpoints", func() {
 	for _, route := range []string{"stream", "safe", "unsafe"} {
-		It("isn't sent again once three have ended, and is told so at once: "+route, func() {
+		It("is not sent again once three have crashed, and is refused at once: "+route, func() {
 			withGateway(func(b *fixture) {
 				b.client.answer = crashing
 				var out *fakeOutput
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -14,17 +14,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// hangingBody is a body from which nothing comes until it is closed.
+// hangingBody returns a body that ends only when it is closed.
 func hangingBody(text string) io.ReadCloser {
 	r, w := io.Pipe()
 	background(func() {
-		_, _ = w.Write([]byte(text)) // ends when the reader does
+		_, _ = w.Write([]byte(text)) // returns at the latest when the reader is closed
 	})
 	return r
 }
 
 var _ = Describe("a stream", func() {
-	It("passes every event on, with a path that runs every layer once", func() {
+	It("passes every event on, over a path that runs every layer once", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(1, 5)), nil }
 			out := b.serve("stream")
@@ -37,7 +37,7 @@
 		})
 	})
 
-	It("continues after the last whole event when it breaks within the next", func() {
+	It("continues after the last complete event if it is interrupted within the next", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n == 1 {
@@ -52,7 +52,7 @@
 		})
 	})
 
-	It("is broken off, not ended, if it can't be continued", func() {
+	It("is aborted, not ended, if it cannot be continued", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) {
 				return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
@@ -63,7 +63,7 @@
 		})
 	})
 
-	It("takes a body that ends within an event for broken", func() {
+	It("is continued if its body ends within an event", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(n int, _ *Call) (*Answer, error) {
 				if n == 1 {
@@ -75,7 +75,7 @@
 		})
 	})
 
-	It("goes around the part that refused", func() {
+	It("is sent on a path without the stage that refused it", func() {
 		withGateway(func(b *fixture) {
 			refused := ""
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
@@ -90,7 +90,7 @@
 		})
 	})
 
-	It("is refused at once, with a time to come back, where no path is", func() {
+	It("is refused at once, with a retry-after time, if there is no path", func() {
 		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 2)}
 			out := b.serve("stream")
@@ -100,7 +100,7 @@
 		})
 	})
 
-	It("waits for endpoints that may not have announced themselves yet, and no longer", func() {
+	It("waits for endpoints that may not have announced themselves yet, for a limited time", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(1, 2)), nil }
 			b.source.unsettled = true
@@ -125,7 +125,7 @@
 		})
 	})
 
-	It("sends nothing to endpoints that load", func() {
+	It("is not sent to endpoints that are loading", func() {
 		withGateway(func(b *fixture) {
 			for i := range b.source.endpoints["llm"] {
 				b.source.endpoints["llm"][i].Loading = true
@@ -134,7 +134,7 @@
 		})
 	})
 
-	It("puts another part in the place of one that stands still", func() {
+	It("has a stalled stage replaced", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(_ int, c *Call) (*Answer, error) {
 				b.client.mu.Lock()
@@ -157,7 +157,7 @@
 		})
 	})
 
-	It("continues elsewhere if the first endpoint doesn't answer at all", func() {
+	It("continues at another first endpoint if the first one does not answer at all", func() {
 		withGateway(func(b *fixture) {
 			b.client.stallErr = errReset
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
@@ -183,7 +183,7 @@
 		})
 	})
 
-	It("stays on a first endpoint that leaves, and is continued when that breaks it off", func() {
+	It("stays on a first endpoint that is leaving, and is continued when that endpoint breaks it off", func() {
 		withGateway(func(b *fixture) {
 			first := hangingBody(events(1, 1))
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
@@ -208,7 +208,7 @@
 		})
 	})
 
-	It("stays on a part that leaves where no other is in the failure domain", func() {
+	It("stays on a stage that is leaving if there is no other one in the failure domain", func() {
 		withGateway(func(b *fixture) {
 			other := engineEndpoint("z", 2, 4)
 			other.Domain = "b"
@@ -223,7 +223,7 @@
 		})
 	})
 
-	It("waits a little for room, once it was cut, before it is broken off", func() {
+	It("waits for free capacity after an interruption before it is aborted", func() {
 		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 4), engineEndpoint("y", 0, 4)}
 			room := make(chan bool, 1)
@@ -254,7 +254,7 @@
 		})
 	})
 
-	It("leaves a part that leaves", func() {
+	It("has a stage replaced that is leaving", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) {
 				return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
@@ -272,7 +272,7 @@
 		})
 	})
 
-	It("leaves a part that gave up its layers well before a leaving one, and stays on a first one", func() {
+	It("has a stage that released its layers replaced well before a leaving one would be, but stays on a first stage", func() {
 		withGateway(func(b *fixture) {
 			end := b.streamInFlight()
 			path := b.client.sent()[0].Path
@@ -291,15 +291,15 @@
 		})
 	})
 
-	It("keeps the parts of its path that are good when it goes around one", func() {
+	It("keeps the good stages of its path when another one is replaced", func() {
 		cases := []struct {
 			what  string
 			upset func(b *fixture, id string)
 		}{
-			{"one that stands still", func(b *fixture, id string) { b.client.stall("r1", id+":1") }},
-			{"one that gave up its layers", func(b *fixture, id string) { b.source.release(id) }},
-			{"one that turns slow", func(b *fixture, id string) { b.source.change(func() { b.source.slow[id] = slowStageFactor }) }},
-			{"one that leaves", func(b *fixture, id string) { b.source.leave(id) }},
+			{"stalled", func(b *fixture, id string) { b.client.stall("r1", id+":1") }},
+			{"released its layers", func(b *fixture, id string) { b.source.release(id) }},
+			{"became slow", func(b *fixture, id string) { b.source.change(func() { b.source.slow[id] = slowStageFactor }) }},
+			{"leaving", func(b *fixture, id string) { b.source.leave(id) }},
 		}
 		for _, c := range cases {
 			withGateway(func(b *fixture) {
@@ -307,8 +307,8 @@
 					engineEndpoint("x", 0, 1), engineEndpoint("y", 1, 3), engineEndpoint("z", 3, 4),
 				}
 				end := b.streamInFlight()
-				// The last part is slow now, and others hold its layers: a path
-				// chosen anew would leave it.
+				// The last stage has become slow and other endpoints hold its layers,
+				// so a completely new path would not use it.
 				slow := engineEndpoint("z", 3, 4)
 				slow.Slowdown = 20
 				b.source.change(func() {
@@ -332,7 +332,7 @@
 		}
 	})
 
-	It("offers another path at once where one was refused for an endpoint", func() {
+	It("has another path offered at once if one was rejected because of an endpoint", func() {
 		withGateway(func(b *fixture) {
 			slow := engineEndpoint("z2", 2, 4)
 			slow.Slowdown = 20
@@ -356,7 +356,7 @@
 		})
 	})
 
-	It("leaves a part that gave up its layers though it must stay on one that leaves", func() {
+	It("has a stage that released its layers replaced although it must stay on a leaving one", func() {
 		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{
 				engineEndpoint("x", 0, 1), engineEndpoint("y", 1, 3), engineEndpoint("z", 3, 4),
@@ -377,7 +377,7 @@
 		})
 	})
 
-	It("isn't taken by a host that stops before it would end, and is told where to go at once", func() {
+	It("is refused at once by a host that will stop before the stream would end", func() {
 		cases := []struct {
 			stopsIn time.Duration
 			hint    int
@@ -407,7 +407,7 @@
 		}
 	})
 
-	It("learns how long nearly all streams of a size take, however slow they are", func() {
+	It("is expected to take as long as nearly all recent streams of its size, however slow they were", func() {
 		p := newDurationEstimator()
 		before := p.estimate(100)
 		for i := range 2 * samplesPerClass {
@@ -416,21 +416,21 @@
 		}
 		Expect(p.estimate(100)).To(BeNumerically("<", before))
 		Expect(p.estimate(100)).To(Equal(time.Second))
-		Expect(p.estimate(10)).To(Equal(time.Second), "not what most of them take")
-		Expect(p.estimate(1000)).To(Equal(10*time.Second), "by the nearest size that is known")
+		Expect(p.estimate(10)).To(Equal(time.Second), "a high quantile, not the median")
+		Expect(p.estimate(1000)).To(Equal(10*time.Second), "from the nearest size class that has samples")
 		p.record(0, time.Hour)
 		Expect(p.estimate(100)).To(Equal(time.Second))
 		for range samplesPerClass {
 			p.record(100, time.Minute)
 		}
-		Expect(p.estimate(100)).To(Equal(time.Minute), "a stream that takes a minute isn't taken for two seconds")
+		Expect(p.estimate(100)).To(Equal(time.Minute), "a long duration is learned too")
 		for range samplesPerClass {
 			p.record(100, time.Second)
 		}
-		Expect(p.estimate(100)).To(Equal(time.Second), "and what was slow is forgotten")
+		Expect(p.estimate(100)).To(Equal(time.Second), "old samples are dropped")
 	})
 
-	It("waits for streams that begin if its caller resumes it with many others", func() {
+	It("waits for new streams if its caller resumes it in a burst of others", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, events(2, 2)), nil }
 			done := make(chan string, 10)
@@ -446,7 +446,7 @@
 			for range 4 {
 				send("1")
 			}
-			Eventually(done, "5s").Should(Receive(Equal("1")), "the first may be the only one")
+			Eventually(done, "5s").Should(Receive(Equal("1")), "the first resumed stream may be the only one")
 			Consistently(done, "50ms").ShouldNot(Receive())
 			send("")
 			Eventually(done, "5s").Should(Receive(Equal("")))
@@ -457,7 +457,7 @@
 		})
 	})
 
-	It("tells when its first event came, and of the longest pause", func() {
+	It("has the time of its first event and its longest pause logged", func() {
 		p := &pauseTracker{}
 		start := time.Unix(1000, 0)
 		Expect(p.fields(start)).To(BeEmpty())
@@ -470,7 +470,7 @@
 		Expect(p.fields(start)).To(HaveLen(3))
 	})
 
-	It("spreads the streams that leave a part over some time", func() {
+	It("is moved off a stage at a time that is spread over requests", func() {
 		early, late := 0, 0
 		for i := range 100 {
 			if fraction(fmt.Sprintf("%016x", i*7919)) < 0.5 {
--- a/pkg/gateway/waits_test.go
+++ b/pkg/gateway/waits_test.go
@@ -8,14 +8,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// withWaitEstimator runs f on a host that has sent nothing.
+// withWaitEstimator runs f on an estimator without observations.
 func withWaitEstimator(f func(w *waitEstimator, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(newWaitEstimator(clock), clock)
 }
 
-var _ = Describe("waits", func() {
-	It("are the shortest that was seen lately", func() {
+var _ = Describe("the estimated wait for the first event", func() {
+	It("is the shortest that was observed lately", func() {
 		withWaitEstimator(func(w *waitEstimator, clock *timer.Manual) {
 			long := w.begin("x")
 			clock.Advance(300 * time.Millisecond)
@@ -27,23 +27,23 @@
 			Expect(w.estimate("x")).To(Equal(100 * time.Millisecond))
 			Expect(w.estimate("y")).To(BeZero())
 			w.firstEvent(long)
-			Expect(w.estimate("x")).To(Equal(100*time.Millisecond), "only the first event tells")
+			Expect(w.estimate("x")).To(Equal(100*time.Millisecond), "only the first event counts")
 		})
 	})
 
-	It("grow with what still waits once nothing else tells", func() {
+	It("grows with the sends that still wait once there are no recent observations", func() {
 		withWaitEstimator(func(w *waitEstimator, clock *timer.Manual) {
 			quick := w.begin("x")
 			w.firstEvent(quick)
 			w.begin("x")
 			clock.Advance(400 * time.Millisecond)
-			Expect(w.estimate("x")).To(BeZero(), "another one passed meanwhile")
+			Expect(w.estimate("x")).To(BeZero(), "another stream did not wait")
 			clock.Advance(2 * waitBucket)
 			Expect(w.estimate("x")).To(Equal(400*time.Millisecond + 2*waitBucket))
 		})
 	})
 
-	It("shrink with time where nothing is sent, and are forgotten", func() {
+	It("decreases with time if nothing is sent, until its entry is deleted", func() {
 		withWaitEstimator(func(w *waitEstimator, clock *timer.Manual) {
 			s := w.begin("x")
 			clock.Advance(2 * time.Second)
--- a/pkg/gateway/whole_test.go
+++ b/pkg/gateway/whole_test.go
@@ -16,7 +16,7 @@
 
 var errReset = errors.New("reset")
 
-var _ = Describe("a request of an ordinary service", func() {
+var _ = Describe("a request with a non-streamed answer", func() {
 	It("is sent once and answered unchanged", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, "body"), nil }
@@ -28,7 +28,7 @@
 		})
 	})
 
-	It("is never repeated once it may have run, if it must not be, and isn't called refused", func() {
+	It("is never retried once it may have run, if it must not run twice, and is not reported as refused", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return nil, &SendError{Sent: true, Cause: errReset} }
 			out := b.serve("unsafe")
@@ -38,7 +38,7 @@
 		})
 	})
 
-	It("isn't repeated after a damaged or torn answer either", func() {
+	It("is not retried after a damaged or truncated answer either", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) {
 				return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader("half")}}, nil
@@ -56,7 +56,7 @@
 		})
 	})
 
-	It("goes to another endpoint if the first says that it didn't run it", func() {
+	It("is sent to another endpoint if the first reports that it did not run it", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(n int, _ *Call) (*Answer, error) {
 				if n == 1 {
@@ -71,7 +71,7 @@
 		})
 	})
 
-	It("is refused with a time to come back, and truly not run, if all endpoints refuse", func() {
+	It("is refused with a retry-after time, and reported as not run, if all endpoints refuse it", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return refusedBy(""), nil }
 			out := b.serve("unsafe")
@@ -81,7 +81,7 @@
 		})
 	})
 
-	It("is said not to have run where no endpoint was reached, even if its time ran out over that", func() {
+	It("is reported as not run if no endpoint was reached, even if its time ran out", func() {
 		cases := []struct {
 			name   string
 			answer func(ctx context.Context, n int) (*Answer, error)
@@ -101,7 +101,7 @@
 				ran: failure.RanNo,
 			},
 			{
-				name: "one refuses, and the time runs out while the next is asked",
+				name: "one refuses, and the time runs out while the next is connected to",
 				answer: func(ctx context.Context, n int) (*Answer, error) {
 					if n == 1 {
 						return refusedBy(""), nil
@@ -146,7 +146,7 @@
 		}
 	})
 
-	It("is repeated after a failure if it may be, but at most as often as its route allows", func() {
+	It("is retried after a failure if it may run twice, but at most as often as its route allows", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(500, "no"), nil }
 			out := b.serve("safe")
@@ -155,7 +155,7 @@
 		})
 	})
 
-	It("is not repeated when the budget is spent", func() {
+	It("is not retried when the retry budget is used up", func() {
 		withGateway(func(b *fixture) {
 			for b.gateway.retries.withdraw(1) {
 				continue
@@ -166,7 +166,7 @@
 		})
 	})
 
-	It("is refused by an unknown key only where the configuration is fresh", func() {
+	It("is refused because of an unknown key only if the configuration is fresh", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, ""), nil }
 			req := b.request("safe")
@@ -179,7 +179,7 @@
 		})
 	})
 
-	It("is not run by a key that may have been taken away", func() {
+	It("is not run with a key that may have been revoked", func() {
 		withGateway(func(b *fixture) {
 			b.source.view.Trusted = false
 			_, e := b.gateway.admit(b.request("safe"), nil)
@@ -194,7 +194,7 @@
 		Expect(rank(2, 9)).To(BeNumerically("<", rank(3, 0)))
 	})
 
-	It("waits a little for a host that becomes ready", func() {
+	It("waits for a host that becomes ready shortly", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, "ok"), nil }
 			good := b.source.view
@@ -210,8 +210,8 @@
 	})
 })
 
-var _ = Describe("the budget of repeats", func() {
-	It("stays under the deployment's in every window, however many hosts share it", func() {
+var _ = Describe("the retry budget", func() {
+	It("is kept by all hosts together in every window, however many they are", func() {
 		for _, hosts := range []int{1, 3, 11} {
 			withGateway(func(b *fixture) {
 				spent := 0
@@ -227,7 +227,7 @@
 		}
 	})
 
-	It("is counted under its client account, of which a bounded number has a name", func() {
+	It("is counted under its client account, of which a limited number has a label of its own", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) { return completeAnswer(200, "ok"), nil }
 			b.serve("safe")
--- a/pkg/gateway/words_test.go
+++ b/pkg/gateway/words_test.go
@@ -13,19 +13,20 @@
 
 const (
 	testBackoff = 3 * time.Second
-	// lastChoiceDelay is how long after a rest was asked for nothing at all may come.
+	// lastChoiceDelay is the time after a request for backoff in which no call at all
+	// is allowed.
 	lastChoiceDelay = time.Second
 )
 
-// askingForBackoff is an answer that turns a request away and asks for rest; fault is the address
-// of the endpoint that it names.
+// askingForBackoff returns an answer that refuses a request and asks for backoff; fault
+// is the address of the endpoint that it names as at fault.
 func askingForBackoff(fault string, d time.Duration) *Answer {
 	a := refusedBy(fault)
 	a.Notice = fleet.Notice{Backoff: d}
 	return a
 }
 
-// goodAnswer is an answer that any route takes.
+// goodAnswer returns a successful answer to a call of any route.
 func goodAnswer(c *Call) *Answer {
 	if len(c.Path) > 0 {
 		return completeAnswer(200, events(1, 2))
@@ -33,14 +34,15 @@
 	return completeAnswer(200, "ok")
 }
 
-// leavingAnswer is a good answer of an endpoint that leaves.
+// leavingAnswer returns a successful answer of an endpoint that is leaving.
 func leavingAnswer(c *Call) *Answer {
 	a := goodAnswer(c)
 	a.Notice = fleet.Notice{Leaving: true}
 	return a
 }
 
-// alwaysAskingForBackoff answers well, but for an endpoint that asks for rest each time.
+// alwaysAskingForBackoff answers successfully, except for one endpoint that asks for
+// backoff each time.
 func alwaysAskingForBackoff(id string, d time.Duration) func(int, *Call) (*Answer, error) {
 	return func(_ int, c *Call) (*Answer, error) {
 		if c.ID == id {
@@ -50,7 +52,7 @@
 	}
 }
 
-// sentTo counts the sends to an endpoint, as the first of a path or as a later part.
+// sentTo returns the number of sends to an endpoint, at any position of a path.
 func (b *fakeClient) sentTo(id string) int {
 	n := 0
 	for _, c := range b.sent() {
@@ -65,7 +67,7 @@
 	return n
 }
 
-// serveUntil serves requests of a route until one was sent to an endpoint.
+// serveUntil serves requests of a route until one was sent to the endpoint.
 func (b *fixture) serveUntil(route, id string) {
 	for range 100 {
 		b.serve(route)
@@ -84,7 +86,7 @@
 	}
 }
 
-// setEndpoints leaves these endpoints to a service.
+// setEndpoints makes the list the only endpoints of a service.
 func (s *fakeSource) setEndpoints(service string, list ...fleet.Endpoint) {
 	s.change(func() { s.endpoints[service] = list })
 }
@@ -95,9 +97,9 @@
 	{"stream", "x"},
 }
 
-var _ = Describe("an endpoint that asks for rest", func() {
+var _ = Describe("an endpoint that asks for backoff", func() {
 	for _, c := range routesAndEndpoints {
-		It("gets nothing until its rest is over, and then as before: "+c.route, func() {
+		It("gets no request until its backoff is over, and then as before: "+c.route, func() {
 			withGateway(func(b *fixture) {
 				b.client.answer = alwaysAskingForBackoff(c.id, testBackoff)
 				b.serveUntil(c.route, c.id)
@@ -111,7 +113,7 @@
 			})
 		})
 
-		It("gets at most one more in a rest, and late, where there is nothing else: "+c.route, func() {
+		It("gets at most one more request in its backoff, and only late, if it is the only endpoint: "+c.route, func() {
 			withGateway(func(b *fixture) {
 				b.source.setEndpoints("app", appEndpoint("p"))
 				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
@@ -121,13 +123,13 @@
 				Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
 				Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", testBackoff))
 				b.serveDuring(c.route, lastChoiceDelay-200*time.Millisecond)
-				Expect(b.client.sentTo(c.id)).To(Equal(1), "it has just said so")
+				Expect(b.client.sentTo(c.id)).To(Equal(1), "it has only just asked for backoff")
 				b.serveDuring(c.route, testBackoff-lastChoiceDelay)
 				Expect(b.client.sentTo(c.id)).To(Equal(2))
 			})
 		})
 
-		It("is still left alone after an answer that serves meanwhile: "+c.route, func() {
+		It("stays in backoff although it answers an earlier request successfully meanwhile: "+c.route, func() {
 			withGateway(func(b *fixture) {
 				b.source.setEndpoints("app", appEndpoint("p"))
 				b.source.setEndpoints("llm", engineEndpoint("x", 0, 4))
@@ -155,28 +157,28 @@
 		})
 	}
 
-	It("may ask again, and the longest rest stands; none, or another incarnation, asks for nothing", func() {
+	It("may ask again, and the longest backoff counts; a new incarnation has none", func() {
 		cases := []struct {
-			name  string
-			rests []time.Duration
-			stand time.Duration
+			name     string
+			backoffs []time.Duration
+			want     time.Duration
 		}{
-			{name: "longer, then shorter", rests: []time.Duration{testBackoff, time.Second}, stand: testBackoff},
-			{name: "shorter, then longer", rests: []time.Duration{time.Second, testBackoff}, stand: testBackoff},
-			{name: "a fraction", rests: []time.Duration{300 * time.Millisecond}, stand: 300 * time.Millisecond},
-			{name: "none", rests: []time.Duration{0}, stand: 0},
-			{name: "none after some", rests: []time.Duration{testBackoff, 0}, stand: testBackoff},
+			{name: "longer, then shorter", backoffs: []time.Duration{testBackoff, time.Second}, want: testBackoff},
+			{name: "shorter, then longer", backoffs: []time.Duration{time.Second, testBackoff}, want: testBackoff},
+			{name: "a fraction", backoffs: []time.Duration{300 * time.Millisecond}, want: 300 * time.Millisecond},
+			{name: "none", backoffs: []time.Duration{0}, want: 0},
+			{name: "none after some", backoffs: []time.Duration{testBackoff, 0}, want: testBackoff},
 		}
 		for _, c := range cases {
 			withGateway(func(b *fixture) {
 				b.source.setEndpoints("app", appEndpoint("p"))
-				for _, d := range c.rests {
+				for _, d := range c.backoffs {
 					b.gateway.observeNotice("p", fleet.Notice{Backoff: d})
 				}
-				Expect(b.gateway.backoffs.Remaining("p")).To(Equal(c.stand), c.name)
+				Expect(b.gateway.backoffs.Remaining("p")).To(Equal(c.want), c.name)
 				b.client.answer = func(_ int, c *Call) (*Answer, error) { return goodAnswer(c), nil }
 				b.serve("safe")
-				Expect(b.client.sentTo("p") > 0).To(Equal(c.stand == 0), c.name)
+				Expect(b.client.sentTo("p") > 0).To(Equal(c.want == 0), c.name)
 				b.source.setEndpoints("app", appEndpoint("p-again"))
 				b.serve("safe")
 				Expect(b.client.sentTo("p-again")).To(Equal(1), c.name)
@@ -184,7 +186,7 @@
 		}
 	})
 
-	It("isn't reached by repeats nor beside a first send", func() {
+	It("gets no retries and no hedges", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(_ int, c *Call) (*Answer, error) { return completeAnswer(500, "no"), nil }
 			b.gateway.observeNotice("p", fleet.Notice{Backoff: testBackoff})
@@ -192,11 +194,11 @@
 			b.clock.Advance(lastChoiceDelay)
 			b.serve("safe")
 			Expect(b.client.sentTo("s")).To(Equal(1))
-			Expect(b.client.sent()).To(HaveLen(1), "a second send isn't a last choice")
+			Expect(b.client.sent()).To(HaveLen(1), "a retry never uses the call that is allowed in a backoff")
 		})
 	})
 
-	It("is named at fault by the first of a path, and then it's the named one", func() {
+	It("may be named as at fault by the first endpoint of a path: then only the named one is in backoff", func() {
 		withGateway(func(b *fixture) {
 			named := ""
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
@@ -217,7 +219,7 @@
 		})
 	})
 
-	It("is found by its address if it isn't on the path any more; who isn't known gets nothing booked", func() {
+	It("is found by its address if it is not on the path; notices about unknown addresses are ignored", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n > 1 {
@@ -247,7 +249,7 @@
 		})
 	})
 
-	It("isn't taken to leave where that may be said of another on the path; both are asked", func() {
+	It("is not marked as leaving if another endpoint on the path may be meant; both are probed", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				a := refusedBy(c.Path[1].Address)
@@ -266,7 +268,7 @@
 		})
 	})
 
-	It("may say so when it turns a new path away, for itself or for the part that it names", func() {
+	It("may do so when it rejects a new path, for itself or for the stage that it names", func() {
 		for _, named := range []bool{false, true} {
 			withGateway(func(b *fixture) {
 				b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
@@ -293,7 +295,7 @@
 		}
 	})
 
-	It("isn't the one that was meant, if another incarnation answers at its address", func() {
+	It("gets neither backoff nor leaving recorded from another incarnation at its address", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(_ int, c *Call) (*Answer, error) {
 				return &Answer{Status: 421, Misdirected: true, Notice: fleet.Notice{Leaving: true, Backoff: testBackoff}, Body: http.NoBody}, nil
@@ -306,7 +308,7 @@
 		})
 	})
 
-	It("is heard in an answer that belongs to another request, and in one that comes after its caller has left", func() {
+	It("has its backoff recorded from an answer to another request, and from one that comes after the caller has disconnected", func() {
 		withGateway(func(b *fixture) {
 			b.client.answer = func(int, *Call) (*Answer, error) {
 				return nil, &SendError{Sent: true, Cause: errReset, Notice: fleet.Notice{Backoff: testBackoff}}
@@ -328,7 +330,7 @@
 		}
 	})
 
-	It("doesn't keep its callers waiting where all rest: each is told at once when the first is over, and none the same", func() {
+	It("is not waited for if all endpoints are in backoff: callers are refused at once, with different times after the first backoff ends", func() {
 		for _, c := range routesAndEndpoints {
 			withGateway(func(b *fixture) {
 				for _, id := range []string{"p", "q", "x", "y", "z"} {
@@ -353,7 +355,7 @@
 		}
 	})
 
-	It("is told of until a path is whole again, not until its first part is", func() {
+	It("makes callers retry when a complete path is available, not when its first stage is", func() {
 		withGateway(func(b *fixture) {
 			b.gateway.observeNotice("x", fleet.Notice{Backoff: time.Second})
 			b.gateway.observeNotice("w", fleet.Notice{Backoff: 4 * time.Second})
@@ -365,7 +367,7 @@
 		})
 	})
 
-	It("isn't asked what stands still but once, and isn't given another path for a stream", func() {
+	It("gets at most one stall query in its backoff and no new path for a stream", func() {
 		withGateway(func(b *fixture) {
 			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4))
 			end := b.streamInFlight()
@@ -383,7 +385,7 @@
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
 				return b.client.repathCount()
-			}, "5s", "5ms").Should(BeNumerically(">", 0), "once its rest is over")
+			}, "5s", "5ms").Should(BeNumerically(">", 0), "once its backoff is over")
 		})
 	})
 })
