--- a/pkg/gateway/asker_test.go
+++ b/pkg/gateway/asker_test.go
@@ -53,12 +53,12 @@
 
 var _ = Describe("stall queries", func() {
 	It("are sent to an endpoint one at a time, and each serves all streams that ask meanwhile or shortly after", func() {
-		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
+		withStallQuerier(func(q *stallQuerier, b *queryClient, clock *timer.Manual) {
 			g := group.New(context.Background())
 			answers := make(chan *stallQuery, 20)
 			for range 20 {
 				g.Go(func(ctx context.Context) {
-					answers <- a.query(ctx, "s", "x", "x:1")
+					answers <- q.query(ctx, "s", "x", "x:1")
 				})
 			}
 			Eventually(b.queries.Load, "5s").Should(Equal(int64(1)))
@@ -70,33 +70,33 @@
 			Expect(b.queries.Load()).To(Equal(int64(1)))
 			clock.Advance(answerReuse)
 			b.results <- nil
-			a.query(context.Background(), "s", "x", "x:1")
+			q.query(context.Background(), "s", "x", "x:1")
 			Expect(b.queries.Load()).To(Equal(int64(2)), "an old answer is not reused")
 			b.results <- nil
-			a.query(context.Background(), "s", "y", "y:1")
+			q.query(context.Background(), "s", "y", "y:1")
 			Expect(b.queries.Load()).To(Equal(int64(3)), "another endpoint needs a query of its own")
 		})
 	})
 
 	It("have their notice recorded once each, also if the answer is an error or the stream that asked has ended", func() {
-		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
+		withStallQuerier(func(q *stallQuerier, b *queryClient, clock *timer.Manual) {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			b.results <- nil
-			a.query(ctx, "s", "x", "x:1")
-			a.query(ctx, "s", "x", "x:1") // the same answer
+			q.query(ctx, "s", "x", "x:1")
+			q.query(ctx, "s", "x", "x:1") // the same answer
 			Expect(b.notices).To(Equal([]fleet.Notice{{Leaving: true}}))
 			clock.Advance(answerReuse)
 			b.results <- errors.New("status 500")
-			a.query(ctx, "s", "x", "x:1")
+			q.query(ctx, "s", "x", "x:1")
 			Expect(b.notices).To(HaveLen(2))
 		})
 	})
 
 	It("mark an endpoint as unresponsive after several unanswered ones in a row", func() {
-		withStallQuerier(func(a *stallQuerier, b *queryClient, clock *timer.Manual) {
+		withStallQuerier(func(q *stallQuerier, b *queryClient, clock *timer.Manual) {
 			cases := []struct {
-				what string
+				name string
 				err  error
 				lost bool
 			}{
@@ -107,7 +107,7 @@
 			}
 			for _, c := range cases {
 				b.results <- c.err
-				Expect(a.query(context.Background(), "s", "x", "x:1").unresponsive()).To(Equal(c.lost), c.what)
+				Expect(q.query(context.Background(), "s", "x", "x:1").unresponsive()).To(Equal(c.lost), c.name)
 				clock.Advance(answerReuse)
 			}
 		})
--- a/pkg/gateway/comeback_test.go
+++ b/pkg/gateway/comeback_test.go
@@ -11,46 +11,46 @@
 var _ = Describe("the retry-after time of refused callers", func() {
 	It("grows with the time that streams have been refused, and falls back once they are served", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		c := newRetryAfterEstimator(clock)
+		e := newRetryAfterEstimator(clock)
 		within := func(want time.Duration) {
 			for range 20 {
-				got := c.estimate("s", baseRetryAfter)
+				got := e.estimate("s", baseRetryAfter)
 				Expect(got).To(BeNumerically(">=", max(baseRetryAfter, time.Duration(float64(want)*(1-shortageRetryJitter)))))
 				Expect(got).To(BeNumerically("<=", min(maxRetryAfter, time.Duration(float64(want)*(1+shortageRetryJitter)))))
 			}
 		}
 		within(baseRetryAfter)
-		c.record("s", true)
+		e.record("s", true)
 		within(baseRetryAfter)
 		for range 8 {
-			c.record("s", true)
+			e.record("s", true)
 			clock.Advance(250 * time.Millisecond)
 		}
 		within(2 * time.Second)
 		clock.Advance(time.Minute)
 		within(maxRetryAfter)
-		Expect(c.estimate("other", baseRetryAfter)).To(BeNumerically("<=", 2*baseRetryAfter))
+		Expect(e.estimate("other", baseRetryAfter)).To(BeNumerically("<=", 2*baseRetryAfter))
 		for range 12 {
-			c.record("s", false)
+			e.record("s", false)
 		}
 		within(baseRetryAfter)
 	})
 
 	It("is never much below the time that the cause of the refusal gives", func() {
-		c := newRetryAfterEstimator(timer.NewManual(time.Unix(1000, 0)))
-		Expect(c.estimate("s", 3*time.Second)).To(BeNumerically(">=", 2*time.Second))
+		e := newRetryAfterEstimator(timer.NewManual(time.Unix(1000, 0)))
+		Expect(e.estimate("s", 3*time.Second)).To(BeNumerically(">=", 2*time.Second))
 	})
 
 	It("does not change after a single refusal among many served streams", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
-		c := newRetryAfterEstimator(clock)
+		e := newRetryAfterEstimator(clock)
 		for range 20 {
 			for range 9 {
-				c.record("s", false)
+				e.record("s", false)
 			}
-			c.record("s", true)
+			e.record("s", true)
 			clock.Advance(time.Second)
 		}
-		Expect(c.estimate("s", baseRetryAfter)).To(BeNumerically("<=", 2*baseRetryAfter))
+		Expect(e.estimate("s", baseRetryAfter)).To(BeNumerically("<=", 2*baseRetryAfter))
 	})
 })
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -110,15 +110,15 @@
 			b.source.setEndpoints("llm", engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4))
 			b.reportLimit("x", "y")
 			b.client.answer = reportingLimit("x", "y")
-			asked := []string(nil)
+			requested := []string(nil)
 			b.source.grantPermits = func(ids []string, each bool, _ int) time.Duration {
 				Expect(each).To(BeTrue())
-				asked = ids
+				requested = ids
 				b.grantPermits(ids...)
 				return 0
 			}
 			Expect(b.serve("stream").refusal).To(BeNil())
-			Expect(asked).To(ConsistOf("x", "y"))
+			Expect(requested).To(ConsistOf("x", "y"))
 			b.source.grantPermits = nil
 			b.grantPermits("x")
 			Expect(b.serve("stream").refusal).NotTo(BeNil())
@@ -169,16 +169,16 @@
 			path := b.client.sent()[0].Path
 			b.client.stall("r1", path[1].Address)
 			b.reportLimit("x", "y", "z")
-			asked := b.client.stallQueries()
+			before := b.client.stallQueries()
 			for range 20 {
 				b.clock.Advance(100 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
 			}
-			Expect(b.client.stallQueries()).To(Equal(asked))
+			Expect(b.client.stallQueries()).To(Equal(before))
 			Expect(b.client.repathCount()).To(BeZero())
-			calls := atomic.Int64{}
+			requests := atomic.Int64{}
 			b.source.grantPermits = func(ids []string, _ bool, _ int) time.Duration {
-				calls.Add(1)
+				requests.Add(1)
 				b.grantPermits("x", "x", "y", "z")
 				return 0
 			}
@@ -186,7 +186,7 @@
 				b.clock.Advance(100 * time.Millisecond)
 				return b.client.repathCount()
 			}, "5s", "5ms").Should(BeNumerically(">", 0))
-			Expect(calls.Load()).To(BeNumerically(">", 0))
+			Expect(requests.Load()).To(BeNumerically(">", 0))
 		})
 	})
 
@@ -228,13 +228,13 @@
 
 	It("may be named as at fault by the first endpoint of a path: then both get the limit, and neither loses one that way", func() {
 		withGateway(func(b *fixture) {
-			says := limitNotice(8)
+			notice := limitNotice(8)
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				if n > 1 {
 					return goodAnswer(c), nil
 				}
 				a := refusedBy(c.Path[1].Address)
-				a.Notice = says
+				a.Notice = notice
 				return a, nil
 			}
 			b.serve("stream")
@@ -288,23 +288,23 @@
 
 	It("is requested a permit for by a more urgent request although a less urgent one was just denied", func() {
 		withGateway(func(b *fixture) {
-			at := b.gateway.permitRequests
-			_, ok := at.begin("e", 5)
+			requests := b.gateway.permitRequests
+			_, ok := requests.begin("e", 5)
 			Expect(ok).To(BeTrue())
-			at.end("e", 5, PermitReply{AvailableIn: time.Second, Interval: time.Second})
-			_, ok = at.begin("e", 5)
+			requests.end("e", 5, PermitReply{AvailableIn: time.Second, Interval: time.Second})
+			_, ok = requests.begin("e", 5)
 			Expect(ok).To(BeFalse())
-			_, ok = at.begin("e", 4)
+			_, ok = requests.begin("e", 4)
 			Expect(ok).To(BeTrue())
-			at.end("e", 4, PermitReply{})
+			requests.end("e", 4, PermitReply{})
 			b.clock.Advance(denialLifetime)
 			for range maxConcurrentPermitRequests {
-				_, ok = at.begin("e", 5)
+				_, ok = requests.begin("e", 5)
 				Expect(ok).To(BeTrue())
 			}
-			due, ok := at.begin("e", 5)
+			availableIn, ok := requests.begin("e", 5)
 			Expect(ok).To(BeFalse(), "too many requests to the leader at once")
-			Expect(due).To(BeNumerically(">", 0))
+			Expect(availableIn).To(BeNumerically(">", 0))
 		})
 	})
 
@@ -323,10 +323,10 @@
 	})
 
 	It("gets no call in spite of a permit while it is in backoff or leaving", func() {
-		for _, word := range []fleet.Notice{{Backoff: testBackoff}, {Leaving: true}} {
+		for _, notice := range []fleet.Notice{{Backoff: testBackoff}, {Leaving: true}} {
 			withGateway(func(b *fixture) {
 				b.reportLimit("p")
-				b.gateway.observeNotice("p", word)
+				b.gateway.observeNotice("p", notice)
 				b.client.answer = reportingLimit()
 				for range 20 {
 					b.grantPermits("p")
@@ -355,17 +355,17 @@
 
 	It("has permits promised one after the other to the requests that are denied", func() {
 		withGateway(func(b *fixture) {
-			at := b.gateway.permitRequests
-			loan := PermitReply{AvailableIn: 500 * time.Millisecond, Interval: time.Second}
-			_, _ = at.begin("e", 5)
-			Expect(at.end("e", 5, loan)).To(Equal(500 * time.Millisecond))
+			requests := b.gateway.permitRequests
+			reply := PermitReply{AvailableIn: 500 * time.Millisecond, Interval: time.Second}
+			_, _ = requests.begin("e", 5)
+			Expect(requests.end("e", 5, reply)).To(Equal(500 * time.Millisecond))
 			for n := range 3 {
-				due, _ := at.begin("e", 5)
-				Expect(due).To(Equal(loan.AvailableIn + time.Duration(n+1)*loan.Interval))
+				availableIn, _ := requests.begin("e", 5)
+				Expect(availableIn).To(Equal(reply.AvailableIn + time.Duration(n+1)*reply.Interval))
 			}
 			b.clock.Advance(10 * time.Second)
-			_, _ = at.begin("e", 5)
-			Expect(at.end("e", 5, loan)).To(Equal(loan.AvailableIn), "the permits promised before are past")
+			_, _ = requests.begin("e", 5)
+			Expect(requests.end("e", 5, reply)).To(Equal(reply.AvailableIn), "the permits promised before are past")
 		})
 	})
 })
--- a/pkg/gateway/pipes_test.go
+++ b/pkg/gateway/pipes_test.go
@@ -24,9 +24,9 @@
 	}
 
 	It("does not apply to paths within a domain", func() {
-		p := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
+		l := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
 		for range 10000 {
-			Expect(p.tryTake(engine, pathThrough("a", "a"), 1000, 10)).To(BeTrue())
+			Expect(l.tryTake(engine, pathThrough("a", "a"), 1000, 10)).To(BeTrue())
 		}
 	})
 
@@ -42,8 +42,8 @@
 		const seconds = 20
 		for range seconds * 10 {
 			clock.Advance(100 * time.Millisecond)
-			for _, p := range all {
-				for p.tryTake(engine, pathThrough("a", "b"), tokens, hosts) {
+			for _, l := range all {
+				for l.tryTake(engine, pathThrough("a", "b"), tokens, hosts) {
 					taken += tokens * 1000
 				}
 			}
@@ -54,14 +54,14 @@
 	})
 
 	It("applies to each pair of domains, in both directions together, and is taken for all pairs of a path or none", func() {
-		p := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
-		for p.tryTake(engine, pathThrough("b", "a"), 100, 1) {
+		l := newLinkBuckets(timer.NewManual(time.Unix(0, 0)))
+		for l.tryTake(engine, pathThrough("b", "a"), 100, 1) {
 			continue
 		}
-		Expect(p.tryTake(engine, pathThrough("a", "b"), 100, 1)).To(BeFalse())
-		before := p.refill(fleet.DomainPair{A: "b", B: "c"}, 6e5, 1e5).bytes
-		Expect(p.tryTake(engine, pathThrough("a", "b", "c"), 100, 1)).To(BeFalse())
-		Expect(p.refill(fleet.DomainPair{A: "b", B: "c"}, 6e5, 1e5).bytes).To(Equal(before))
-		Expect(p.tryTake(engine, pathThrough("b", "c"), 100, 1)).To(BeTrue())
+		Expect(l.tryTake(engine, pathThrough("a", "b"), 100, 1)).To(BeFalse())
+		before := l.refill(fleet.DomainPair{A: "b", B: "c"}, 6e5, 1e5).bytes
+		Expect(l.tryTake(engine, pathThrough("a", "b", "c"), 100, 1)).To(BeFalse())
+		Expect(l.refill(fleet.DomainPair{A: "b", B: "c"}, 6e5, 1e5).bytes).To(Equal(before))
+		Expect(l.tryTake(engine, pathThrough("b", "c"), 100, 1)).To(BeTrue())
 	})
 })
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -278,13 +278,13 @@
 			path := b.client.sent()[0].Path
 			b.source.release(path[0].ID)
 			b.source.release(path[1].ID)
-			moved := 0 * time.Second
+			elapsed := 0 * time.Second
 			Eventually(func() int {
 				b.clock.Advance(10 * time.Millisecond)
-				moved += 10 * time.Millisecond
+				elapsed += 10 * time.Millisecond
 				return b.client.repathCount()
 			}, "5s", "1ms").Should(Equal(1))
-			Expect(moved).To(BeNumerically("<", leaveGrace))
+			Expect(elapsed).To(BeNumerically("<", leaveGrace))
 			Expect(b.client.repaths[0][0]).To(Equal(path[0]))
 			Expect(b.client.repaths[0][1].ID).NotTo(Equal(path[1].ID))
 			end()
@@ -293,8 +293,8 @@
 
 	It("keeps the good stages of its path when another one is replaced", func() {
 		cases := []struct {
-			what  string
-			upset func(b *fixture, id string)
+			name   string
+			change func(b *fixture, id string)
 		}{
 			{"stalled", func(b *fixture, id string) { b.client.stall("r1", id+":1") }},
 			{"released its layers", func(b *fixture, id string) { b.source.release(id) }},
@@ -317,16 +317,16 @@
 						engineEndpoint("v", 0, 4), engineEndpoint("z2", 3, 4), engineEndpoint("z3", 3, 4),
 					}
 				})
-				c.upset(b, "y")
+				c.change(b, "y")
 				Eventually(func() int {
 					b.clock.Advance(50 * time.Millisecond)
 					return b.client.repathCount()
-				}, "5s", "2ms").Should(BeNumerically(">", 0), c.what)
+				}, "5s", "2ms").Should(BeNumerically(">", 0), c.name)
 				path := b.client.repaths[0]
-				Expect(path).To(HaveLen(3), c.what)
-				Expect(path[1].ID).To(Equal("v"), c.what)
-				Expect(path[1].Layers).To(Equal(fleet.Range{From: 1, To: 3}), c.what)
-				Expect(path[2].ID).To(Equal("z"), c.what)
+				Expect(path).To(HaveLen(3), c.name)
+				Expect(path[1].ID).To(Equal("v"), c.name)
+				Expect(path[1].Layers).To(Equal(fleet.Range{From: 1, To: 3}), c.name)
+				Expect(path[2].ID).To(Equal("z"), c.name)
 				end()
 			})
 		}
@@ -408,26 +408,26 @@
 	})
 
 	It("is expected to take as long as nearly all recent streams of its size, however slow they were", func() {
-		p := newDurationEstimator()
-		before := p.estimate(100)
+		e := newDurationEstimator()
+		before := e.estimate(100)
 		for i := range 2 * samplesPerClass {
-			p.record(100, time.Second)
-			p.record(10, time.Duration(i%10+1)*100*time.Millisecond)
+			e.record(100, time.Second)
+			e.record(10, time.Duration(i%10+1)*100*time.Millisecond)
 		}
-		Expect(p.estimate(100)).To(BeNumerically("<", before))
-		Expect(p.estimate(100)).To(Equal(time.Second))
-		Expect(p.estimate(10)).To(Equal(time.Second), "a high quantile, not the median")
-		Expect(p.estimate(1000)).To(Equal(10*time.Second), "from the nearest size class that has samples")
-		p.record(0, time.Hour)
-		Expect(p.estimate(100)).To(Equal(time.Second))
+		Expect(e.estimate(100)).To(BeNumerically("<", before))
+		Expect(e.estimate(100)).To(Equal(time.Second))
+		Expect(e.estimate(10)).To(Equal(time.Second), "a high quantile, not the median")
+		Expect(e.estimate(1000)).To(Equal(10*time.Second), "from the nearest size class that has samples")
+		e.record(0, time.Hour)
+		Expect(e.estimate(100)).To(Equal(time.Second))
 		for range samplesPerClass {
-			p.record(100, time.Minute)
+			e.record(100, time.Minute)
 		}
-		Expect(p.estimate(100)).To(Equal(time.Minute), "a long duration is learned too")
+		Expect(e.estimate(100)).To(Equal(time.Minute), "a long duration is learned too")
 		for range samplesPerClass {
-			p.record(100, time.Second)
+			e.record(100, time.Second)
 		}
-		Expect(p.estimate(100)).To(Equal(time.Second), "old samples are dropped")
+		Expect(e.estimate(100)).To(Equal(time.Second), "old samples are dropped")
 	})
 
 	It("waits for new streams if its caller resumes it in a burst of others", func() {
--- a/pkg/gateway/words_test.go
+++ b/pkg/gateway/words_test.go
@@ -283,13 +283,13 @@
 					return &fleet.RejectedError{Status: 503, Notice: fleet.Notice{Backoff: testBackoff}}
 				})
 				b.client.stall("r1", path[1].Address)
-				who := map[bool]string{true: other, false: path[0].ID}[named]
+				subject := map[bool]string{true: other, false: path[0].ID}[named]
 				Eventually(func() time.Duration {
 					b.clock.Advance(100 * time.Millisecond)
-					return b.gateway.backoffs.Remaining(who)
+					return b.gateway.backoffs.Remaining(subject)
 				}, "5s", "5ms").Should(BeNumerically(">", 0))
 				for _, id := range []string{"x", "y", "z"} {
-					Expect(b.gateway.backoffs.Remaining(id) > 0).To(Equal(id == who), id)
+					Expect(b.gateway.backoffs.Remaining(id) > 0).To(Equal(id == subject), id)
 				}
 			})
 		}
@@ -339,7 +339,7 @@
 				for _, id := range []string{"s", "w"} {
 					b.gateway.observeNotice(id, fleet.Notice{Backoff: 2 * testBackoff})
 				}
-				told := map[time.Duration]bool{}
+				times := map[time.Duration]bool{}
 				for range 20 {
 					out := b.serve(c.route)
 					Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
@@ -347,10 +347,10 @@
 					after := out.refusal.RetryAfter()
 					Expect(after).To(BeNumerically(">=", testBackoff+time.Second))
 					Expect(after).To(BeNumerically("<=", time.Duration((1+backoffRetryJitter)*float64(testBackoff+time.Second))))
-					told[after] = true
+					times[after] = true
 				}
 				Expect(b.client.sent()).To(BeEmpty())
-				Expect(len(told)).To(BeNumerically(">", 15), c.route)
+				Expect(len(times)).To(BeNumerically(">", 15), c.route)
 			})
 		}
 	})
@@ -375,12 +375,12 @@
 			path := b.client.sent()[0].Path
 			b.gateway.observeNotice(path[0].ID, fleet.Notice{Backoff: testBackoff})
 			b.client.stall("r1", path[1].Address)
-			asked := b.client.stallQueries()
+			before := b.client.stallQueries()
 			for range 10 {
 				b.clock.Advance(250 * time.Millisecond)
 				time.Sleep(2 * time.Millisecond)
 			}
-			Expect(b.client.stallQueries() - asked).To(BeNumerically("<=", 1))
+			Expect(b.client.stallQueries() - before).To(BeNumerically("<=", 1))
 			Expect(b.client.repathCount()).To(BeZero())
 			Eventually(func() int {
 				b.clock.Advance(100 * time.Millisecond)
