--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -96,7 +96,8 @@
 }
 
 // mustReplace is shouldReplace without stages that are leaving. Those still serve,
-// while an order waits for the streams on a stage that released its layers to end.
+// while an endpoint that released its layers cannot load others until the streams have
+// left it.
 func (l *leaveWatch) mustReplace(p fleet.Stage) bool {
 	return l.shouldReplace(p) && !l.s.g.source.EndpointLeaving(p.ID)
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -34,13 +34,13 @@
 
 // recordCrash records that an endpoint broke its connection or stopped answering while
 // it had a request that was sent to it at sentAt.
-func (g *Gateway) recordCrash(j *job, endpoint string, early bool, began time.Time) {
-	after := g.svc.Now().Sub(began)
-	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(early)}).Inc(1)
+func (g *Gateway) recordCrash(j *job, endpoint string, beforeResponse bool, sentAt time.Time) {
+	after := g.svc.Now().Sub(sentAt)
+	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(beforeResponse)}).Inc(1)
 	if g.quarantine.RecordCrash(quarantine.Crash{
 		Fingerprint:    j.fingerprint(),
 		Endpoint:       fleet.LoadKey(endpoint),
-		BeforeResponse: early,
+		BeforeResponse: beforeResponse,
 		After:          after,
 	}) {
 		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.fingerprint().String()), eventlog.Str("by", "this host"),
--- a/pkg/gateway/stall.go
+++ b/pkg/gateway/stall.go
@@ -41,7 +41,7 @@
 }
 
 // backoffQueryInterval is the longest time between two checks whether the first
-// endpoint, which is in backoff or has a rate limit, may be sent a stall query.
+// endpoint, which is in backoff, may be sent a stall query.
 const backoffQueryInterval = time.Second
 
 const (
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -372,10 +372,10 @@
 
 // attempt sends a request to one endpoint and reads the complete answer.
 func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *attemptResult {
-	began := g.svc.Now()
+	sentAt := g.svc.Now()
 	r := &attemptResult{
 		endpoint: e,
-		sentAt:   began,
+		sentAt:   sentAt,
 	}
 	done := g.tracker.Begin(e.ID, 0)
 	defer done()
@@ -384,7 +384,7 @@
 		ID:       e.ID,
 		Address:  e.Address,
 		Account:  j.account,
-		Timeout:  j.deadline.Sub(began),
+		Timeout:  j.deadline.Sub(sentAt),
 		Priority: j.priority,
 	})
 	if err != nil {
@@ -409,7 +409,7 @@
 			Cause: errors.New("the answer is damaged"),
 		}
 	default:
-		g.tracker.RecordSuccess(e.ID, g.svc.Now().Sub(began))
+		g.tracker.RecordSuccess(e.ID, g.svc.Now().Sub(sentAt))
 	}
 	return r
 }
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -15,8 +15,8 @@
 )
 
 // send sends a call and records at once what the endpoint reports with its answer,
-// whether or not anybody still waits for the answer. All notices that come with answers
-// pass through here, so every later choice of endpoints takes them into account.
+// whether or not anybody still waits for the answer. Every later choice of endpoints
+// takes these notices into account.
 func (g *Gateway) send(ctx context.Context, j *job, c *Call) (*Answer, error) {
 	g.countLimitedCall("request", c.ID)
 	for _, p := range c.Path[min(1, len(c.Path)):] {
@@ -128,8 +128,8 @@
 	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
 }
 
-// backoffRemaining returns the time until an endpoint of a service is out of backoff; 0
-// if one is now, or if there is no endpoint.
+// backoffRemaining returns the time until the first endpoint of a service is out of
+// backoff; 0 if one is now, or if there is no endpoint.
 func (g *Gateway) backoffRemaining(service string) time.Duration {
 	shortest := time.Duration(0)
 	for _, e := range g.source.Endpoints(service) {
