--- a/pkg/gateway/events.go
+++ b/pkg/gateway/events.go
@@ -14,7 +14,6 @@
 	data []byte
 }
 
-// maxEventBytes limits the size of one event.
 const maxEventBytes = 1 << 20
 
 // eventReader splits a stream into events.
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -286,7 +286,7 @@
 		})
 	})
 
-	It("is requested a permit for by a more urgent request although a less urgent one was just denied", func() {
+	It("has a permit requested by a more urgent request although a less urgent one was just denied", func() {
 		withGateway(func(b *fixture) {
 			requests := b.gateway.permitRequests
 			_, ok := requests.begin("e", 5)
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -18,8 +18,8 @@
 	return g.quarantine
 }
 
-// checkQuarantine refuses a request that is quarantined. Its caller sends it again with
-// a new ID after each refusal, so neither the limit of attempts nor the retry budget
+// checkQuarantine refuses a request that is quarantined. Its caller retries it with a
+// new ID after each failure, so neither the limit of attempts nor the retry budget
 // limits how many endpoints it crashes.
 func (g *Gateway) checkQuarantine(j *job) *failure.Error {
 	if g.quarantine.Idle() {
