--- a/pkg/gateway/asker.go
+++ b/pkg/gateway/asker.go
@@ -10,89 +10,90 @@
 )
 
 const (
-	// stallAskTimeout bounds a question.
-	stallAskTimeout = 150 * time.Millisecond
-	// sharedFor is how long an answer serves whoever asks: endpoints tell what
-	// was 200 ms before, so an answer half as old misses little.
-	sharedFor = 100 * time.Millisecond
-	// deadAfter is how many questions in a row without an answer make an endpoint
-	// count as lost.
-	deadAfter = 2
+	stallQueryTimeout = 150 * time.Millisecond
+	// answerReuse is how long an answer is reused. Endpoints report the state of 200 ms
+	// ago, so little is missed by reusing an answer for half as long.
+	answerReuse = 100 * time.Millisecond
+	// unresponsiveAfter is how many stall queries in a row must remain unanswered for
+	// an endpoint to count as unresponsive.
+	unresponsiveAfter = 2
 )
 
-// asker asks the first endpoints of paths which requests stand still. At each
-// one question is under way at a time, and its answer serves every stream that
-// asked meanwhile or shortly after: when an endpoint is slow or lost, all of its
-// streams ask at once. It is safe for use by several goroutines.
-type asker struct {
-	backend EndpointClient
-	manners manners
-	svc     timer.Service
-
-	mu   sync.Mutex
-	rows map[string]*question // by address
+// stallQuerier asks the first endpoints of paths which requests are stalled. There is
+// at most one query in flight to each endpoint, and its answer serves all streams that
+// ask at the same time or shortly after, because all streams of an endpoint ask at once
+// when it is slow or lost. It is safe for use by several goroutines.
+type stallQuerier struct {
+	client EndpointClient
+	policy queryPolicy
+	svc    timer.Service
+
+	mu      sync.Mutex
+	queries map[string]*stallQuery // by address
 }
 
-// manners is what endpoints want of calls to them.
-type manners interface {
-	// mayAsk reports whether an endpoint may be asked now, and takes what that needs.
-	mayAsk(id string) bool
-	// asked takes what the answer to a question sent at a time says of an endpoint.
-	asked(service, id string, w fleet.Notice, sent time.Time)
+// queryPolicy decides which endpoints may be sent stall queries.
+type queryPolicy interface {
+	// admitQuery reports whether an endpoint may be queried now, and acquires what the
+	// query needs.
+	admitQuery(id string) bool
+	// observeQueryAnswer records the notice in the answer to a query sent at sent.
+	observeQueryAnswer(service, id string, w fleet.Notice, sent time.Time)
 }
 
-// mayAsk implements manners.
-func (g *Gateway) mayAsk(id string) bool {
-	if !g.rests.MayCall(id) || !g.permits.TryAcquire(id) || !g.rests.TryAcquire(id) {
+// admitQuery implements queryPolicy.
+func (g *Gateway) admitQuery(id string) bool {
+	if !g.backoffs.MayCall(id) || !g.permits.TryAcquire(id) || !g.backoffs.TryAcquire(id) {
 		return false
 	}
-	g.countLimited("question", id)
+	g.countLimitedCall("question", id)
 	return true
 }
 
-// asked implements manners.
-func (g *Gateway) asked(service, id string, w fleet.Notice, sent time.Time) {
-	g.hear(id, w)
-	g.hearLimit(service, id, w.Limit, sent)
+// observeQueryAnswer implements queryPolicy.
+func (g *Gateway) observeQueryAnswer(service, id string, n fleet.Notice, sent time.Time) {
+	g.observeNotice(id, n)
+	g.observeLimit(service, id, n.Limit, sent)
 }
 
-// question is the newest one to an address.
-type question struct {
-	done   chan struct{} // closed with the answer
-	at     time.Time     // of the answer; zero before it
-	found  StallReport
-	err    error
-	silent int // questions in a row without an answer, with this one
+// stallQuery is the latest query to an address.
+type stallQuery struct {
+	done       chan struct{} // closed when the query is complete
+	answeredAt time.Time     // zero before the query is complete
+	report     StallReport
+	err        error
+	unanswered int // number of unanswered queries in a row, including this one
 }
 
-// maxQuestions is how many addresses are remembered: more than a deployment has
-// endpoints that hold first layers.
-const maxQuestions = 1000
+// maxQueriedAddresses limits how many addresses are remembered. It is larger than the
+// number of endpoints that hold first layers in any deployment.
+const maxQueriedAddresses = 1000
 
-func newAsker(m manners, backend EndpointClient, svc timer.Service) *asker {
-	return &asker{
-		backend: backend,
-		manners: m,
+func newStallQuerier(policy queryPolicy, client EndpointClient, svc timer.Service) *stallQuerier {
+	return &stallQuerier{
+		client:  client,
+		policy:  policy,
 		svc:     svc,
-		rows:    map[string]*question{},
+		queries: map[string]*stallQuery{},
 	}
 }
 
-// ask returns the newest answer of an endpoint, and asks for one if there is none. A
-// question outlives the stream that asked it. It returns nil if the endpoint wants none:
-// it rests and was asked once in that, or has a limit and there is no permit.
-func (a *asker) ask(ctx context.Context, service, id, address string) *question {
-	q, mine := a.join(id, address)
+// query returns the latest answer of an endpoint, and sends a query if there is no
+// recent one. The query goes on if the stream that caused it ends. The result is nil if
+// the endpoint must not be queried: it is in backoff and was called once already, or it
+// has a rate limit and this host has no permit.
+func (s *stallQuerier) query(ctx context.Context, service, id, address string) *stallQuery {
+	q, owner := s.join(id, address)
 	if q == nil {
 		return nil
 	}
-	if mine {
-		sent := a.svc.Now()
-		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallAskTimeout)
-		found, err := a.backend.QueryStalls(askCtx, address)
+	if owner {
+		sent := s.svc.Now()
+		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallQueryTimeout)
+		report, err := s.client.QueryStalls(askCtx, address)
 		cancel()
-		a.manners.asked(service, id, found.Notice, sent)
-		a.answer(q, found, err)
+		s.policy.observeQueryAnswer(service, id, report.Notice, sent)
+		s.complete(q, report, err)
 		return q
 	}
 	select {
@@ -102,53 +103,53 @@
 	return q
 }
 
-// join returns the question that serves now; mine says that the caller must ask it.
-func (a *asker) join(id, address string) (q *question, mine bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	old := a.rows[address]
-	if old != nil && a.serves(old) {
+// join returns the query to use; owner says that the caller must send it.
+func (s *stallQuerier) join(id, address string) (q *stallQuery, owner bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.queries[address]
+	if old != nil && s.reusable(old) {
 		return old, false
 	}
-	if !a.manners.mayAsk(id) {
+	if !s.policy.admitQuery(id) {
 		return nil, false
 	}
-	q = &question{
+	q = &stallQuery{
 		done: make(chan struct{}),
 	}
 	if old != nil {
-		q.silent = old.silent
+		q.unanswered = old.unanswered
 	}
-	if len(a.rows) >= maxQuestions {
-		a.rows = map[string]*question{}
+	if len(s.queries) >= maxQueriedAddresses {
+		s.queries = map[string]*stallQuery{}
 	}
-	a.rows[address] = q
+	s.queries[address] = q
 	return q, true
 }
 
-// serves reports whether a question is under way, or its answer is new enough. One
-// that stayed without an answer serves once it tells that the endpoint is lost.
-func (a *asker) serves(q *question) bool {
-	if q.at.IsZero() {
+// reusable reports whether a query is still in flight, or its answer is recent enough.
+// An unanswered query is only reused once it shows that the endpoint is unresponsive.
+func (s *stallQuerier) reusable(q *stallQuery) bool {
+	if q.answeredAt.IsZero() {
 		return true
 	}
-	return (q.err == nil || q.lost()) && a.svc.Now().Sub(q.at) < sharedFor
+	return (q.err == nil || q.unresponsive()) && s.svc.Now().Sub(q.answeredAt) < answerReuse
 }
 
-func (a *asker) answer(q *question, found StallReport, err error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	q.found = found
+func (s *stallQuerier) complete(q *stallQuery, report StallReport, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q.report = report
 	q.err = err
-	q.at = a.svc.Now()
-	q.silent++
+	q.answeredAt = s.svc.Now()
+	q.unanswered++
 	if err == nil {
-		q.silent = 0
+		q.unanswered = 0
 	}
 	close(q.done)
 }
 
-// lost reports whether questions in a row stayed without an answer.
-func (q *question) lost() bool {
-	return q.err != nil && q.silent >= deadAfter
+// unresponsive reports whether the endpoint left too many queries in a row unanswered.
+func (q *stallQuery) unresponsive() bool {
+	return q.err != nil && q.unanswered >= unresponsiveAfter
 }
--- a/pkg/gateway/comeback.go
+++ b/pkg/gateway/comeback.go
@@ -9,73 +9,74 @@
 )
 
 const (
-	// mostComeBack bounds when a refused caller is told to return: callers heed a
-	// third of the time that they have left, and must be answered after that.
-	mostComeBack = 4 * time.Second
-	// refusalWeight is the newest stream's weight in the share that is refused: a
-	// host begins a few streams a second.
+	// maxRetryAfter limits the retry-after time. Callers wait for at most a third of
+	// the time that they have left, and must be answered after that.
+	maxRetryAfter = 4 * time.Second
+	// refusalWeight is the weight of the newest stream in the share of refused streams.
+	// A host starts a few streams each second.
 	refusalWeight = 0.25
-	// troubleBegins and troubleEnds are the shares of streams refused at which a
-	// service counts as short of layers, and as served again.
-	troubleBegins = 0.4
-	troubleEnds   = 0.1
-	// comeBackSpread spreads returns by this part of the time either way: callers
-	// that were refused together must not return together.
-	comeBackSpread = 0.25
+	// shortageStart is the share of refused streams at which a service is considered
+	// short of layers, and shortageEnd the share below which it is not any longer.
+	shortageStart = 0.4
+	shortageEnd   = 0.1
+	// shortageRetryJitter is the part by which retry-after times vary in either
+	// direction, so that callers that were refused together do not retry together.
+	shortageRetryJitter = 0.25
 )
 
-// comebacks tells when a caller should return that is refused for want of layers, by
-// service. What has lasted some time is expected to last as long again: nothing tells
-// a host when layers are loaded, and a caller that returns too soon is refused once
-// more and has no try left.
-type comebacks struct {
+// retryAfterEstimator estimates, for each service, when a caller should retry that is
+// refused because layers are missing. A shortage that has lasted some time is expected
+// to last as long again: nothing tells a host when layers are loaded, and a caller that
+// retries too early is refused once more and has no attempt left.
+type retryAfterEstimator struct {
 	svc timer.Service
 
-	mu   sync.Mutex
-	rows map[string]*comebackRow
+	mu        sync.Mutex
+	shortages map[string]*shortage
 }
 
-type comebackRow struct {
-	share float64   // of streams that were refused lately
-	since time.Time // when that became much; zero: it isn't
+type shortage struct {
+	refusedShare float64   // moving average of streams that were refused
+	since        time.Time // start of the shortage; zero if there is none
 }
 
-func newComebacks(svc timer.Service) *comebacks {
-	return &comebacks{
-		svc:  svc,
-		rows: map[string]*comebackRow{},
+func newRetryAfterEstimator(svc timer.Service) *retryAfterEstimator {
+	return &retryAfterEstimator{
+		svc:       svc,
+		shortages: map[string]*shortage{},
 	}
 }
 
-// note takes how a stream of a service began.
-func (c *comebacks) note(service string, refused bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := c.rows[service]
-	if r == nil {
-		r = &comebackRow{}
-		c.rows[service] = r
+// record notes whether a stream of a service was refused or started.
+func (e *retryAfterEstimator) record(service string, refused bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	s := e.shortages[service]
+	if s == nil {
+		s = &shortage{}
+		e.shortages[service] = s
 	}
-	r.share *= 1 - refusalWeight
+	s.refusedShare *= 1 - refusalWeight
 	if refused {
-		r.share += refusalWeight
+		s.refusedShare += refusalWeight
 	}
 	switch {
-	case r.share < troubleEnds:
-		r.since = time.Time{}
-	case r.share >= troubleBegins && r.since.IsZero():
-		r.since = c.svc.Now()
+	case s.refusedShare < shortageEnd:
+		s.since = time.Time{}
+	case s.refusedShare >= shortageStart && s.since.IsZero():
+		s.since = e.svc.Now()
 	}
 }
 
-// after returns when a caller of a service should come back, least at least.
-func (c *comebacks) after(service string, least time.Duration) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	d := least
-	if r := c.rows[service]; r != nil && !r.since.IsZero() {
-		d = max(d, c.svc.Now().Sub(r.since))
+// estimate returns when a caller of a service should retry. The result is minimum or
+// longer before it is varied.
+func (e *retryAfterEstimator) estimate(service string, minimum time.Duration) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	d := minimum
+	if s := e.shortages[service]; s != nil && !s.since.IsZero() {
+		d = max(d, e.svc.Now().Sub(s.since))
 	}
-	d = time.Duration(float64(d) * (1 - comeBackSpread + 2*comeBackSpread*rand.Float64()))
-	return min(max(d, comeBack), mostComeBack)
+	d = time.Duration(float64(d) * (1 - shortageRetryJitter + 2*shortageRetryJitter*rand.Float64()))
+	return min(max(d, baseRetryAfter), maxRetryAfter)
 }
--- a/pkg/gateway/events.go
+++ b/pkg/gateway/events.go
@@ -8,21 +8,21 @@
 	"github.com/go-faster/errors"
 )
 
-// event is one event of a stream, with the blank line behind it.
+// event is one event of a stream, including the blank line that ends it.
 type event struct {
 	id   string
 	data []byte
 }
 
-// maxEventBytes bounds one event.
 const maxEventBytes = 1 << 20
 
-// eventReader parts a stream into events.
+// eventReader splits a stream into events.
 type eventReader struct {
 	r *bufio.Reader
 }
 
-// eventBuffer holds several events of the usual size.
+// eventBuffer is the buffer size of the reader: room for several events of the usual
+// size.
 const eventBuffer = 2 << 10
 
 func newEventReader(r io.Reader) *eventReader {
@@ -31,10 +31,10 @@
 	}
 }
 
-// errTorn says that a stream ended within an event.
-var errTorn = errors.New("the stream ended within an event")
+// errTruncated says that a stream ended within an event.
+var errTruncated = errors.New("the stream ended within an event")
 
-// next returns the next event; io.EOF if the stream ended whole before it.
+// next returns the next event, or io.EOF if the stream ended after a complete event.
 func (e *eventReader) next() (event, error) {
 	ev := event{}
 	for {
@@ -44,7 +44,7 @@
 			continue
 		}
 		if err != nil {
-			return ev, tornOr(err, ev.data)
+			return ev, truncatedOr(err, ev.data)
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
@@ -59,9 +59,9 @@
 	}
 }
 
-func tornOr(err error, data []byte) error {
+func truncatedOr(err error, data []byte) error {
 	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(data)) > 0 {
-		return errTorn
+		return errTruncated
 	}
 	return err
 }
--- a/pkg/gateway/feed.go
+++ b/pkg/gateway/feed.go
@@ -10,90 +10,92 @@
 	"github.com/larchwinch/larchwinch/pkg/group"
 )
 
-// item is one step of an answer: its head first, then events, then its end.
-type item struct {
+// answerItem is one step of an answer: status and headers first, then events, then the
+// end.
+type answerItem struct {
 	head  *Answer
 	event event
-	over  bool
-	err   error // of the end; nil if the answer is whole
+	ended bool
+	err   error // reason for the end; nil if the answer is complete
 }
 
-// feed reads one answer.
-type feed struct {
-	items chan item
+// answerReader reads one answer in a goroutine of its own.
+type answerReader struct {
+	items chan answerItem
 	// unsent says that the request never reached the endpoint.
 	unsent atomic.Bool
 }
 
-func newFeed() *feed {
-	return &feed{
-		items: make(chan item, eventQueue),
+func newAnswerReader() *answerReader {
+	return &answerReader{
+		items: make(chan answerItem, eventQueue),
 	}
 }
 
-// put hands an item on, and reports whether anybody waits for more.
-func (f *feed) put(ctx context.Context, it item) bool {
+// put passes an item on, and reports whether the reader should go on.
+func (r *answerReader) put(ctx context.Context, it answerItem) bool {
 	select {
-	case f.items <- it:
+	case r.items <- it:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (f *feed) end(ctx context.Context, err error) {
-	f.put(ctx, item{
-		over: true,
-		err:  err,
+func (r *answerReader) end(ctx context.Context, err error) {
+	r.put(ctx, answerItem{
+		ended: true,
+		err:   err,
 	})
 }
 
-// sender makes the call whose answer a feed reads.
+// sender makes the call whose answer is read.
 type sender func(ctx context.Context) (*Answer, error)
 
-// read reads the answer to a call to its end.
-func (f *feed) read(ctx context.Context, send sender) {
-	if err := group.Try(func() { f.take(ctx, send) }); err != nil {
-		f.end(ctx, &SendError{
+// read makes the call and reads the answer to its end. A panic ends the answer with an
+// error.
+func (r *answerReader) read(ctx context.Context, send sender) {
+	if err := group.Try(func() { r.run(ctx, send) }); err != nil {
+		r.end(ctx, &SendError{
 			Sent:  true,
 			Cause: err,
 		})
 	}
 }
 
-func (f *feed) take(ctx context.Context, send sender) {
+func (r *answerReader) run(ctx context.Context, send sender) {
 	a, err := send(ctx)
 	if err != nil {
-		f.unsent.Store(notSent(err))
-		f.end(ctx, err)
+		r.unsent.Store(notSent(err))
+		r.end(ctx, err)
 		return
 	}
-	defer func() { _ = a.Body.Close() }() // it was read, or is given up
-	if !f.put(ctx, item{head: a}) {
+	defer func() { _ = a.Body.Close() }() // the body was read completely or is no longer needed
+	if !r.put(ctx, answerItem{head: a}) {
 		return
 	}
 	if a.NotRun || a.Misdirected || a.Status != http.StatusOK {
 		return
 	}
-	f.readEvents(ctx, a.Body)
+	r.readEvents(ctx, a.Body)
 }
 
-func (f *feed) readEvents(ctx context.Context, body io.Reader) {
-	r := newEventReader(body)
+func (r *answerReader) readEvents(ctx context.Context, body io.Reader) {
+	events := newEventReader(body)
 	for {
-		ev, err := r.next()
+		ev, err := events.next()
 		if errors.Is(err, io.EOF) {
-			f.end(ctx, nil)
+			r.end(ctx, nil)
 			return
 		}
 		if err != nil {
-			f.end(ctx, &SendError{
+			r.end(ctx, &SendError{
 				Sent:  true,
 				Cause: err,
 			})
 			return
 		}
-		if !f.put(ctx, item{event: ev}) {
+		if !r.put(ctx, answerItem{event: ev}) {
 			return
 		}
 	}
--- a/pkg/gateway/fixture_test.go
+++ b/pkg/gateway/fixture_test.go
@@ -26,22 +26,22 @@
 	RunSpecs(t, "gateway")
 }
 
-// fakeBackend answers calls by a script and remembers them.
-type fakeBackend struct {
+// fakeClient answers calls by a script and records them.
+type fakeClient struct {
 	mu      sync.Mutex
 	calls   []*Call
 	repaths [][]fleet.Stage
 	answer  func(n int, c *Call) (*Answer, error)
-	// until, if set, answers in place of answer, and may wait for ctx.
-	until    func(ctx context.Context, n int) (*Answer, error)
-	stalled  map[string]string
-	stallErr error
-	refuse   string // repaths that name this address are refused for it
-	asked    int
-	turnAway func() error // answers new paths
+	// answerCtx, if set, is used instead of answer, and may wait for ctx.
+	answerCtx     func(ctx context.Context, n int) (*Answer, error)
+	stalled       map[string]string
+	stallErr      error
+	rejectAddress string // repaths are rejected because of the endpoint at this address
+	queries       int
+	repathError   func() error // if set, returns the error of repaths
 }
 
-func (b *fakeBackend) Send(ctx context.Context, c *Call) (*Answer, error) {
+func (b *fakeClient) Send(ctx context.Context, c *Call) (*Answer, error) {
 	b.mu.Lock()
 	b.calls = append(b.calls, c)
 	n := len(b.calls)
@@ -53,56 +53,56 @@
 	if a != nil {
 		body := a.Body
 		context.AfterFunc(ctx, func() {
-			_ = body.Close() // a connection ends with its request
+			_ = body.Close() // as a connection is closed when its request ends
 		})
 	}
 	return a, err
 }
 
-func (b *fakeBackend) script(ctx context.Context, n int, c *Call) (*Answer, error) {
-	if b.until != nil {
-		return b.until(ctx, n)
+func (b *fakeClient) script(ctx context.Context, n int, c *Call) (*Answer, error) {
+	if b.answerCtx != nil {
+		return b.answerCtx(ctx, n)
 	}
 	return b.answer(n, c)
 }
 
-func (b *fakeBackend) QueryStalls(context.Context, string) (StallReport, error) {
+func (b *fakeClient) QueryStalls(context.Context, string) (StallReport, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked++
+	b.queries++
 	return StallReport{Addresses: b.stalled}, b.stallErr
 }
 
-// repathErr answers new paths by f.
-func (b *fakeBackend) repathErr(f func() error) {
+// failRepaths makes repaths fail with the error that f returns.
+func (b *fakeClient) failRepaths(f func() error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turnAway = f
+	b.repathError = f
 }
 
-// questions returns how often endpoints were asked what stands still.
-func (b *fakeBackend) questions() int {
+// stallQueries returns the number of stall queries so far.
+func (b *fakeClient) stallQueries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.asked
+	return b.queries
 }
 
-// stall makes a request stand still at an address.
-func (b *fakeBackend) stall(request, address string) {
+// stall makes a request stall at an address.
+func (b *fakeClient) stall(request, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stalled = map[string]string{request: address}
 }
 
-func (b *fakeBackend) Repath(_ context.Context, _, _ string, path []fleet.Stage) error {
+func (b *fakeClient) Repath(_ context.Context, _, _ string, path []fleet.Stage) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repaths = append(b.repaths, path)
-	if b.turnAway != nil {
-		return b.turnAway()
+	if b.repathError != nil {
+		return b.repathError()
 	}
 	for _, p := range path {
-		if p.Address == b.refuse {
+		if p.Address == b.rejectAddress {
 			return &RepathError{
 				Address: p.Address,
 			}
@@ -111,51 +111,51 @@
 	return nil
 }
 
-func (b *fakeBackend) sent() []*Call {
+func (b *fakeClient) sent() []*Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]*Call(nil), b.calls...)
 }
 
-func (b *fakeBackend) repathed() int {
+func (b *fakeClient) repathCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.repaths)
 }
 
-// fakeSource believes what a test says.
+// fakeSource is a Source whose state a test sets.
 type fakeSource struct {
-	mu        sync.Mutex
-	view      View
-	endpoints map[string][]fleet.Endpoint
-	leaving   map[string]bool
-	gaveUp    map[string]bool
-	slow      map[string]float64
-	changed   chan struct{}
-	confirmed chan struct{}
-	unsettled bool
-	stopsIn   time.Duration // 0: it wasn't told to stop
-	// lend answers for the leader what is borrowed; without it, there is nothing.
-	lend     func(ids []string, each bool, priority int) time.Duration
-	borrowed int
-	told     int // that limits were heard
-}
-
-// RequestPermits asks lend.
+	mu         sync.Mutex
+	view       View
+	endpoints  map[string][]fleet.Endpoint
+	leaving    map[string]bool
+	released   map[string]bool
+	slow       map[string]float64
+	changed    chan struct{}
+	confirmed  chan struct{}
+	unsettled  bool
+	shutdownIn time.Duration // 0: the host was not told to stop
+	// grantPermits answers requests for permits in place of the leader. If it is nil,
+	// none are granted.
+	grantPermits   func(ids []string, each bool, priority int) time.Duration
+	permitRequests int
+	limitReports   int // calls of ReportLimits
+}
+
 func (s *fakeSource) RequestPermits(_ context.Context, ids []string, each bool, priority int, _ time.Duration) PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.borrowed++
-	if s.lend == nil {
+	s.permitRequests++
+	if s.grantPermits == nil {
 		return PermitReply{AvailableIn: time.Second, Interval: time.Second}
 	}
-	return PermitReply{AvailableIn: s.lend(ids, each, priority), Interval: time.Second}
+	return PermitReply{AvailableIn: s.grantPermits(ids, each, priority), Interval: time.Second}
 }
 
 func (s *fakeSource) ReportLimits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told++
+	s.limitReports++
 }
 
 func (s *fakeSource) View() View {
@@ -170,7 +170,7 @@
 	return s.endpoints[service]
 }
 
-func (s *fakeSource) ShutdownIn() (time.Duration, bool) { return s.stopsIn, s.stopsIn > 0 }
+func (s *fakeSource) ShutdownIn() (time.Duration, bool) { return s.shutdownIn, s.shutdownIn > 0 }
 func (s *fakeSource) PeerLoad(string) Load              { return Load{} }
 func (s *fakeSource) HostCount() int                    { return 1 }
 func (s *fakeSource) Settled() bool                     { return !s.unsettled }
@@ -190,7 +190,7 @@
 func (s *fakeSource) HasReleased(id string, _ fleet.Range) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gaveUp[id]
+	return s.released[id]
 }
 
 func (s *fakeSource) Changed() <-chan struct{} {
@@ -205,7 +205,7 @@
 	return s.confirmed
 }
 
-// MarkLeaving says that an endpoint leaves, by its own word.
+// MarkLeaving records that an endpoint is leaving and removes it from the endpoints.
 func (s *fakeSource) MarkLeaving(id string) {
 	s.change(func() {
 		s.leaving[id] = true
@@ -215,17 +215,17 @@
 	})
 }
 
-// leave says that an endpoint leaves.
+// leave marks an endpoint as leaving.
 func (s *fakeSource) leave(id string) {
 	s.change(func() { s.leaving[id] = true })
 }
 
-// giveUp says that an endpoint gave up its layers.
-func (s *fakeSource) giveUp(id string) {
-	s.change(func() { s.gaveUp[id] = true })
+// release marks the layers of an endpoint as released.
+func (s *fakeSource) release(id string) {
+	s.change(func() { s.released[id] = true })
 }
 
-// change makes a change of endpoints known.
+// change runs f and announces a change of the endpoints.
 func (s *fakeSource) change(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +234,7 @@
 	s.changed = make(chan struct{})
 }
 
-// confirm brings a view.
+// confirm installs a view and announces a confirmation.
 func (s *fakeSource) confirm(v View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +243,7 @@
 	s.confirmed = make(chan struct{})
 }
 
-// fakeOutput remembers an answer.
+// fakeOutput records an answer.
 type fakeOutput struct {
 	mu      sync.Mutex
 	refusal *failure.Error
@@ -299,7 +299,7 @@
 
 const (
 	key   = "k1"
-	extra = 100 // repeats that the budget allows in a window
+	extra = 100 // retries that the budget allows in a window
 )
 
 func configuration() *fleet.Configuration {
@@ -352,15 +352,15 @@
 	return fleet.Endpoint{ID: id, Service: "app", Address: id + ":1", Domain: "a", Slots: 4}
 }
 
-type bench struct {
-	backend *fakeBackend
+type fixture struct {
+	client  *fakeClient
 	source  *fakeSource
 	clock   *timer.Manual
 	gateway *Gateway
 }
 
-// withGateway runs f on a gateway over a scripted backend and a manual clock.
-func withGateway(f func(b *bench)) {
+// withGateway runs f on a gateway with a scripted endpoint client and a manual clock.
+func withGateway(f func(b *fixture)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	source := &fakeSource{
 		view: View{Index: fleet.NewIndex(configuration()), Fresh: true, Trusted: true},
@@ -369,24 +369,24 @@
 			"llm": {engineEndpoint("x", 0, 2), engineEndpoint("y", 2, 4), engineEndpoint("z", 2, 4), engineEndpoint("w", 0, 2)},
 		},
 		leaving:   map[string]bool{},
-		gaveUp:    map[string]bool{},
+		released:  map[string]bool{},
 		slow:      map[string]float64{},
 		changed:   make(chan struct{}),
 		confirmed: make(chan struct{}),
 	}
-	backend := &fakeBackend{}
+	backend := &fakeClient{}
 	budget := RetryBudget{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
-	b := &bench{
-		backend: backend,
+	b := &fixture{
+		client:  backend,
 		source:  source,
 		clock:   clock,
 		gateway: New("a", backend, source, budget, clock, nil, metrics.New()),
 	}
-	clock.Advance(10 * time.Second) // the budget fills
+	clock.Advance(10 * time.Second) // refills the retry budget
 	f(b)
 }
 
-func (b *bench) request(route string) *Request {
+func (b *fixture) request(route string) *Request {
 	return &Request{
 		ID:       "r1",
 		Method:   http.MethodPost,
@@ -399,16 +399,15 @@
 	}
 }
 
-// serve answers one request.
-func (b *bench) serve(route string) *fakeOutput {
+func (b *fixture) serve(route string) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
 	b.gateway.Serve(context.Background(), req, out)
 	return out
 }
 
-// serveFor answers one request that may take wait.
-func (b *bench) serveFor(route string, wait time.Duration) *fakeOutput {
+// serveFor serves one request whose caller waits at most wait.
+func (b *fixture) serveFor(route string, wait time.Duration) *fakeOutput {
 	out := &fakeOutput{}
 	req := b.request(route)
 	req.Timeout = wait
@@ -416,8 +415,9 @@
 	return out
 }
 
-// stream starts a stream that ends with ctx at the latest; done tells its end.
-func (b *bench) stream(ctx context.Context) (out *fakeOutput, done chan bool) {
+// stream starts a stream that ends with ctx at the latest; done receives a value at its
+// end.
+func (b *fixture) stream(ctx context.Context) (out *fakeOutput, done chan bool) {
 	out = &fakeOutput{}
 	done = make(chan bool, 1)
 	req := b.request("stream")
@@ -428,11 +428,11 @@
 	return out, done
 }
 
-// underWay starts a stream at endpoints that give its first event and no more,
-// and returns once the caller has it. end ends it.
-func (b *bench) underWay() (end func()) {
-	b.backend.answer = func(int, *Call) (*Answer, error) {
-		return &Answer{Status: 200, Verified: true, Body: hang(events(1, 1))}, nil
+// streamInFlight starts a stream whose endpoints send the first event and no more, and
+// returns once the caller has that event. The function returned ends the stream.
+func (b *fixture) streamInFlight() (end func()) {
+	b.client.answer = func(int, *Call) (*Answer, error) {
+		return &Answer{Status: 200, Verified: true, Body: hangingBody(events(1, 1))}, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	out, done := b.stream(ctx)
@@ -443,7 +443,7 @@
 	}
 }
 
-func whole(status int, body string) *Answer {
+func completeAnswer(status int, body string) *Answer {
 	return &Answer{Status: status, Verified: true, Body: io.NopCloser(strings.NewReader(body))}
 }
 
@@ -459,7 +459,8 @@
 	return s.String()
 }
 
-// brokenBody gives text and then an error, as a reset connection does.
+// brokenBody returns the text of Reader and then an error, like a connection that is
+// reset.
 type brokenBody struct {
 	io.Reader
 }
@@ -474,7 +475,7 @@
 
 func (brokenBody) Close() error { return nil }
 
-// background runs f beside the test, which sees to its end.
+// background runs f in a goroutine, which the test must bring to its end.
 func background(f func()) {
 	group.New(context.Background()).Go(func(context.Context) {
 		f()
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -17,224 +17,237 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Permits returns what this host knows of endpoints that have limits.
+// Permits returns the endpoints that have a rate limit and this host's permits for
+// them.
 func (g *Gateway) Permits() *permit.Holder {
 	return g.permits
 }
 
-// hearLimit takes what an answer to a call sent at a time says of an endpoint's limit.
-func (g *Gateway) hearLimit(service, id string, l fleet.Limit, sent time.Time) {
+// observeLimit records the rate limit that an endpoint reported with the answer to a
+// call sent at sent. A change is logged and sent to the leader at once.
+func (g *Gateway) observeLimit(service, id string, l fleet.Limit, sent time.Time) {
 	if id == "" || !g.permits.Observe(id, service, l, sent) {
 		return
 	}
-	says := "none"
+	reported := "none"
 	if l.Status == fleet.LimitSet {
-		says = "named"
+		reported = "named"
 	}
-	g.log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", id), eventlog.Str("says", says),
+	g.log.Event(eventlog.EndpointLimit, eventlog.Str("endpoint", id), eventlog.Str("says", reported),
 		eventlog.Str("per_second", strconv.FormatFloat(l.PerSecond, 'g', 4, 64)), eventlog.Str("by", "an answer"))
 	g.source.ReportLimits()
 }
 
-// hearLimits takes the limit that the answer to a call names. Where the answer is about
-// another endpoint on the path, who, the limit may be of either: a wrong one ends with that
-// endpoint's next answer, while one that isn't kept harms it. That such an answer names
-// none says nothing.
-func (g *Gateway) hearLimits(j *job, c *Call, who string, l fleet.Limit, sent time.Time) {
-	if who == c.ID {
-		g.hearLimit(j.service.Name, who, l, sent)
+// observeAnswerLimit records the rate limit reported with the answer to a call. If the
+// answer is about another endpoint on the path, subject, it is unclear whose limit it
+// is, so both get it: a limit that an endpoint does not have is removed with its next
+// answer, while calls beyond a limit would harm the endpoint. If such an answer reports
+// no limit, nothing follows from that.
+func (g *Gateway) observeAnswerLimit(j *job, c *Call, subject string, l fleet.Limit, sent time.Time) {
+	if subject == c.ID {
+		g.observeLimit(j.service.Name, subject, l, sent)
 		return
 	}
-	if l.Status == fleet.LimitSet && who != "" {
-		g.hearLimit(j.service.Name, c.ID, l, sent)
-		g.hearLimit(j.service.Name, who, l, sent)
+	if l.Status == fleet.LimitSet && subject != "" {
+		g.observeLimit(j.service.Name, c.ID, l, sent)
+		g.observeLimit(j.service.Name, subject, l, sent)
 	}
 }
 
-// countLimited counts a call to an endpoint that has a limit, by the way it goes.
-func (g *Gateway) countLimited(way, id string) {
+// countLimitedCall counts a call to an endpoint that has a rate limit, by kind of call.
+func (g *Gateway) countLimitedCall(kind, id string) {
 	if g.permits.HasLimit(id) {
-		g.metrics.Counter("calls_limited", metrics.Label{Name: "way", Value: way}).Inc(1)
+		g.metrics.Counter("calls_limited", metrics.Label{Name: "way", Value: kind}).Inc(1)
 	}
 }
 
 const (
-	// borrowWait is how long a request waits for a permit where one comes in time.
-	borrowWait = 250 * time.Millisecond
-	// borrowsAtOnce bounds the requests of a host that ask the leader for permits at the
-	// same time; it can serve few of them, and each is a call.
-	borrowsAtOnce = 8
-	// denialKept is for how long others are refused for the same endpoints without a
-	// call to the leader.
-	denialKept = 150 * time.Millisecond
-	// mostBorrowed bounds the endpoints, of those that would do, that one call names.
-	mostBorrowed = 32
-	// mostDenials bounds what is remembered.
-	mostDenials = 256
+	// permitWait is how long a request waits for a permit.
+	permitWait = 250 * time.Millisecond
+	// maxConcurrentPermitRequests limits how many requests of this host ask the leader
+	// for permits at the same time. The leader can grant only few of them, and each
+	// costs a call.
+	maxConcurrentPermitRequests = 8
+	// denialLifetime is how long requests for permits of the same endpoints are denied
+	// without another call to the leader.
+	denialLifetime = 150 * time.Millisecond
+	// maxRequestedEndpoints limits how many alternative endpoints one call to the
+	// leader lists.
+	maxRequestedEndpoints = 32
+	// maxDenials limits how many denials are remembered.
+	maxDenials = 256
 )
 
-// borrowing is this host's asking for permits. It is safe for use by several goroutines.
-type borrowing struct {
+// permitRequests limits the calls in which this host asks the leader for permits. It is
+// safe for use by several goroutines.
+type permitRequests struct {
 	svc timer.Service
 
 	mu      sync.Mutex
 	running int
-	denials map[string]*denial // by what was asked for
+	denials map[string]*denial // by the endpoints or the service that was asked for
 }
 
-// denial is an answer by which there is no permit, and who was refused by it.
+// denial is an answer of the leader that granted no permit, and how many requests were
+// denied because of it.
 type denial struct {
-	at       time.Time
-	due      time.Duration // after at
-	priority int
-	// gap is the time between two places for requests of this host.
-	gap time.Duration
-	// backlog is how many were refused whose places are still to come.
-	backlog float64
-	counted time.Time // of backlog
+	receivedAt  time.Time
+	availableIn time.Duration // counted from receivedAt
+	priority    int
+	// interval is the time between two permits for this host.
+	interval time.Duration
+	// backlog is the number of denied requests for which the permit that they were
+	// promised is not due yet.
+	backlog   float64
+	backlogAt time.Time // when backlog was last updated
 }
 
-// refuse returns when a place is due for one more, behind those that were refused before:
-// who is refused in one moment isn't told to be back in one moment.
-func (d *denial) refuse(now time.Time) time.Duration {
-	if d.gap > 0 {
-		d.backlog = max(0, d.backlog-float64(now.Sub(d.counted))/float64(d.gap))
+// nextAvailableIn counts one more denied request and returns when a permit is available
+// for it, after those denied before it. So requests that are denied at the same moment
+// are not all told to retry at the same moment.
+func (d *denial) nextAvailableIn(now time.Time) time.Duration {
+	if d.interval > 0 {
+		d.backlog = max(0, d.backlog-float64(now.Sub(d.backlogAt))/float64(d.interval))
 	}
-	d.counted = now
-	due := d.due + time.Duration(d.backlog*float64(d.gap)) - now.Sub(d.at)
+	d.backlogAt = now
+	in := d.availableIn + time.Duration(d.backlog*float64(d.interval)) - now.Sub(d.receivedAt)
 	d.backlog++
-	return max(comeBack, due)
+	return max(baseRetryAfter, in)
 }
 
-func newBorrowing(svc timer.Service) *borrowing {
-	return &borrowing{
+func newPermitRequests(svc timer.Service) *permitRequests {
+	return &permitRequests{
 		svc:     svc,
 		denials: map[string]*denial{},
 	}
 }
 
-// begin reports whether the leader may be asked, and else when a place is due. Who is
-// more urgent than the one that was denied is asked for.
-func (b *borrowing) begin(what string, priority int) (due time.Duration, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.svc.Now()
-	d := b.denials[what]
-	if d != nil && (now.Sub(d.at) < denialKept && priority >= d.priority || b.running >= borrowsAtOnce) {
-		return d.refuse(now), false
+// begin reports whether the leader may be asked, and if not, when a permit is
+// available. A request that is more urgent than the denied one may ask the leader
+// again.
+func (p *permitRequests) begin(key string, priority int) (availableIn time.Duration, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.svc.Now()
+	d := p.denials[key]
+	if d != nil && (now.Sub(d.receivedAt) < denialLifetime && priority >= d.priority || p.running >= maxConcurrentPermitRequests) {
+		return d.nextAvailableIn(now), false
 	}
-	if b.running >= borrowsAtOnce {
-		return borrowWait, false
+	if p.running >= maxConcurrentPermitRequests {
+		return permitWait, false
 	}
-	b.running++
+	p.running++
 	return 0, true
 }
 
-// end notes the leader's answer, and returns when a place is due; 0 if permits were lent.
-func (b *borrowing) end(what string, priority int, l PermitReply) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.running--
-	if l.AvailableIn == 0 {
+// end records the reply of the leader and returns when a permit is available; 0 if
+// permits were granted.
+func (p *permitRequests) end(key string, priority int, reply PermitReply) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.running--
+	if reply.AvailableIn == 0 {
 		return 0
 	}
-	now := b.svc.Now()
-	d := b.denials[what]
+	now := p.svc.Now()
+	d := p.denials[key]
 	if d == nil {
-		if len(b.denials) >= mostDenials {
-			b.denials = map[string]*denial{}
+		if len(p.denials) >= maxDenials {
+			p.denials = map[string]*denial{}
 		}
 		d = &denial{
-			counted: now,
+			backlogAt: now,
 		}
-		b.denials[what] = d
+		p.denials[key] = d
 	}
-	d.at = now
-	d.due = l.AvailableIn
-	d.gap = l.Interval
+	d.receivedAt = now
+	d.availableIn = reply.AvailableIn
+	d.interval = reply.Interval
 	d.priority = priority
-	return d.refuse(now)
+	return d.nextAvailableIn(now)
 }
 
-// borrow asks the leader for a permit for each of the endpoints, or for any of them. It
-// returns 0 once there is one on this host, or none is needed any more, and else when one
-// is due.
-func (g *Gateway) borrow(ctx context.Context, j *job, ids []string, each bool) time.Duration {
-	what := j.service.Name
+// requestPermits asks the leader for a permit for each of the endpoints, or for any one
+// of them. It returns 0 once this host has one or needs none any longer, and otherwise
+// the time until one is available.
+func (g *Gateway) requestPermits(ctx context.Context, j *job, ids []string, each bool) time.Duration {
+	key := j.service.Name
 	if each {
-		what = strings.Join(ids, " ")
+		key = strings.Join(ids, " ")
 	}
-	if !each && len(ids) > mostBorrowed {
+	if !each && len(ids) > maxRequestedEndpoints {
 		rand.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
-		ids = ids[:mostBorrowed]
+		ids = ids[:maxRequestedEndpoints]
 	}
-	due, ok := g.borrows.begin(what, j.priority)
+	availableIn, ok := g.permitRequests.begin(key, j.priority)
 	if !ok {
-		return due
+		return availableIn
 	}
-	wait := min(borrowWait, j.end.Sub(g.svc.Now()))
-	due = g.borrows.end(what, j.priority, g.source.RequestPermits(ctx, ids, each, j.priority, wait))
-	g.metrics.Counter("borrowed", metrics.Label{Name: "lent", Value: yesNo(due == 0)}).Inc(1)
-	if due > 0 && slices.ContainsFunc(ids, g.permits.MayCall) {
+	wait := min(permitWait, j.deadline.Sub(g.svc.Now()))
+	availableIn = g.permitRequests.end(key, j.priority, g.source.RequestPermits(ctx, ids, each, j.priority, wait))
+	g.metrics.Counter("borrowed", metrics.Label{Name: "lent", Value: yesNo(availableIn == 0)}).Inc(1)
+	if availableIn > 0 && slices.ContainsFunc(ids, g.permits.MayCall) {
 		return 0
 	}
-	return due
+	return availableIn
 }
 
-// scarce returns the endpoints of a service that lack nothing but a permit.
-func (g *Gateway) scarce(service string, tried map[string]bool) []string {
+// lackingPermit returns the endpoints of a service that could be called if this host
+// had a permit.
+func (g *Gateway) lackingPermit(service string, tried map[string]bool) []string {
 	if !g.permits.HasLimits() {
 		return nil
 	}
 	var ids []string
 	for _, e := range g.source.Endpoints(service) {
-		if !tried[e.ID] && g.rests.Remaining(e.ID) == 0 && !g.permits.MayCall(e.ID) {
+		if !tried[e.ID] && g.backoffs.Remaining(e.ID) == 0 && !g.permits.MayCall(e.ID) {
 			ids = append(ids, e.ID)
 		}
 	}
 	return ids
 }
 
-// full refuses a request at once for which there is no permit in time, with the time at
-// which there is one, or some time before where that is too long for its caller.
-func (g *Gateway) full(due time.Duration) *failure.Error {
-	if due > mostComeBack {
-		due = time.Duration((1 + rand.Float64()) / 2 * float64(mostComeBack))
+// noPermitError returns the failure for a request for which no permit is available in
+// time. It tells the caller when one is available, or an earlier time at random if that
+// is longer than callers wait.
+func (g *Gateway) noPermitError(availableIn time.Duration) *failure.Error {
+	if availableIn > maxRetryAfter {
+		availableIn = time.Duration((1 + rand.Float64()) / 2 * float64(maxRetryAfter))
 	}
 	return failure.New(failure.Overloaded, "the endpoints take no more for now").
-		WithRetryAfter(min(mostComeBack, max(comeBack, spread(due))))
+		WithRetryAfter(min(maxRetryAfter, max(baseRetryAfter, lengthen(availableIn))))
 }
 
-// borrowPath asks for the permits that a path lacks where there is no other path. It
-// reports whether to choose again.
-func (s *streamRun) borrowPath(ctx context.Context) bool {
-	if !s.g.permits.HasLimits() || s.borrowed >= maxBorrows {
+// requestPathPermits asks for the permits that a path lacks, for use where there is no
+// other path. It reports whether to choose a path again.
+func (s *streamRun) requestPathPermits(ctx context.Context) bool {
+	if !s.g.permits.HasLimits() || s.permitRequests >= maxPermitRequests {
 		return false
 	}
-	ids, each := s.lacking()
+	ids, each := s.missingPermits()
 	if len(ids) == 0 {
 		return false
 	}
-	s.borrowed++
-	s.due = s.g.borrow(ctx, s.j, ids, each)
-	return s.due == 0
+	s.permitRequests++
+	s.permitAvailableIn = s.g.requestPermits(ctx, s.j, ids, each)
+	return s.permitAvailableIn == 0
 }
 
-// maxBorrows is how often one stream asks for permits: others on this host may take those
-// that it is lent.
-const maxBorrows = 3
+// maxPermitRequests is how often one request asks for permits. Other requests on this
+// host may take the permits that were granted for it.
+const maxPermitRequests = 3
 
-// lacking returns the endpoints whose permits would let the stream be sent: each of them,
-// or any.
-func (s *streamRun) lacking() (ids []string, each bool) {
+// missingPermits returns the endpoints whose permits would allow the stream to be sent,
+// and whether it needs a permit for each of them or for any one.
+func (s *streamRun) missingPermits() (ids []string, each bool) {
 	if s.j.service.Engine == nil {
 		tried := map[string]bool{}
 		for _, e := range s.g.source.Endpoints(s.j.service.Name) {
 			tried[e.ID] = s.failed(e.ID)
 		}
-		return s.g.scarce(s.j.service.Name, tried), false
+		return s.g.lackingPermit(s.j.service.Name, tried), false
 	}
-	path := s.pathOver(func(id string) bool { return s.g.rests.Remaining(id) == 0 && !s.refused[id] })
+	path := s.pathUsing(func(id string) bool { return s.g.backoffs.Remaining(id) == 0 && !s.refusedIDs[id] })
 	for _, p := range path {
 		if !s.g.permits.MayCall(p.ID) {
 			ids = append(ids, p.ID)
@@ -243,8 +256,8 @@
 	return ids, true
 }
 
-// idsOf returns the endpoints of a path.
-func idsOf(path []fleet.Stage) []string {
+// endpointIDs returns the IDs of the endpoints of a path.
+func endpointIDs(path []fleet.Stage) []string {
 	ids := make([]string, 0, len(path))
 	for _, p := range path {
 		ids = append(ids, p.ID)
@@ -252,16 +265,17 @@
 	return ids
 }
 
-// takeRepath takes the permits that an order to a stream's first endpoint needs, and those
-// of endpoints that come new into its path: the others have the stream already.
-func (s *streamRun) takeRepath(path []fleet.Stage) bool {
+// acquireRepathPermits acquires the permits for a call that gives the first endpoint a
+// new path, and for the endpoints that the path adds. The other endpoints have the
+// stream already.
+func (s *streamRun) acquireRepathPermits(path []fleet.Stage) bool {
 	ids := []string{s.path[0].ID}
-	had := map[string]bool{}
+	onPath := map[string]bool{}
 	for _, p := range s.path {
-		had[p.ID] = true
+		onPath[p.ID] = true
 	}
 	for _, p := range path {
-		if !had[p.ID] {
+		if !onPath[p.ID] {
 			ids = append(ids, p.ID)
 		}
 	}
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -13,37 +13,37 @@
 	"github.com/larchwinch/larchwinch/pkg/quarantine"
 )
 
-// Quarantine returns what this host knows of requests that end endpoints.
+// Quarantine returns what this host knows about requests that crash endpoints.
 func (g *Gateway) Quarantine() *quarantine.Enforcer {
-	return g.held
+	return g.quarantine
 }
 
-// keep refuses a request that is kept from endpoints. It comes again with a new id
-// after each try, so that neither attempts of one request nor the budget of repeats
-// bound it.
-func (g *Gateway) keep(j *job) *failure.Error {
-	if g.held.Idle() {
+// checkQuarantine refuses a request that is quarantined. Its caller retries it with a
+// new ID after each failure, so neither the limit of attempts nor the retry budget
+// limits how many endpoints it crashes.
+func (g *Gateway) checkQuarantine(j *job) *failure.Error {
+	if g.quarantine.Idle() {
 		return nil
 	}
-	left := g.held.HoldRemaining(j.print())
+	left := g.quarantine.HoldRemaining(j.fingerprint())
 	if left <= 0 {
 		return nil
 	}
 	return failure.New(failure.Quarantined, "endpoints ended under this request").WithRetryAfter(left)
 }
 
-// fell notes that an endpoint broke its connection, or went silent, under a request
-// that was sent to it at began.
-func (g *Gateway) fell(j *job, endpoint string, early bool, began time.Time) {
-	after := g.svc.Now().Sub(began)
-	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(early)}).Inc(1)
-	if g.held.RecordCrash(quarantine.Crash{
-		Fingerprint:    j.print(),
+// recordCrash records that an endpoint broke its connection or stopped answering while
+// it had a request that was sent to it at sentAt.
+func (g *Gateway) recordCrash(j *job, endpoint string, beforeResponse bool, sentAt time.Time) {
+	after := g.svc.Now().Sub(sentAt)
+	g.metrics.Counter("sends_cut", metrics.Label{Name: "early", Value: yesNo(beforeResponse)}).Inc(1)
+	if g.quarantine.RecordCrash(quarantine.Crash{
+		Fingerprint:    j.fingerprint(),
 		Endpoint:       fleet.LoadKey(endpoint),
-		BeforeResponse: early,
+		BeforeResponse: beforeResponse,
 		After:          after,
 	}) {
-		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.print().String()), eventlog.Str("by", "this host"),
+		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.fingerprint().String()), eventlog.Str("by", "this host"),
 			eventlog.Str("request", j.req.ID), eventlog.Ms("for_ms", quarantine.LocalHold))
 	}
 }
@@ -55,16 +55,18 @@
 	return "no"
 }
 
-// stood notes that an endpoint answered a request: it doesn't end whatever runs it.
-func (g *Gateway) stood(j *job) {
-	if !g.held.Idle() {
-		g.held.RecordServed(j.print())
+// recordAnswered records that an endpoint answered a request: the request does not
+// crash every endpoint that runs it.
+func (g *Gateway) recordAnswered(j *job) {
+	if !g.quarantine.Idle() {
+		g.quarantine.RecordServed(j.fingerprint())
 	}
 }
 
-// cut reports whether a send ended since the endpoint's connection broke, as it does
-// when the endpoint ends. An endpoint whose answer is damaged stands.
-func cut(err error) bool {
+// connectionLost reports whether a send failed because the connection to the endpoint
+// broke, as it does when the endpoint crashes. An endpoint that sent a damaged answer
+// did not crash.
+func connectionLost(err error) bool {
 	var e *SendError
 	if !errors.As(err, &e) || !e.Sent {
 		return false
--- a/pkg/gateway/repath.go
+++ b/pkg/gateway/repath.go
@@ -10,63 +10,63 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// errElsewhere says that a stream is better continued by other endpoints, all
-// in one failure domain, than by a path that crosses domains: each token so far
-// would have to cross too, and the pipe between domains is shared.
-var errElsewhere = errors.New("no other endpoint in the failure domain; continued elsewhere")
+// errResendElsewhere says that it is better to continue a stream on a path within one
+// failure domain than to repath it across domains. In a new path across domains all
+// tokens so far would have to cross as well, over a link that all streams share.
+var errResendElsewhere = errors.New("no other endpoint in the failure domain; continued elsewhere")
 
-// repath puts other endpoints in the place of the one at address. Its error
-// says that the stream must be sent anew.
+// repath replaces the endpoint at address in the path. Its error says that the stream
+// must be sent anew.
 func (s *streamRun) repath(ctx context.Context, address string) error {
 	if address == s.path[0].Address {
 		return nil
 	}
-	s.shun(s.path, address)
-	rests := s.g.rests.Remaining(s.path[0].ID) > 0 // it can't be told of another path
+	s.exclude(s.path, address)
+	firstInBackoff := s.g.backoffs.Remaining(s.path[0].ID) > 0 // then it must not be called with a new path
 	for range repathTries {
-		path := s.pathAround(s.shunned)
-		if rests {
+		path := s.pathAround(s.isExcluded)
+		if firstInBackoff {
 			path = nil
 		} else if path == nil || pathing.DomainCrossings(path) > pathing.DomainCrossings(s.path) {
 			path = s.pathFrom(&s.path[0])
 		}
 		if s.betterElsewhere(path) {
-			return errElsewhere
+			return errResendElsewhere
 		}
-		if path == nil || s.follow(ctx, path, address) {
+		if path == nil || s.offerPath(ctx, path, address) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// repathTries is how many paths are offered at once: one may be refused for an
-// endpoint that has no room or was lost with the first.
+// repathTries is how many paths are offered at once. The first may be rejected because
+// an endpoint on it has no free capacity or was lost too.
 const repathTries = 2
 
-// repathTimeout bounds the call that offers one.
+// repathTimeout limits the call that offers a path.
 const repathTimeout = 200 * time.Millisecond
 
-// shunned reports whether a part failed this request.
-func (s *streamRun) shunned(p fleet.Stage) bool {
-	return s.avoid[p.ID]
+// isExcluded reports whether the endpoint of a stage failed this request.
+func (s *streamRun) isExcluded(p fleet.Stage) bool {
+	return s.failedIDs[p.ID]
 }
 
-// follow gives the stream a path around the part at address, and reports
-// whether the first endpoint took it.
-func (s *streamRun) follow(ctx context.Context, path []fleet.Stage, address string) bool {
+// offerPath calls the first endpoint with a new path that avoids the endpoint at
+// address, and reports whether it accepted the path.
+func (s *streamRun) offerPath(ctx context.Context, path []fleet.Stage, address string) bool {
 	first := s.path[0]
-	if s.g.rests.Remaining(first.ID) > 0 || !s.takeRepath(path) {
+	if s.g.backoffs.Remaining(first.ID) > 0 || !s.acquireRepathPermits(path) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, repathTimeout)
 	defer cancel()
-	s.g.countLimited("repath", first.ID)
+	s.g.countLimitedCall("repath", first.ID)
 	sent := s.g.svc.Now()
-	err := s.g.backend.Repath(ctx, first.Address, s.j.req.ID, path)
+	err := s.g.client.Repath(ctx, first.Address, s.j.req.ID, path)
 	s.g.log.Event(eventlog.StreamRepathed, eventlog.Str("request", s.j.req.ID), eventlog.Str("around", address), eventlog.Err(err))
 	if err == nil {
-		s.take(path)
+		s.setPath(path)
 		return true
 	}
 	call := &Call{
@@ -74,40 +74,41 @@
 		Address: first.Address,
 		Path:    path,
 	}
-	var away *fleet.RejectedError
-	if errors.As(err, &away) {
-		s.g.hearAnswer(s.j, call, &Answer{
-			Notice: away.Notice,
+	var rejected *fleet.RejectedError
+	if errors.As(err, &rejected) {
+		s.g.observeAnswer(s.j, call, &Answer{
+			Notice: rejected.Notice,
 		}, sent)
 	}
-	var fault *RepathError
-	if errors.As(err, &fault) {
-		s.g.hearAnswer(s.j, call, &Answer{
-			FaultAddress: fault.Address,
-			Notice:       fault.Notice,
+	var atStage *RepathError
+	if errors.As(err, &atStage) {
+		s.g.observeAnswer(s.j, call, &Answer{
+			FaultAddress: atStage.Address,
+			Notice:       atStage.Notice,
 		}, sent)
-		s.shun(path, fault.Address)
+		s.exclude(path, atStage.Address)
 	}
 	return false
 }
 
-// shun keeps this request off the part of a path at address.
-func (s *streamRun) shun(path []fleet.Stage, address string) {
+// exclude keeps this request off the endpoint at address on path.
+func (s *streamRun) exclude(path []fleet.Stage, address string) {
 	for _, p := range path {
 		if p.Address == address {
-			s.avoid[p.ID] = true
+			s.failedIDs[p.ID] = true
 		}
 	}
 }
 
-// pathFrom returns a path that begins with a part that stands, or any if nil.
+// pathFrom returns a new path that begins with the given first stage, or with any if
+// first is nil. It returns nil if there is none.
 func (s *streamRun) pathFrom(first *fleet.Stage) []fleet.Stage {
 	demand := s.demand()
 	if first != nil {
 		part := *first
 		demand.First = &part
 	}
-	path := pathing.Choose(s.j.service.Engine, s.stages(func(e *fleet.Endpoint) bool {
+	path := pathing.Choose(s.j.service.Engine, s.candidates(func(e *fleet.Endpoint) bool {
 		return s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	}), demand, s.jitter)
 	if path == nil || !pathing.CoversAllLayers(s.j.service.Engine, path) {
@@ -116,34 +117,35 @@
 	return path
 }
 
-// betterElsewhere reports whether a stream should be sent anew rather than
-// follow path.
+// betterElsewhere reports whether the stream should be sent anew rather than continue
+// on path. If so, the new send is charged to the retry budget already.
 func (s *streamRun) betterElsewhere(path []fleet.Stage) bool {
-	if !s.j.route.Resumable || s.ran+1 >= s.j.route.MaxAttempts || path != nil && pathing.DomainCrossings(path) == 0 {
+	if !s.j.route.Resumable || s.attempts+1 >= s.j.route.MaxAttempts || path != nil && pathing.DomainCrossings(path) == 0 {
 		return false
 	}
 	other := s.pathFrom(nil)
 	if other == nil || path != nil && pathing.DomainCrossings(other) >= pathing.DomainCrossings(path) {
 		return false
 	}
-	return s.payAhead()
+	return s.reserveRetry()
 }
 
-// pathAround returns the stream's path with other endpoints in the place of the
-// parts that are bad, and all else as it stands: an endpoint that comes new into
-// a path reads every token so far, and one that stays keeps its memory. It
-// returns nil if no part is bad, or their layers can't be covered.
-func (s *streamRun) pathAround(bad func(p fleet.Stage) bool) []fleet.Stage {
-	kept, holes := split(s.path, bad)
-	if len(holes) == 0 {
+// pathAround returns the path of the stream with other endpoints for the stages for
+// which replace returns true, and the other stages unchanged: an endpoint that joins a
+// path has to process all tokens so far, while one that stays keeps its KV cache. It
+// returns nil if there is nothing to replace, or if other endpoints do not cover the
+// layers.
+func (s *streamRun) pathAround(replace func(p fleet.Stage) bool) []fleet.Stage {
+	kept, gaps := splitStages(s.path, replace)
+	if len(gaps) == 0 {
 		return nil
 	}
 	stages := make([]pathing.Candidate, 0, len(kept))
-	names := map[string]bool{
+	onPath := map[string]bool{
 		s.path[0].ID: true,
 	}
 	for _, p := range kept {
-		names[p.ID] = true
+		onPath[p.ID] = true
 		stages = append(stages, pathing.Candidate{
 			ID:      p.ID,
 			Address: p.Address,
@@ -151,11 +153,11 @@
 			Layers:  p.Layers,
 		})
 	}
-	fit := s.stages(func(e *fleet.Endpoint) bool {
-		return names[e.ID] || s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
+	fit := s.candidates(func(e *fleet.Endpoint) bool {
+		return onPath[e.ID] || s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	})
 	for _, st := range fit {
-		if c, ok := clip(st, holes); ok {
+		if c, ok := clip(st, gaps); ok {
 			stages = append(stages, c)
 		}
 	}
@@ -168,29 +170,29 @@
 	return path
 }
 
-// split returns the parts of a path after the first that are good, and the
-// layers of those that are bad, neighbours joined.
-func split(path []fleet.Stage, bad func(p fleet.Stage) bool) (kept []fleet.Stage, holes []fleet.Range) {
+// splitStages returns the stages of a path after the first that are kept, and the layer
+// ranges of those that are replaced, with adjacent ranges joined.
+func splitStages(path []fleet.Stage, replace func(p fleet.Stage) bool) (kept []fleet.Stage, gaps []fleet.Range) {
 	for _, p := range path[1:] {
-		n := len(holes)
+		n := len(gaps)
 		switch {
-		case !bad(p):
+		case !replace(p):
 			kept = append(kept, p)
-		case n > 0 && holes[n-1].To == p.Layers.From:
-			holes[n-1].To = p.Layers.To
+		case n > 0 && gaps[n-1].To == p.Layers.From:
+			gaps[n-1].To = p.Layers.To
 		default:
-			holes = append(holes, p.Layers)
+			gaps = append(gaps, p.Layers)
 		}
 	}
-	return kept, holes
+	return kept, gaps
 }
 
-// clip limits an endpoint to the first hole that it holds layers of: a path may
-// name it once only.
-func clip(st pathing.Candidate, holes []fleet.Range) (pathing.Candidate, bool) {
-	for _, h := range holes {
-		from := max(st.Layers.From, h.From)
-		to := min(st.Layers.To, h.To)
+// clip limits a candidate to the first gap of which it holds layers, because a path may
+// contain an endpoint only once.
+func clip(st pathing.Candidate, gaps []fleet.Range) (pathing.Candidate, bool) {
+	for _, gap := range gaps {
+		from := max(st.Layers.From, gap.From)
+		to := min(st.Layers.To, gap.To)
 		if from < to {
 			st.LayersHeld = st.Layers.Len()
 			st.Layers = fleet.Range{
--- a/pkg/gateway/stay.go
+++ b/pkg/gateway/stay.go
@@ -10,101 +10,107 @@
 )
 
 const (
-	// startPace is the time of a token before any stream has ended: twice that of most.
-	startPace = 32 * time.Millisecond
-	// paceQuantile is the share of streams of a size that end within what is expected: a
-	// stream that is cut costs its caller more than one that is sent away.
-	paceQuantile = 0.95
-	// paceKept is how many streams of a size are remembered: those of about a minute.
-	paceKept = 32
-	// paceLeast is how many must have ended before they count for their size alone.
-	paceLeast = 8
-	// stayElsewhere is when a caller should come back whose stream would not
-	// end here in time, to another host.
-	stayElsewhere = 100 * time.Millisecond
+	// initialTimePerToken is the assumed time for each token before any stream has
+	// ended: twice that of most streams.
+	initialTimePerToken = 32 * time.Millisecond
+	// durationQuantile is the share of streams of a size class that end within the
+	// estimated time. Interrupting a stream costs its caller more than refusing one.
+	durationQuantile = 0.95
+	// samplesPerClass is how many streams of a size class are remembered: those of
+	// about a minute.
+	samplesPerClass = 32
+	// minSamples is how many samples an estimate needs before it uses no other size
+	// classes.
+	minSamples = 8
+	// drainingRetryAfter is the retry-after time of a stream that would not end here
+	// before this host stops. Its caller should try another host.
+	drainingRetryAfter = 100 * time.Millisecond
 )
 
-// paces is how long streams took lately for each token that their callers expected,
-// by the size expected: short answers often turn out longer, and long ones shorter.
-// It is safe for use by several goroutines.
-type paces struct {
+// durationEstimator estimates how long streams take, from the time for each expected
+// token of recent streams. It does so for each size class, because short answers often
+// turn out longer than expected, and long ones shorter. It is safe for use by several
+// goroutines.
+type durationEstimator struct {
 	mu    sync.Mutex
-	sizes map[int]*paceRow
+	rings map[int]*sampleRing
 }
 
-// paceRow is the paces of the last streams of a size, in a ring.
-type paceRow struct {
-	kept []time.Duration // for a token
-	next int
+// sampleRing holds the samples of the latest streams of a size class.
+type sampleRing struct {
+	samples []time.Duration // time for each expected token
+	next    int
 }
 
-func newPaces() *paces {
-	return &paces{
-		sizes: map[int]*paceRow{},
+func newDurationEstimator() *durationEstimator {
+	return &durationEstimator{
+		rings: map[int]*sampleRing{},
 	}
 }
 
-// sizeOf returns the class of an answer of so many tokens; each is twice the one before.
-func sizeOf(tokens float64) int {
+// sizeClass returns the size class of an answer of so many tokens. Each class is twice
+// as large as the one before.
+func sizeClass(tokens float64) int {
 	return max(0, int(math.Log2(max(1, tokens))))
 }
 
-// ended notes a stream that took d for so many expected tokens.
-func (p *paces) ended(tokens float64, d time.Duration) {
+// record notes a stream that took d for so many expected tokens.
+func (e *durationEstimator) record(tokens float64, d time.Duration) {
 	if tokens < 1 {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := p.sizes[sizeOf(tokens)]
-	if r == nil {
-		r = &paceRow{}
-		p.sizes[sizeOf(tokens)] = r
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	ring := e.rings[sizeClass(tokens)]
+	if ring == nil {
+		ring = &sampleRing{}
+		e.rings[sizeClass(tokens)] = ring
 	}
-	pace := time.Duration(float64(d) / tokens)
-	if len(r.kept) < paceKept {
-		r.kept = append(r.kept, pace)
+	perToken := time.Duration(float64(d) / tokens)
+	if len(ring.samples) < samplesPerClass {
+		ring.samples = append(ring.samples, perToken)
 		return
 	}
-	r.kept[r.next] = pace
-	r.next = (r.next + 1) % paceKept
+	ring.samples[ring.next] = perToken
+	ring.next = (ring.next + 1) % samplesPerClass
 }
 
-// expect returns how long nearly every stream of so many tokens takes.
-func (p *paces) expect(tokens float64) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	kept := p.near(sizeOf(tokens))
-	if len(kept) == 0 {
-		return time.Duration(tokens * float64(startPace))
+// estimate returns the time within which nearly all streams of so many expected tokens
+// end.
+func (e *durationEstimator) estimate(tokens float64) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	samples := e.samplesNear(sizeClass(tokens))
+	if len(samples) == 0 {
+		return time.Duration(tokens * float64(initialTimePerToken))
 	}
-	slices.Sort(kept)
-	return time.Duration(tokens * float64(kept[int(paceQuantile*float64(len(kept)))]))
+	slices.Sort(samples)
+	return time.Duration(tokens * float64(samples[int(durationQuantile*float64(len(samples)))]))
 }
 
-// near returns a copy of the paces of a size, with those of the nearest sizes as far
-// as it takes to have enough.
-func (p *paces) near(size int) []time.Duration {
+// samplesNear returns a copy of the samples of a size class, with those of the nearest
+// other classes until there are enough.
+func (e *durationEstimator) samplesNear(class int) []time.Duration {
 	var list []time.Duration
-	for d := 0; d <= mostSizes && len(list) < paceLeast; d++ {
-		for _, one := range []int{size - d, size + d} {
-			if r := p.sizes[one]; r != nil && (one != size || len(list) == 0) {
-				list = append(list, r.kept...)
+	for d := 0; d <= maxSizeClasses && len(list) < minSamples; d++ {
+		for _, near := range []int{class - d, class + d} {
+			if ring := e.rings[near]; ring != nil && (near != class || len(list) == 0) {
+				list = append(list, ring.samples...)
 			}
 		}
 	}
 	return list
 }
 
-// mostSizes is how many classes of sizes there may be: answers of a million tokens.
-const mostSizes = 20
+// maxSizeClasses is the number of size classes, enough for answers of a million tokens.
+const maxSizeClasses = 20
 
-// mayStay refuses a stream that would likely be cut off by the end of this host,
-// which was told to stop: nothing was sent, and others have the time.
-func (s *streamRun) mayStay() *failure.Error {
+// refuseIfTooLong refuses a stream that would likely be interrupted by the end of this
+// host, which was told to stop. Nothing was sent yet, and other hosts have the time.
+func (s *streamRun) refuseIfTooLong() *failure.Error {
 	left, stops := s.g.source.ShutdownIn()
-	if !stops || s.j.service.Engine == nil || s.g.paces.expect(s.demand().Answer) <= left {
+	if !stops || s.j.service.Engine == nil || s.g.durations.estimate(s.demand().Answer) <= left {
 		return nil
 	}
-	return failure.New(failure.Draining, "this host stops in %v", left).WithRetryAfter(stayElsewhere)
+	return failure.New(failure.Draining, "this host stops in %v", left).WithRetryAfter(drainingRetryAfter)
 }
--- a/pkg/gateway/tracker.go
+++ b/pkg/gateway/tracker.go
@@ -9,61 +9,61 @@
 )
 
 const (
-	// avoidFirst is how long an endpoint that failed once is left alone;
-	// each failure in a row doubles it, up to avoidMost.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
-	// latencyWeight is the newest answer's weight in the mean.
+	// initialAvoidTime is how long an endpoint is avoided after a first failure. Each
+	// further failure in a row doubles the time, up to maxAvoidTime.
+	initialAvoidTime = 500 * time.Millisecond
+	maxAvoidTime     = 4 * time.Second
+	// latencyWeight is the weight of the newest answer in the moving average.
 	latencyWeight = 0.3
 )
 
-// Tracker knows what this host has under way at each endpoint, and which ones
-// failed it. It is safe for use by several goroutines.
+// Tracker holds the load that this host has in flight at each endpoint, and which
+// endpoints failed recently. It is safe for use by several goroutines.
 type Tracker struct {
 	svc timer.Service
 	log *eventlog.Log
 
-	mu   sync.Mutex
-	rows map[string]*trackRow
+	mu      sync.Mutex
+	entries map[string]*trackerEntry
 }
 
-type trackRow struct {
-	load     Load
-	until    time.Time // avoided
-	failures int       // in a row
-	latency  float64   // mean ms of answers; 0 if none came
-	used     time.Time
+type trackerEntry struct {
+	load       Load
+	avoidUntil time.Time
+	failures   int     // in a row
+	latency    float64 // moving average in ms; 0 if there was no answer yet
+	lastUsed   time.Time
 }
 
-// trackKeep is how long a row without work is kept.
-const trackKeep = 2 * time.Minute
+// idleEntryLifetime is how long an entry without load is kept.
+const idleEntryLifetime = 2 * time.Minute
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns a tracker without entries.
 func NewTracker(svc timer.Service, log *eventlog.Log) *Tracker {
 	return &Tracker{
-		svc:  svc,
-		log:  log,
-		rows: map[string]*trackRow{},
+		svc:     svc,
+		log:     log,
+		entries: map[string]*trackerEntry{},
 	}
 }
 
-func (t *Tracker) row(id string) *trackRow {
-	r := t.rows[id]
-	if r == nil {
-		r = &trackRow{}
-		t.rows[id] = r
+func (t *Tracker) entry(id string) *trackerEntry {
+	e := t.entries[id]
+	if e == nil {
+		e = &trackerEntry{}
+		t.entries[id] = e
 	}
-	r.used = t.svc.Now()
-	return r
+	e.lastUsed = t.svc.Now()
+	return e
 }
 
-// Begin counts work at an endpoint; the function returned ends it.
+// Begin counts a request as load of an endpoint, until the returned function is called.
 func (t *Tracker) Begin(id string, tokens int) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.row(id)
-	r.load.Requests++
-	r.load.Tokens += tokens
+	e := t.entry(id)
+	e.load.Requests++
+	e.load.Tokens += tokens
 	done := false
 	return func() {
 		t.mu.Lock()
@@ -72,101 +72,103 @@
 			return
 		}
 		done = true
-		r.load.Requests--
-		r.load.Tokens -= tokens
+		e.load.Requests--
+		e.load.Tokens -= tokens
 	}
 }
 
-// Load returns what is under way at an endpoint.
+// Load returns the load in flight at an endpoint.
 func (t *Tracker) Load(id string) Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[id]; r != nil {
-		return r.load
+	if e := t.entries[id]; e != nil {
+		return e.load
 	}
 	return Load{}
 }
 
-// Loads returns what is under way at every endpoint, and forgets old rows.
+// Loads returns the load in flight at every endpoint that has any, and deletes entries
+// that were idle for long.
 func (t *Tracker) Loads() map[string]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.svc.Now()
 	list := map[string]Load{}
-	for id, r := range t.rows {
-		if r.load.Requests > 0 {
-			list[id] = r.load
+	for id, e := range t.entries {
+		if e.load.Requests > 0 {
+			list[id] = e.load
 			continue
 		}
-		if now.Sub(r.used) > trackKeep {
-			delete(t.rows, id)
+		if now.Sub(e.lastUsed) > idleEntryLifetime {
+			delete(t.entries, id)
 		}
 	}
 	return list
 }
 
-// RecordFailure notes a failure of an endpoint, by which it gets no work for a while.
+// RecordFailure records that an endpoint failed. It gets no new work for a while.
 func (t *Tracker) RecordFailure(id, why string) {
 	t.mu.Lock()
-	r := t.row(id)
+	e := t.entry(id)
 	now := t.svc.Now()
-	fresh := now.After(r.until)
-	if fresh {
-		r.failures++
+	wasAvailable := now.After(e.avoidUntil)
+	if wasAvailable {
+		e.failures++
 	}
-	d := min(avoidMost, avoidFirst<<min(8, r.failures-1))
-	if until := now.Add(d); until.After(r.until) {
-		r.until = until
+	d := min(maxAvoidTime, initialAvoidTime<<min(8, e.failures-1))
+	if until := now.Add(d); until.After(e.avoidUntil) {
+		e.avoidUntil = until
 	}
 	t.mu.Unlock()
-	if fresh {
+	if wasAvailable {
 		t.log.Event(eventlog.EndpointAvoided, eventlog.Str("endpoint", id), eventlog.Str("why", why), eventlog.Ms("for_ms", d))
 	}
 }
 
-// Suspects returns the endpoints that are avoided now.
+// Suspects returns the endpoints that are currently avoided.
 func (t *Tracker) Suspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.svc.Now()
 	var list []string
-	for id, r := range t.rows {
-		if now.Before(r.until) {
+	for id, e := range t.entries {
+		if now.Before(e.avoidUntil) {
 			list = append(list, id)
 		}
 	}
 	return list
 }
 
-// RecordSuccess notes an answer of an endpoint that took d.
+// RecordSuccess records an answer of an endpoint that took d. The endpoint is not
+// avoided any longer.
 func (t *Tracker) RecordSuccess(id string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.row(id)
-	r.failures = 0
-	r.until = time.Time{}
+	e := t.entry(id)
+	e.failures = 0
+	e.avoidUntil = time.Time{}
 	ms := float64(d) / float64(time.Millisecond)
-	if r.latency == 0 {
-		r.latency = ms
+	if e.latency == 0 {
+		e.latency = ms
 		return
 	}
-	r.latency += latencyWeight * (ms - r.latency)
+	e.latency += latencyWeight * (ms - e.latency)
 }
 
-// Latency returns the mean time of an endpoint's answers in ms; 0 if unknown.
+// Latency returns the moving average of an endpoint's answer times in ms; 0 if unknown.
 func (t *Tracker) Latency(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.rows[id]; r != nil {
-		return r.latency
+	if e := t.entries[id]; e != nil {
+		return e.latency
 	}
 	return 0
 }
 
-// Avoided reports whether an endpoint gets no work now.
+// Avoided reports whether an endpoint is currently avoided.
 func (t *Tracker) Avoided(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.rows[id]
-	return r != nil && t.svc.Now().Before(r.until)
+	e := t.entries[id]
+	return e != nil && t.svc.Now().Before(e.avoidUntil)
 }
--- a/pkg/gateway/waits.go
+++ b/pkg/gateway/waits.go
@@ -7,151 +7,153 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// waitBucket is the time of which the shortest wait counts: a host begins a few
-// streams at each first endpoint in it.
+// waitBucket is the time window of which the shortest wait counts. A host sends a few
+// streams to each first endpoint within it.
 const waitBucket = 500 * time.Millisecond
 
-// waits tells how long a stream that is sent now would wait at the first endpoint
-// of its path for its first event, by what this host's own streams see: whatever
-// the cause, a queue of prompts, memory that is full or passes that take long, it
-// shows there. Streams that share a first endpoint may go on by different paths,
-// one of which holds them up, so of all waits in a bucket the shortest counts.
-// What nothing tells anew shrinks as fast as time passes, as a queue does that
-// nothing joins. It is safe for use by several goroutines.
-type waits struct {
+// waitEstimator estimates how long a stream that is sent now would wait for its first
+// event, by the first endpoint of its path. It uses what this host's own streams
+// observe, because any cause of a delay shows there: queued prompts, full memory or
+// slow steps. Streams with the same first endpoint may continue on different paths,
+// only one of which delays them, so the shortest wait in a window counts. Without new
+// observations an estimate decreases as fast as time passes, like a queue that nothing
+// joins. It is safe for use by several goroutines.
+type waitEstimator struct {
 	svc timer.Service
 
-	mu   sync.Mutex
-	rows map[string]*waitRow // by endpoint
+	mu      sync.Mutex
+	entries map[string]*waitEntry // by endpoint
 }
 
-type waitRow struct {
-	pending map[*waiting]bool
-	// least is the shortest wait in the bucket that began at since, and before
-	// that of the bucket before; negative if there was none.
-	least  time.Duration
-	before time.Duration
-	since  time.Time
-	// told is the newest estimate, and when it was made.
-	told   time.Duration
-	toldAt time.Time
+type waitEntry struct {
+	pending map[*pendingSend]bool
+	// current is the shortest wait in the window that began at bucketStart, and
+	// previous that of the window before it; negative if there was none.
+	current     time.Duration
+	previous    time.Duration
+	bucketStart time.Time
+	// estimate is the latest estimate, made at estimatedAt.
+	estimate    time.Duration
+	estimatedAt time.Time
 }
 
-// waiting is one send of a stream before its first event.
-type waiting struct {
-	id    string // of the first endpoint
-	began time.Time
+// pendingSend is a send of a stream that is still waiting for its first event.
+type pendingSend struct {
+	id     string // first endpoint
+	sentAt time.Time
 }
 
-func newWaits(svc timer.Service) *waits {
-	return &waits{
-		svc:  svc,
-		rows: map[string]*waitRow{},
+func newWaitEstimator(svc timer.Service) *waitEstimator {
+	return &waitEstimator{
+		svc:     svc,
+		entries: map[string]*waitEntry{},
 	}
 }
 
-// begin notes a send to a first endpoint.
-func (w *waits) begin(id string) *waiting {
+// begin records that a stream is sent to a first endpoint.
+func (w *waitEstimator) begin(id string) *pendingSend {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.svc.Now()
-	r := w.rows[id]
-	if r == nil {
-		r = &waitRow{
-			pending: map[*waiting]bool{},
-			least:   -1,
-			before:  -1,
-			since:   now,
+	e := w.entries[id]
+	if e == nil {
+		e = &waitEntry{
+			pending:     map[*pendingSend]bool{},
+			current:     -1,
+			previous:    -1,
+			bucketStart: now,
 		}
-		w.rows[id] = r
+		w.entries[id] = e
 	}
-	s := &waiting{
-		id:    id,
-		began: now,
+	s := &pendingSend{
+		id:     id,
+		sentAt: now,
 	}
-	r.pending[s] = true
+	e.pending[s] = true
 	return s
 }
 
-// first notes an event: the first one of a send ends its wait.
-func (w *waits) first(s *waiting) {
+// firstEvent records an event. The first event of a send ends its wait; further events
+// have no effect.
+func (w *waitEstimator) firstEvent(s *pendingSend) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.rows[s.id]
-	if r == nil || !r.pending[s] {
+	e := w.entries[s.id]
+	if e == nil || !e.pending[s] {
 		return
 	}
-	delete(r.pending, s)
+	delete(e.pending, s)
 	now := w.svc.Now()
-	r.note(now, now.Sub(s.began))
+	e.record(now, now.Sub(s.sentAt))
 }
 
-// end notes that a send has ended.
-func (w *waits) end(s *waiting) {
+// end records that a send has ended.
+func (w *waitEstimator) end(s *pendingSend) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.rows[s.id]
-	if r == nil {
+	e := w.entries[s.id]
+	if e == nil {
 		return
 	}
-	delete(r.pending, s)
-	if len(r.pending) == 0 && r.at(w.svc.Now()) == 0 {
-		delete(w.rows, s.id)
+	delete(e.pending, s)
+	if len(e.pending) == 0 && e.estimateAt(w.svc.Now()) == 0 {
+		delete(w.entries, s.id)
 	}
 }
 
-// expect returns how long a stream that begins at an endpoint now would wait.
-func (w *waits) expect(id string) time.Duration {
+// estimate returns how long a stream that is sent to an endpoint now would wait for its
+// first event.
+func (w *waitEstimator) estimate(id string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r := w.rows[id]; r != nil {
-		return r.at(w.svc.Now())
+	if e := w.entries[id]; e != nil {
+		return e.estimateAt(w.svc.Now())
 	}
 	return 0
 }
 
-// turn begins a new bucket if it is time.
-func (r *waitRow) turn(now time.Time) {
-	age := now.Sub(r.since)
+// rotate starts a new window if the current one is over.
+func (e *waitEntry) rotate(now time.Time) {
+	age := now.Sub(e.bucketStart)
 	if age < waitBucket {
 		return
 	}
-	r.before = r.least
+	e.previous = e.current
 	if age >= 2*waitBucket {
-		r.before = -1
+		e.previous = -1
 	}
-	r.least = -1
-	r.since = now
+	e.current = -1
+	e.bucketStart = now
 }
 
-func (r *waitRow) note(now time.Time, d time.Duration) {
-	r.turn(now)
-	if r.least < 0 || d < r.least {
-		r.least = d
+func (e *waitEntry) record(now time.Time, d time.Duration) {
+	e.rotate(now)
+	if e.current < 0 || d < e.current {
+		e.current = d
 	}
-	r.told = r.shortest()
-	r.toldAt = now
+	e.estimate = e.shortest()
+	e.estimatedAt = now
 }
 
-// shortest returns the shortest wait of both buckets; negative if there was none.
-func (r *waitRow) shortest() time.Duration {
-	if r.least < 0 || r.before >= 0 && r.before < r.least {
-		return r.before
+// shortest returns the shortest wait in both windows; negative if there was none.
+func (e *waitEntry) shortest() time.Duration {
+	if e.current < 0 || e.previous >= 0 && e.previous < e.current {
+		return e.previous
 	}
-	return r.least
+	return e.current
 }
 
-// at returns the estimate at now.
-func (r *waitRow) at(now time.Time) time.Duration {
-	r.turn(now)
-	if seen := r.shortest(); seen >= 0 {
-		r.told = seen
-		r.toldAt = now
-		return seen
+// estimateAt returns the estimate at now.
+func (e *waitEntry) estimateAt(now time.Time) time.Duration {
+	e.rotate(now)
+	if shortest := e.shortest(); shortest >= 0 {
+		e.estimate = shortest
+		e.estimatedAt = now
+		return shortest
 	}
-	est := max(0, r.told-now.Sub(r.toldAt))
-	for s := range r.pending {
-		est = max(est, now.Sub(s.began))
+	est := max(0, e.estimate-now.Sub(e.estimatedAt))
+	for s := range e.pending {
+		est = max(est, now.Sub(s.sentAt))
 	}
 	return est
 }
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -14,75 +14,76 @@
 )
 
 const (
-	// maxSends bounds the sends of one request, with those that endpoints
-	// refused without running them.
+	// maxSends limits how often one request is sent, including sends that an endpoint
+	// refused without running the request.
 	maxSends = 4
-	// hedgeShare is the part of the latency goal after which a request that
-	// may be repeated is sent to a second endpoint too. Half of the goal is
-	// over twice the mean work, so few calm requests are repeated.
+	// hedgeShare is the part of the latency goal after which a request that may run
+	// more than once is also sent to a second endpoint. Half of the goal is more than
+	// twice the mean processing time, so few requests are hedged while the load is
+	// normal.
 	hedgeShare = 0.5
-	// maxAnswerBytes bounds an answer that is held whole.
+	// maxAnswerBytes limits the size of a non-streamed answer, which is held in memory.
 	maxAnswerBytes = 8 << 20
-	// comeBack is when a refused caller should return: an endpoint that
-	// failed is avoided for as long.
-	comeBack = 300 * time.Millisecond
+	// baseRetryAfter is the usual retry-after time of a refused caller, and the least
+	// that is told where the time until capacity is available is known.
+	baseRetryAfter = 300 * time.Millisecond
 )
 
-// verdict is how one attempt ended.
-type verdict struct {
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
 	endpoint fleet.Endpoint
 	status   int
 	header   http.Header
 	body     []byte
 	notRun   bool
 	err      error
-	began    time.Time
+	sentAt   time.Time
 }
 
-// good reports whether a verdict is an answer that no other attempt betters.
-func (v *verdict) good() bool {
-	return v.err == nil && !v.notRun && v.status < http.StatusInternalServerError
+// final reports whether this is an answer that no other attempt can improve on.
+func (r *attemptResult) final() bool {
+	return r.err == nil && !r.notRun && r.status < http.StatusInternalServerError
 }
 
-// serveWhole answers a request of an ordinary service.
-func (g *Gateway) serveWhole(ctx context.Context, j *job) {
-	w := &wholeRun{
+// serveUnary serves a request whose answer is not a stream.
+func (g *Gateway) serveUnary(ctx context.Context, j *job) {
+	w := &unaryRun{
 		g:       g,
 		j:       j,
 		tried:   map[string]bool{},
-		results: make(chan *verdict, maxSends),
+		results: make(chan *attemptResult, maxSends),
 	}
-	g.repeats.earn(g.source.HostCount())
+	g.retries.deposit(g.source.HostCount())
 	grp := group.New(ctx)
 	defer grp.Stop()
 	w.group = grp
 	w.run(ctx)
 }
 
-// wholeRun is a request's attempts.
-type wholeRun struct {
-	g       *Gateway
-	j       *job
-	group   *group.Group
-	tried   map[string]bool
-	results chan *verdict
-	sends   int
-	running int
-	ran     int // attempts that may have run
-	last    *verdict
-	// borrowed is how often it asked for permits, and due when there is one, if there
-	// wasn't.
-	borrowed int
-	due      time.Duration
+// unaryRun is the state of a request with a non-streamed answer, over all its attempts.
+type unaryRun struct {
+	g        *Gateway
+	j        *job
+	group    *group.Group
+	tried    map[string]bool
+	results  chan *attemptResult
+	sends    int
+	running  int
+	attempts int // attempts that may have run
+	best     *attemptResult
+	// permitRequests is how often the leader was asked for permits. If it granted none,
+	// permitAvailableIn is the time until one is available.
+	permitRequests    int
+	permitAvailableIn time.Duration
 }
 
-func (w *wholeRun) run(ctx context.Context) {
+func (w *unaryRun) run(ctx context.Context) {
 	for {
 		changed := w.g.source.Changed()
 		if w.send(firstSend) {
 			break
 		}
-		if w.borrow(ctx) {
+		if w.requestPermit(ctx) {
 			continue
 		}
 		if !w.g.awaitEndpoints(ctx, w.j.req, changed) {
@@ -93,14 +94,14 @@
 	hedge := w.hedgeTimer()
 	for w.running > 0 {
 		select {
-		case v := <-w.results:
+		case r := <-w.results:
 			w.running--
-			if w.take(v) {
+			if w.handleResult(r) {
 				return
 			}
 		case <-hedge:
 			hedge = nil
-			w.repeat(besideOther, nil)
+			w.resend(asHedge, nil)
 		case <-ctx.Done():
 			w.expired(ctx)
 			return
@@ -109,49 +110,51 @@
 	w.finish()
 }
 
-// hedgeTimer fires when a repeatable request has waited long enough; a nil
-// channel never does.
-func (w *wholeRun) hedgeTimer() <-chan time.Time {
+// hedgeTimer returns a channel that fires when it is time to hedge, or nil if the
+// request must not be hedged.
+func (w *unaryRun) hedgeTimer() <-chan time.Time {
 	if w.j.route.Kind != fleet.Safe || w.j.route.Goal <= 0 {
 		return nil
 	}
 	return w.g.svc.After(time.Duration(hedgeShare * float64(w.j.route.Goal)))
 }
 
-// take deals with an attempt's end; it reports whether the request is answered.
-func (w *wholeRun) take(v *verdict) bool {
-	w.last = better(w.last, v)
-	if v.good() {
-		w.answer(v)
+// handleResult processes the end of an attempt and reports whether the request is
+// answered.
+func (w *unaryRun) handleResult(r *attemptResult) bool {
+	w.best = better(w.best, r)
+	if r.final() {
+		w.answer(r)
 		return true
 	}
-	if v.err != nil || v.notRun {
-		w.g.tracker.RecordFailure(v.endpoint.ID, w.why(v))
-		w.g.attemptFailed(w.j, v.endpoint.ID, w.why(v))
+	if r.err != nil || r.notRun {
+		w.g.tracker.RecordFailure(r.endpoint.ID, w.failureReason(r))
+		w.g.logFailedAttempt(w.j, r.endpoint.ID, w.failureReason(r))
 	}
-	if cut(v.err) {
-		w.g.fell(w.j, v.endpoint.ID, true, v.began)
+	if connectionLost(r.err) {
+		w.g.recordCrash(w.j, r.endpoint.ID, true, r.sentAt)
 	}
-	if v.notRun || notSent(v.err) {
-		w.ran--
-		w.repeat(afterFailure, v.err)
+	if r.notRun || notSent(r.err) {
+		w.attempts--
+		w.resend(afterFailure, r.err)
 		return false
 	}
 	if w.j.route.Kind == fleet.Safe && w.running == 0 {
-		w.repeat(afterFailure, v.err)
+		w.resend(afterFailure, r.err)
 	}
 	return false
 }
 
-func (w *wholeRun) why(v *verdict) string {
-	if v.err != nil {
-		return v.err.Error()
+func (w *unaryRun) failureReason(r *attemptResult) string {
+	if r.err != nil {
+		return r.err.Error()
 	}
-	return http.StatusText(v.status)
+	return http.StatusText(r.status)
 }
 
-// better prefers an endpoint's own answer to none.
-func better(a, b *verdict) *verdict {
+// better returns the result to answer with: an answer of an endpoint is preferred to a
+// failure without one.
+func better(a, b *attemptResult) *attemptResult {
 	if a == nil || a.err != nil || a.notRun {
 		return b
 	}
@@ -166,38 +169,39 @@
 	return errors.As(err, &e) && !e.Sent
 }
 
-// repeat sends once more if attempts and the budget allow it.
-func (w *wholeRun) repeat(why occasion, cause error) {
-	if w.ran >= w.j.route.MaxAttempts || w.sends >= maxSends || w.g.keep(w.j) != nil {
+// resend sends the request once more if the limit of attempts and the retry budget
+// allow it.
+func (w *unaryRun) resend(reason sendReason, cause error) {
+	if w.attempts >= w.j.route.MaxAttempts || w.sends >= maxSends || w.g.checkQuarantine(w.j) != nil {
 		return
 	}
 	if notSent(cause) {
-		why = afterUnsent
+		reason = afterUnsent
 	}
-	w.send(why)
+	w.send(reason)
 }
 
-// occasion is why a request is sent.
-type occasion int
+// sendReason is why a request is sent.
+type sendReason int
 
 const (
-	firstSend    occasion = iota
-	afterFailure          // an attempt failed, or was refused
-	afterUnsent           // an attempt reached no endpoint
-	besideOther           // an attempt still runs
+	firstSend    sendReason = iota
+	afterFailure            // an attempt failed or was refused
+	afterUnsent             // an attempt reached no endpoint
+	asHedge                 // another attempt is still running
 )
 
-// send starts an attempt, paid for by the budget if it is a repeat, and reports
-// whether an endpoint was there. A send beside another takes no permit: that is a place
-// of a request which wasn't sent yet.
-func (w *wholeRun) send(why occasion) bool {
-	e, ok := w.pick(why)
+// send starts an attempt and reports whether it did. A retry or hedge is charged to the
+// retry budget, unless the attempt before reached no endpoint. A hedge never uses a
+// permit, which would take it from a request that has not been sent yet.
+func (w *unaryRun) send(reason sendReason) bool {
+	e, ok := w.pick(reason)
 	if !ok {
 		return false
 	}
 	w.tried[e.ID] = true
 	w.sends++
-	w.ran++
+	w.attempts++
 	w.running++
 	w.group.Go(func(ctx context.Context) {
 		w.results <- w.g.tryAttempt(ctx, w.j, e)
@@ -205,16 +209,16 @@
 	return true
 }
 
-// pick chooses the endpoint of the next send, and takes what the send needs.
-func (w *wholeRun) pick(why occasion) (fleet.Endpoint, bool) {
-	fits := func(id string) bool { return !w.tried[id] && (why != besideOther || !w.g.permits.HasLimit(id)) }
-	paid := why == firstSend || why == afterUnsent
+// pick chooses the endpoint for the next attempt and acquires what the attempt needs.
+func (w *unaryRun) pick(reason sendReason) (fleet.Endpoint, bool) {
+	fits := func(id string) bool { return !w.tried[id] && (reason != asHedge || !w.g.permits.HasLimit(id)) }
+	paid := reason == firstSend || reason == afterUnsent
 	for {
 		e, ok := w.g.pick(w.j.service.Name, fits)
 		if !ok && w.sends == 0 {
 			e, ok = w.g.lastChoice(w.j.service.Name, w.tried)
 		}
-		paid = paid || ok && w.g.repeats.spend(w.g.source.HostCount())
+		paid = paid || ok && w.g.retries.withdraw(w.g.source.HostCount())
 		if !ok || !paid {
 			return e, false
 		}
@@ -224,85 +228,87 @@
 	}
 }
 
-// borrow asks for a permit where nothing else is lacking, and reports whether to choose
-// again.
-func (w *wholeRun) borrow(ctx context.Context) bool {
-	ids := w.g.scarce(w.j.service.Name, w.tried)
-	if len(ids) == 0 || w.borrowed >= maxBorrows {
+// requestPermit asks the leader for a permit if only a permit is missing, and reports
+// whether to choose an endpoint again.
+func (w *unaryRun) requestPermit(ctx context.Context) bool {
+	ids := w.g.lackingPermit(w.j.service.Name, w.tried)
+	if len(ids) == 0 || w.permitRequests >= maxPermitRequests {
 		return false
 	}
-	w.borrowed++
-	w.due = w.g.borrow(ctx, w.j, ids, false)
-	return w.due == 0
+	w.permitRequests++
+	w.permitAvailableIn = w.g.requestPermits(ctx, w.j, ids, false)
+	return w.permitAvailableIn == 0
 }
 
-func (w *wholeRun) answer(v *verdict) {
-	w.g.stood(w.j)
-	w.g.served(w.j, v.status, v.endpoint.ID, w.sends)
-	w.j.out.WriteAnswer(v.status, v.header, v.body)
+func (w *unaryRun) answer(r *attemptResult) {
+	w.g.recordAnswered(w.j)
+	w.g.logServed(w.j, r.status, r.endpoint.ID, w.sends)
+	w.j.out.WriteAnswer(r.status, r.header, r.body)
 }
 
-// finish answers when no attempt is left.
-func (w *wholeRun) finish() {
-	v := w.last
+// finish answers the request when no attempt is running.
+func (w *unaryRun) finish() {
+	r := w.best
 	switch {
-	case v != nil && v.err == nil && !v.notRun:
-		w.answer(v)
-	case v == nil && w.due > 0:
-		w.refuse(w.g.full(w.due))
-	case v == nil && w.g.restLeft(w.j.service.Name) > 0:
-		w.refuse(w.g.resting(w.g.restLeft(w.j.service.Name)))
-	case v == nil:
-		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(spread(comeBack)))
-	case w.ran > 0:
-		w.refuse(failure.Wrap(v.err, failure.EndpointFailed, "endpoint %s", v.endpoint.ID))
+	case r != nil && r.err == nil && !r.notRun:
+		w.answer(r)
+	case r == nil && w.permitAvailableIn > 0:
+		w.refuse(w.g.noPermitError(w.permitAvailableIn))
+	case r == nil && w.g.backoffRemaining(w.j.service.Name) > 0:
+		w.refuse(w.g.backoffError(w.g.backoffRemaining(w.j.service.Name)))
+	case r == nil:
+		w.refuse(failure.New(failure.NoEndpoint, "no endpoint of the service takes work").WithRetryAfter(lengthen(baseRetryAfter)))
+	case w.attempts > 0:
+		w.refuse(failure.Wrap(r.err, failure.EndpointFailed, "endpoint %s", r.endpoint.ID))
 	default:
 		w.refuse(failure.New(failure.Overloaded, "every endpoint that was asked refused").
-			WithRetryAfter(max(comeBack, spread(w.g.restLeft(w.j.service.Name)))))
+			WithRetryAfter(max(baseRetryAfter, lengthen(w.g.backoffRemaining(w.j.service.Name)))))
 	}
 }
 
-// expired answers when time ran out or the caller left. Attempts that reached no
-// endpoint by then surely didn't run, and their caller is told so: one whose
-// request must not be repeated may come back only after that.
-func (w *wholeRun) expired(ctx context.Context) {
+// expired answers the request when its time has run out or the caller has disconnected.
+// Attempts that have not reached an endpoint by then cannot have run. The caller is
+// told if none has run: a caller whose request must not run twice may only retry after
+// that.
+func (w *unaryRun) expired(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return // nobody is there to be answered
+		return // the caller has disconnected
 	}
 	w.group.Stop()
 	for ; w.running > 0; w.running-- {
-		v := <-w.results
-		if v.good() {
-			w.answer(v)
+		r := <-w.results
+		if r.final() {
+			w.answer(r)
 			return
 		}
-		if v.notRun || notSent(v.err) {
-			w.ran--
+		if r.notRun || notSent(r.err) {
+			w.attempts--
 		}
 	}
-	if w.ran == 0 {
-		w.refuse(failure.New(failure.NoEndpoint, "no endpoint was reached in time").WithRetryAfter(comeBack))
+	if w.attempts == 0 {
+		w.refuse(failure.New(failure.NoEndpoint, "no endpoint was reached in time").WithRetryAfter(baseRetryAfter))
 		return
 	}
 	w.refuse(failure.New(failure.DeadlineExceeded, "no answer in time from %d endpoints", w.sends))
 }
 
-func (w *wholeRun) refuse(e *failure.Error) {
+func (w *unaryRun) refuse(e *failure.Error) {
 	w.g.refuse(w.j.req, w.j, w.j.out, e)
 }
 
-// pick chooses the endpoint that should answer first, of those that may be called now.
+// pick chooses the best of the endpoints that may be called now.
 func (g *Gateway) pick(service string, fits func(id string) bool) (fleet.Endpoint, bool) {
-	return g.best(service, func(id string) bool { return fits(id) && g.rests.Remaining(id) == 0 && g.permits.MayCall(id) })
+	return g.best(service, func(id string) bool { return fits(id) && g.backoffs.Remaining(id) == 0 && g.permits.MayCall(id) })
 }
 
-// lastChoice chooses one that rests, and counts that it is called in its rest.
+// lastChoice chooses an endpoint that is in backoff but may be called once
+// nevertheless, and records that call.
 func (g *Gateway) lastChoice(service string, tried map[string]bool) (fleet.Endpoint, bool) {
-	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.rests.MayCall(id) && g.permits.MayCall(id) })
-	return e, ok && g.takeLast(e.ID)
+	e, ok := g.best(service, func(id string) bool { return !tried[id] && g.backoffs.MayCall(id) && g.permits.MayCall(id) })
+	return e, ok && g.acquireLastChoice(e.ID)
 }
 
-// best returns the endpoint with the lowest score of those that fit.
+// best returns the endpoint with the lowest score of those for which fits returns true.
 func (g *Gateway) best(service string, fits func(id string) bool) (fleet.Endpoint, bool) {
 	var best fleet.Endpoint
 	bestScore := -1.0
@@ -319,13 +325,15 @@
 }
 
 const (
-	// avoidedScore puts endpoints that failed or went silent behind all others.
+	// avoidedScore ranks endpoints that failed, and silentScore those that are silent,
+	// behind all others.
 	avoidedScore = 1e6
 	silentScore  = 1e3
-	// permitScore puts endpoints whose permit this host holds before others: one that
-	// isn't used is lost to all hosts for a second.
+	// permitScore ranks endpoints before others if this host holds a permit for them: a
+	// permit that is not used is lost to all hosts for a second.
 	permitScore = 0.25
-	// unknownLatency, in ms, stands for an endpoint that never answered here.
+	// unknownLatency, in ms, is used for endpoints that have not answered this host
+	// yet.
 	unknownLatency = 50
 )
 
@@ -348,10 +356,10 @@
 	return score
 }
 
-// tryAttempt is attempt, which ends in a verdict whatever it meets.
-func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (v *verdict) {
-	if err := group.Try(func() { v = g.attempt(ctx, j, e) }); err != nil {
-		return &verdict{
+// tryAttempt is attempt, but turns a panic into a failed attempt.
+func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (r *attemptResult) {
+	if err := group.Try(func() { r = g.attempt(ctx, j, e) }); err != nil {
+		return &attemptResult{
 			endpoint: e,
 			err: &SendError{
 				Sent:  true,
@@ -359,15 +367,15 @@
 			},
 		}
 	}
-	return v
+	return r
 }
 
-// attempt sends a request to one endpoint and reads the whole answer.
-func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *verdict {
-	began := g.svc.Now()
-	v := &verdict{
+// attempt sends a request to one endpoint and reads the complete answer.
+func (g *Gateway) attempt(ctx context.Context, j *job, e fleet.Endpoint) *attemptResult {
+	sentAt := g.svc.Now()
+	r := &attemptResult{
 		endpoint: e,
-		began:    began,
+		sentAt:   sentAt,
 	}
 	done := g.tracker.Begin(e.ID, 0)
 	defer done()
@@ -376,32 +384,32 @@
 		ID:       e.ID,
 		Address:  e.Address,
 		Account:  j.account,
-		Timeout:  j.end.Sub(began),
+		Timeout:  j.deadline.Sub(sentAt),
 		Priority: j.priority,
 	})
 	if err != nil {
-		v.err = err
-		return v
+		r.err = err
+		return r
 	}
-	defer func() { _ = a.Body.Close() }() // it was read, or is given up
-	v.status = a.Status
-	v.notRun = a.NotRun || a.Misdirected
-	v.header = a.Header
-	v.body, err = io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
+	defer func() { _ = a.Body.Close() }() // the body was read completely or is no longer needed
+	r.status = a.Status
+	r.notRun = a.NotRun || a.Misdirected
+	r.header = a.Header
+	r.body, err = io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	switch {
-	case v.notRun:
+	case r.notRun:
 	case err != nil:
-		v.err = &SendError{
+		r.err = &SendError{
 			Sent:  true,
 			Cause: err,
 		}
 	case !a.Verified:
-		v.err = &SendError{
+		r.err = &SendError{
 			Sent:  true,
 			Cause: errors.New("the answer is damaged"),
 		}
 	default:
-		g.tracker.RecordSuccess(e.ID, g.svc.Now().Sub(began))
+		g.tracker.RecordSuccess(e.ID, g.svc.Now().Sub(sentAt))
 	}
-	return v
+	return r
 }
--- a/pkg/gateway/words.go
+++ b/pkg/gateway/words.go
@@ -14,54 +14,57 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// send sends a call, and takes what the answer says of an endpoint at once, whether or
-// not anybody still waits for the answer: each answer that tells of a leave or a rest is
-// heard here, and each choice of endpoints heeds it.
+// send sends a call and records at once what the endpoint reports with its answer,
+// whether or not anybody still waits for the answer. Every later choice of endpoints
+// takes these notices into account.
 func (g *Gateway) send(ctx context.Context, j *job, c *Call) (*Answer, error) {
-	g.countLimited("request", c.ID)
+	g.countLimitedCall("request", c.ID)
 	for _, p := range c.Path[min(1, len(c.Path)):] {
-		g.countLimited("part", p.ID)
+		g.countLimitedCall("part", p.ID)
 	}
 	sent := g.svc.Now()
-	a, err := g.backend.Send(ctx, c)
-	var lost *SendError
+	a, err := g.client.Send(ctx, c)
+	var sendErr *SendError
 	switch {
 	case err == nil:
-		g.hearAnswer(j, c, a, sent)
-	case errors.As(err, &lost):
-		g.hear(c.ID, lost.Notice)
-		g.hearLimit(j.service.Name, c.ID, lost.Notice.Limit, sent)
+		g.observeAnswer(j, c, a, sent)
+	case errors.As(err, &sendErr):
+		g.observeNotice(c.ID, sendErr.Notice)
+		g.observeLimit(j.service.Name, c.ID, sendErr.Notice.Limit, sent)
 	}
 	return a, err
 }
 
-// hearAnswer takes the word of an answer. Where it names another endpoint at fault, the
-// leave may be of either. Booked on the wrong one it would keep that from every host until
-// it starts again; so both are avoided for a moment only, and as suspects they are asked
-// by the leader: each of them tells of itself then.
-func (g *Gateway) hearAnswer(j *job, c *Call, a *Answer, sent time.Time) {
-	who := g.speaker(j, c, a)
-	w := a.Notice
-	g.hearLimits(j, c, who, w.Limit, sent)
-	if w.Leaving && who != c.ID {
-		w.Leaving = false
-		g.tracker.RecordFailure(c.ID, oneLeaves)
-		if who != "" {
-			g.tracker.RecordFailure(who, oneLeaves)
+// observeAnswer records the notice of an answer. If the answer names another endpoint
+// as at fault, either of the two may be the one that is leaving. Recording that for the
+// wrong one would keep all hosts from using it until it restarts. So both are only
+// avoided for a moment, and the leader probes avoided endpoints: each of them then
+// reports its own state.
+func (g *Gateway) observeAnswer(j *job, c *Call, a *Answer, sent time.Time) {
+	subject := g.noticeSubject(j, c, a)
+	n := a.Notice
+	g.observeAnswerLimit(j, c, subject, n.Limit, sent)
+	if n.Leaving && subject != c.ID {
+		n.Leaving = false
+		g.tracker.RecordFailure(c.ID, stageLeaving)
+		if subject != "" {
+			g.tracker.RecordFailure(subject, stageLeaving)
 		}
 	}
-	g.hear(who, w)
+	g.observeNotice(subject, n)
 }
 
-// oneLeaves is why endpoints are avoided that share a path of which one leaves.
-const oneLeaves = "it or another on the path leaves"
+// stageLeaving is the reason given for avoiding the endpoints of a path of which one is
+// leaving.
+const stageLeaving = "it or another on the path leaves"
 
-// speaker returns the endpoint that an answer's word is about: the one that it names as
-// at fault, or else who gave it. Empty: that can't be told.
-func (g *Gateway) speaker(j *job, c *Call, a *Answer) string {
+// noticeSubject returns the endpoint that an answer's notice is about: the one named as
+// at fault, or else the one that answered. It returns an empty string if that is
+// unknown.
+func (g *Gateway) noticeSubject(j *job, c *Call, a *Answer) string {
 	switch {
 	case a.FaultAddress == "" && a.Misdirected:
-		return "" // another endpoint is at the address
+		return "" // another endpoint is at the address now
 	case a.FaultAddress == "" || a.FaultAddress == c.Address:
 		return c.ID
 	}
@@ -78,28 +81,28 @@
 	return ""
 }
 
-// hear takes what an endpoint says of itself: a rest is for this host alone, a leave is
-// for all of them.
-func (g *Gateway) hear(id string, w fleet.Notice) {
+// observeNotice records what an endpoint reports of itself. A backoff applies to this
+// host only, leaving to all hosts.
+func (g *Gateway) observeNotice(id string, n fleet.Notice) {
 	if id == "" {
 		return
 	}
-	if w.Leaving {
+	if n.Leaving {
 		g.source.MarkLeaving(id)
 	}
-	if w.Backoff <= 0 {
+	if n.Backoff <= 0 {
 		return
 	}
-	g.rests.Record(id, w.Backoff)
+	g.backoffs.Record(id, n.Backoff)
 	g.metrics.Counter("rests_asked").Inc(1)
-	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", w.Backoff))
+	g.log.Event(eventlog.EndpointResting, eventlog.Str("endpoint", id), eventlog.Ms("for_ms", n.Backoff))
 }
 
-// takeLast reports whether an endpoint may be called as the last choice now, and counts
-// and logs it if that is in its rest.
-func (g *Gateway) takeLast(id string) bool {
-	left := g.rests.Remaining(id)
-	if !g.rests.TryAcquire(id) {
+// acquireLastChoice reports whether an endpoint may be called as the last choice, and
+// counts and logs the call if the endpoint is in backoff.
+func (g *Gateway) acquireLastChoice(id string) bool {
+	left := g.backoffs.Remaining(id)
+	if !g.backoffs.TryAcquire(id) {
 		return false
 	}
 	if left > 0 {
@@ -109,64 +112,66 @@
 	return true
 }
 
-// restSpread is the part of a rest by which callers are told to come back later than its
-// end: those that were refused together must not return together.
-const restSpread = 0.25
+// backoffRetryJitter is the part of a backoff by which retry-after times are lengthened
+// at most, so that callers that were refused together do not retry together.
+const backoffRetryJitter = 0.25
 
-// spread returns a time that is somewhat longer.
-func spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + restSpread*rand.Float64()))
+// lengthen returns d, lengthened by a random part.
+func lengthen(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 + backoffRetryJitter*rand.Float64()))
 }
 
-// resting refuses a request at once for which every endpoint rests: held until the rest
-// is over, it would only come with all others.
-func (g *Gateway) resting(left time.Duration) *failure.Error {
-	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(comeBack, spread(left)))
+// backoffError returns the failure for a request all of whose endpoints are in backoff.
+// It is refused at once: if it was delayed until the backoff ends, it would only arrive
+// together with all others.
+func (g *Gateway) backoffError(left time.Duration) *failure.Error {
+	return failure.New(failure.Overloaded, "the endpoints asked for rest").WithRetryAfter(max(baseRetryAfter, lengthen(left)))
 }
 
-// restLeft returns how long it takes until an endpoint of a service may be called; 0 if
-// one may be now, or there is none.
-func (g *Gateway) restLeft(service string) time.Duration {
-	least := time.Duration(0)
+// backoffRemaining returns the time until the first endpoint of a service is out of
+// backoff; 0 if one is now, or if there is no endpoint.
+func (g *Gateway) backoffRemaining(service string) time.Duration {
+	shortest := time.Duration(0)
 	for _, e := range g.source.Endpoints(service) {
-		left := g.rests.Remaining(e.ID)
+		left := g.backoffs.Remaining(e.ID)
 		if left == 0 {
 			return 0
 		}
-		if least == 0 || left < least {
-			least = left
+		if shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
-	return least
+	return shortest
 }
 
-// restLeft returns how long it takes until endpoints that rest make a path whole; 0 if
-// no rest stands in the way, or not rests alone.
-func (s *streamRun) restLeft() time.Duration {
+// backoffRemaining returns the time until enough endpoints are out of backoff for a
+// complete path; 0 if no backoff prevents one, or not only backoffs do.
+func (s *streamRun) backoffRemaining() time.Duration {
 	if s.j.service.Engine == nil {
-		return s.g.restLeft(s.j.service.Name)
+		return s.g.backoffRemaining(s.j.service.Name)
 	}
-	var lefts []time.Duration
+	var remaining []time.Duration
 	for _, e := range s.g.source.Endpoints(s.j.service.Name) {
-		if left := s.g.rests.Remaining(e.ID); left > 0 && !s.avoid[e.ID] {
-			lefts = append(lefts, left)
+		if left := s.g.backoffs.Remaining(e.ID); left > 0 && !s.failedIDs[e.ID] {
+			remaining = append(remaining, left)
 		}
 	}
-	slices.Sort(lefts)
-	n := sort.Search(len(lefts), func(i int) bool {
-		return s.pathOver(func(id string) bool { return s.g.rests.Remaining(id) <= lefts[i] }) != nil
+	slices.Sort(remaining)
+	n := sort.Search(len(remaining), func(i int) bool {
+		return s.pathUsing(func(id string) bool { return s.g.backoffs.Remaining(id) <= remaining[i] }) != nil
 	})
-	if n == len(lefts) {
+	if n == len(remaining) {
 		return 0
 	}
-	return lefts[n]
+	return remaining[n]
 }
 
-// pathOver returns a whole path over endpoints that fit, whether they rest or not; those
-// that had no room for this request just now may have it later.
-func (s *streamRun) pathOver(fits func(id string) bool) []fleet.Stage {
+// pathUsing returns a complete path over endpoints for which fits returns true, also if
+// they are in backoff. It allows endpoints that had no free capacity for this request,
+// because they may have some later.
+func (s *streamRun) pathUsing(fits func(id string) bool) []fleet.Stage {
 	e := s.j.service.Engine
-	list := s.holders(func(p *fleet.Endpoint) bool { return s.avoid[p.ID] || !fits(p.ID) })
+	list := s.allCandidates(func(p *fleet.Endpoint) bool { return s.failedIDs[p.ID] || !fits(p.ID) })
 	path := pathing.Choose(e, list, s.demand(), s.jitter)
 	if path == nil || !pathing.CoversAllLayers(e, path) {
 		return nil
@@ -174,16 +179,17 @@
 	return path
 }
 
-// lastPath returns a path over endpoints that rest, where there is no other for a stream
-// that wasn't sent yet, and counts that they are called in their rests.
-func (s *streamRun) lastPath() []fleet.Stage {
-	if s.sends > 0 || !s.g.rests.HasAny() {
+// lastChoicePath returns a path over endpoints that may be called in spite of a
+// backoff, for a stream that was not sent yet and has no other path, and records these
+// calls.
+func (s *streamRun) lastChoicePath() []fleet.Stage {
+	if s.sends > 0 || !s.g.backoffs.HasAny() {
 		return nil
 	}
-	path := s.pathOver(func(id string) bool { return s.g.rests.MayCall(id) && s.g.permits.MayCall(id) })
+	path := s.pathUsing(func(id string) bool { return s.g.backoffs.MayCall(id) && s.g.permits.MayCall(id) })
 	for _, p := range path {
-		if !s.g.takeLast(p.ID) {
-			return nil // another stream was before this one
+		if !s.g.acquireLastChoice(p.ID) {
+			return nil // another stream took the one call that was allowed
 		}
 	}
 	return path
