--- a/pkg/chain/call.go
+++ b/pkg/chain/call.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	defer closeBody(resp)
+	defer drainAndClose(resp)
 	if out == nil {
 		return nil
 	}
@@ -53,7 +53,7 @@
 	if err != nil {
 		return errors.Wrap(err, "call engine")
 	}
-	defer closeBody(resp)
+	defer drainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
 		return &statusError{
 			status: resp.StatusCode,
@@ -80,7 +80,7 @@
 		return nil, errors.Wrap(err, "call engine")
 	}
 	if resp.StatusCode != http.StatusOK {
-		closeBody(resp)
+		drainAndClose(resp)
 		return nil, &statusError{
 			status: resp.StatusCode,
 		}
@@ -88,8 +88,8 @@
 	return resp, nil
 }
 
-// closeBody reads the little that is left, so that the connection is kept.
-func closeBody(resp *http.Response) {
+// drainAndClose reads the little that is left, so that the connection is kept.
+func drainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4096)
 	_ = resp.Body.Close()
 }
@@ -97,8 +97,8 @@
 // reasonFull is the reason of an engine that has no slot left.
 const reasonFull = "full"
 
-// reasonOf names the reason of a failed call as engines do.
-func reasonOf(err error) string {
+// faultReason names the reason of a failed call as engines do.
+func faultReason(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return api.FaultUnreachable
--- a/pkg/chain/execution.go
+++ b/pkg/chain/execution.go
@@ -14,11 +14,11 @@
 
 // stage is one endpoint's part in an execution.
 type stage struct {
-	endpoint *directory.Endpoint
-	first    int
-	end      int
-	open     bool
-	have     int // positions it held when it was opened last
+	endpoint        *directory.Endpoint
+	first           int
+	end             int
+	open            bool
+	cachedPositions int // positions it held when it was opened last
 }
 
 // execution is one request on its way.
@@ -30,17 +30,17 @@
 	req  Request
 	sink Sink
 
-	attempt   int
-	stages    []*stage
-	left      []*stage // opened in earlier attempts, to be cancelled
-	emitted   []int
-	promptLen int
-	sent      bool // an engine may have begun the request
-	stay      bool // stages that leave can't be replaced
-	result    Result
+	attempt       int
+	stages        []*stage
+	abandoned     []*stage // opened in earlier attempts, to be cancelled
+	emitted       []int
+	promptLen     int
+	generateSent  bool // an engine may have begun the request
+	movesDisabled bool // stages that leave can't be replaced
+	result        Result
 
-	accuser   string // the stage that last said it can't reach the next
-	accusedAt int    // how many tokens were emitted then
+	reporter   string // the stage that last said it can't reach the next
+	reportedAt int    // how many tokens were emitted then
 
 	lastEvent time.Time
 	faultAt   time.Time // zero if no repair is under way
@@ -63,21 +63,21 @@
 	return x.r.cfg.Directory.Stages(x.req.Model.Name, x.req.Model.Version)
 }
 
-// maxStarts is how many times stages that don't open are replaced when engines
+// maxOpenTries is how many times stages that don't open are replaced when engines
 // are full: looking further costs more than coming back later.
-const maxStarts = 10
+const maxOpenTries = 10
 
-// start chooses a chain and opens it, replacing the stages that don't open and
+// openChain chooses a chain and opens it, replacing the stages that don't open and
 // keeping those that do. Nothing was run if it fails.
-func (x *execution) start(ctx context.Context) error {
+func (x *execution) openChain(ctx context.Context) error {
 	c := x.r.cfg.Router.Choose(x.candidates(), 0, x.req.Model.Layers, nil)
 	if c == nil {
-		return x.noChain(false)
+		return x.noChainError(false)
 	}
 	x.setStages(c)
-	banned := map[string]bool{}
+	excluded := map[string]bool{}
 	full := false
-	for try := 0; ; try++ {
+	for tries := 0; ; tries++ {
 		failed := x.openAll(ctx)
 		if err := ctx.Err(); err != nil {
 			return contextFailure(err).WithRan(failure.RanNo)
@@ -86,19 +86,19 @@
 			return nil
 		}
 		for address, reason := range failed {
-			banned[address] = true
+			excluded[address] = true
 			full = full || reason == reasonFull
 		}
 		x.attempt++
-		if _, ok := x.replace(failed, banned); !ok || (full && try >= maxStarts) {
-			return x.noChain(full)
+		if _, ok := x.replaceStages(failed, excluded); !ok || (full && tries >= maxOpenTries) {
+			return x.noChainError(full)
 		}
 	}
 }
 
-// noChain says that no chain could be opened: since engines are full, or since
+// noChainError says that no chain could be opened: since engines are full, or since
 // there are none.
-func (x *execution) noChain(full bool) error {
+func (x *execution) noChainError(full bool) error {
 	if full {
 		return failure.New(failure.Overloaded, "the engines of model %q are full", x.req.Model.Name)
 	}
@@ -135,19 +135,19 @@
 		s.open = false
 		s.endpoint.Closed()
 	}
-	x.left = append(x.left, s)
+	x.abandoned = append(x.abandoned, s)
 }
 
-// need is how many positions every stage must hold before the request can be
+// requiredPositions is how many positions every stage must hold before the request can be
 // carried on: all before the last emitted token.
-func (x *execution) need() int {
+func (x *execution) requiredPositions() int {
 	if len(x.emitted) == 0 {
 		return 0
 	}
 	return x.promptLen + len(x.emitted) - 1
 }
 
-func (x *execution) faultSeen(lost lostStages) {
+func (x *execution) recordFault(lost lostStages) {
 	if x.faultAt.IsZero() {
 		x.faultAt = x.lastEvent
 	}
@@ -163,8 +163,8 @@
 	}
 }
 
-// resumed notes the first token after a repair.
-func (x *execution) resumed(now time.Time) {
+// recordRepair notes the first token after a repair.
+func (x *execution) recordRepair(now time.Time) {
 	if x.faultAt.IsZero() {
 		return
 	}
@@ -180,13 +180,13 @@
 	x.result.PromptTokens = x.promptLen
 	x.result.Tokens = len(x.emitted)
 	x.abandonStages()
-	left := x.left
+	abandoned := x.abandoned
 	cancel := api.EngineCancel{
 		Request: x.req.ID,
 		Attempt: x.attempt,
 	}
 	x.r.cfg.Group.Go(func(ctx context.Context) {
-		for _, s := range left {
+		for _, s := range abandoned {
 			x.r.cancel(ctx, s.endpoint.Address(), cancel)
 		}
 	})
--- a/pkg/chain/fixture_test.go
+++ b/pkg/chain/fixture_test.go
@@ -37,7 +37,7 @@
 	prompt    = "Kirjuta koju et laps sõi hästi"
 )
 
-var theModel = bundle.Model{
+var testModel = bundle.Model{
 	Name:    "koit",
 	Version: "1",
 	Layers:  layers,
@@ -127,8 +127,8 @@
 	}
 	h.engine = engine.New(engine.Config{
 		Address:      h.address,
-		Model:        theModel.Name,
-		ModelVersion: theModel.Version,
+		Model:        testModel.Name,
+		ModelVersion: testModel.Version,
 		FirstLayer:   first,
 		EndLayer:     end,
 		Accelerator:  "large",
@@ -149,18 +149,18 @@
 // the connection, so that no one can tell whether it began. It returns how
 // often they were asked.
 func (c *cluster) abortGenerate(hosts int) *atomic.Int64 {
-	asked := &atomic.Int64{}
+	generateCalls := &atomic.Int64{}
 	for _, h := range c.hosts[:hosts] {
 		next := h.server.Handler
 		h.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == api.EngineGeneratePath {
-				asked.Add(1)
+				generateCalls.Add(1)
 				panic(http.ErrAbortHandler)
 			}
 			next.ServeHTTP(w, r)
 		})
 	}
-	return asked
+	return generateCalls
 }
 
 func (c *cluster) stop() {
@@ -170,9 +170,9 @@
 	c.group.Stop()
 }
 
-// serving returns the host that holds a request's stage s now: the one with
+// servingHost returns the host that holds a request's stage s now: the one with
 // that layer range whose ledger for it is the longest.
-func (c *cluster) serving(s int) *fakeHost {
+func (c *cluster) servingHost(s int) *fakeHost {
 	const span = layers / 3
 	var best *fakeHost
 	most := -1
@@ -196,14 +196,14 @@
 	err    error
 }
 
-// ask runs a request; before each token, before(n) is called with how many
+// generate runs a request; before each token, before(n) is called with how many
 // came already.
-func (c *cluster) ask(id string, before func(n int)) *answer {
+func (c *cluster) generate(id string, before func(n int)) *answer {
 	a := &answer{}
 	before(0)
 	a.result, a.err = c.runner.Run(context.Background(), chain.Request{
 		ID:        id,
-		Model:     theModel,
+		Model:     testModel,
 		Prompt:    prompt,
 		Seed:      seed,
 		MaxTokens: maxTokens,
--- a/pkg/chain/matrix_test.go
+++ b/pkg/chain/matrix_test.go
@@ -16,11 +16,11 @@
 
 // fault is one way in which a stage fails.
 type fault struct {
-	name string
-	do   func(h *fakeHost)
+	name   string
+	inject func(h *fakeHost)
 }
 
-func asked(f engine.Fault) func(h *fakeHost) {
+func injectEngineFault(f engine.Fault) func(h *fakeHost) {
 	return func(h *fakeHost) {
 		h.engine.SetFault(f)
 	}
@@ -32,25 +32,25 @@
 )
 
 var faults = []fault{
-	{name: "kill", do: (*fakeHost).kill},
-	{name: "freeze", do: asked(engine.Fault{FreezeMS: longFreezeMS})},
-	{name: "freeze and thaw", do: asked(engine.Fault{FreezeMS: shortFreezeMS})},
-	{name: "cut in", do: asked(engine.Fault{Cut: true})},
-	{name: "cut out", do: asked(engine.Fault{CutOut: true})},
-	{name: "slow", do: asked(engine.Fault{Slow: 30})},
-	{name: "doubled", do: asked(engine.Fault{Duplicate: true})},
-	{name: "reordered", do: asked(engine.Fault{Reorder: true})},
-	{name: "corrupt", do: asked(engine.Fault{Corrupt: true})},
-	{name: "restart", do: asked(engine.Fault{Forget: true})},
-	{name: "die in a pass", do: asked(engine.Fault{DieAfter: 1})},
+	{name: "kill", inject: (*fakeHost).kill},
+	{name: "freeze", inject: injectEngineFault(engine.Fault{FreezeMS: longFreezeMS})},
+	{name: "freeze and thaw", inject: injectEngineFault(engine.Fault{FreezeMS: shortFreezeMS})},
+	{name: "cut in", inject: injectEngineFault(engine.Fault{Cut: true})},
+	{name: "cut out", inject: injectEngineFault(engine.Fault{CutOut: true})},
+	{name: "slow", inject: injectEngineFault(engine.Fault{Slow: 30})},
+	{name: "doubled", inject: injectEngineFault(engine.Fault{Duplicate: true})},
+	{name: "reordered", inject: injectEngineFault(engine.Fault{Reorder: true})},
+	{name: "corrupt", inject: injectEngineFault(engine.Fault{Corrupt: true})},
+	{name: "restart", inject: injectEngineFault(engine.Fault{Forget: true})},
+	{name: "die in a pass", inject: injectEngineFault(engine.Fault{DieAfter: 1})},
 }
 
 // steps are the numbers of tokens after which faults come: before the request
 // is opened, at the prefill's answer, early, in the middle, and at the last.
 var steps = []int{0, 1, 2, maxTokens / 2, maxTokens - 1}
 
-// cell is one place in the matrix: faults and when they come.
-type cell struct {
+// scenario is one place in the matrix: faults and when they come.
+type scenario struct {
 	name   string
 	events []event
 }
@@ -61,39 +61,39 @@
 	step  int
 }
 
-// runCells runs all cells at once, each on a cluster of its own, and returns
+// runScenarios runs all scenarios at once, each on a cluster of its own, and returns
 // what went wrong in each.
-func runCells(cells []cell) []string {
+func runScenarios(scenarios []scenario) []string {
 	var mu sync.Mutex
-	var wrong []string
+	var failures []string
 	g := group.New(context.Background())
 	limit := make(chan struct{}, 8)
-	for i, c := range cells {
+	for i, c := range scenarios {
 		g.Go(func(context.Context) {
 			limit <- struct{}{}
 			defer func() { <-limit }()
-			if err := runCell(c, i); err != nil {
+			if err := runScenario(c, i); err != nil {
 				mu.Lock()
-				wrong = append(wrong, c.name+": "+err.Error())
+				failures = append(failures, c.name+": "+err.Error())
 				mu.Unlock()
 			}
 		})
 	}
 	g.Wait()
-	return wrong
+	return failures
 }
 
-func runCell(c cell, i int) error {
+func runScenario(c scenario, i int) error {
 	cl, err := newCluster(3)
 	if err != nil {
 		return err
 	}
 	defer cl.stop()
 	id := fmt.Sprintf("r%d", i)
-	a := cl.ask(id, func(n int) {
+	a := cl.generate(id, func(n int) {
 		for _, e := range c.events {
 			if e.step == n {
-				e.fault.do(cl.serving(e.stage))
+				e.fault.inject(cl.servingHost(e.stage))
 			}
 		}
 	})
@@ -102,15 +102,15 @@
 
 var _ = Describe("a request over a chain", func() {
 	It("gives the whole answer when nothing fails", func() {
-		Expect(runCells([]cell{{name: "healthy"}})).To(BeEmpty())
+		Expect(runScenarios([]scenario{{name: "healthy"}})).To(BeEmpty())
 	})
 
 	for _, f := range faults {
 		It("is whole, and runs each position once a stage, after: "+f.name, func() {
-			var cells []cell
+			var scenarios []scenario
 			for stage := range 3 {
 				for _, step := range steps {
-					cells = append(cells, cell{
+					scenarios = append(scenarios, scenario{
 						name: fmt.Sprintf("%s of stage %d at token %d", f.name, stage, step),
 						events: []event{{
 							fault: f,
@@ -120,16 +120,16 @@
 					})
 				}
 			}
-			Expect(runCells(cells)).To(BeEmpty())
+			Expect(runScenarios(scenarios)).To(BeEmpty())
 		})
 	}
 
 	for _, first := range faults[:4] {
 		It("survives a second loss right after: "+first.name, func() {
-			var cells []cell
+			var scenarios []scenario
 			for _, second := range faults[:5] {
 				for stage := range 3 {
-					cells = append(cells, cell{
+					scenarios = append(scenarios, scenario{
 						name: fmt.Sprintf("%s of stage 1 and %s of stage %d", first.name, second.name, stage),
 						events: []event{
 							{fault: first, stage: 1, step: 5},
@@ -138,12 +138,12 @@
 					})
 				}
 			}
-			Expect(runCells(cells)).To(BeEmpty())
+			Expect(runScenarios(scenarios)).To(BeEmpty())
 		})
 	}
 
 	It("survives all three stages lost at once", func() {
-		Expect(runCells([]cell{{
+		Expect(runScenarios([]scenario{{
 			name: "three kills",
 			events: []event{
 				{fault: faults[0], stage: 0, step: 7},
@@ -159,20 +159,20 @@
 		for stage := range 3 {
 			cl, err := newCluster(2)
 			Expect(err).NotTo(HaveOccurred())
-			var left *fakeHost
-			a := cl.ask("moved", func(n int) {
+			var leavingHost *fakeHost
+			a := cl.generate("moved", func(n int) {
 				if n != 3 {
 					return
 				}
-				left = cl.serving(stage)
+				leavingHost = cl.servingHost(stage)
 				cl.dir.Take(&rpc.BeatReply{
 					Epoch:     1,
 					Version:   2,
-					Endpoints: []*rpc.Endpoint{left.endpoint(rpc.EndpointState_ENDPOINT_LEAVING)},
+					Endpoints: []*rpc.Endpoint{leavingHost.endpoint(rpc.EndpointState_ENDPOINT_LEAVING)},
 				})
 			})
 			Expect(cl.verify("moved", a)).To(Succeed())
-			Expect(a.result.Path).NotTo(ContainElement(left.address))
+			Expect(a.result.Path).NotTo(ContainElement(leavingHost.address))
 			Expect(cl.runsOf("moved", stage)).To(HaveEach(1))
 			cl.stop()
 		}
@@ -182,7 +182,7 @@
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
-		a := cl.ask("stays", func(n int) {
+		a := cl.generate("stays", func(n int) {
 			if n == 3 {
 				cl.hosts[1].engine.SetLeaving(true)
 				cl.dir.Endpoint(cl.hosts[1].address).SetLeaving()
@@ -198,15 +198,15 @@
 		defer cl.stop()
 		cl.hosts[0].engine.SetLeaving(true)
 		for i := range 12 {
-			Expect(cl.verify(fmt.Sprint("new", i), cl.ask(fmt.Sprint("new", i), func(int) {}))).To(Succeed())
+			Expect(cl.verify(fmt.Sprint("new", i), cl.generate(fmt.Sprint("new", i), func(int) {}))).To(Succeed())
 		}
-		began := 0
+		started := 0
 		for _, e := range cl.hosts[0].engine.Ledger().All() {
 			if len(e.Runs) > 0 {
-				began++
+				started++
 			}
 		}
-		Expect(began).To(BeNumerically("<=", 1), "only the request that learnt it may have begun there")
+		Expect(started).To(BeNumerically("<=", 1), "only the request that learnt it may have begun there")
 	})
 })
 
@@ -239,7 +239,7 @@
 			Version:   2,
 			Endpoints: []*rpc.Endpoint{cl.hosts[1].endpoint(rpc.EndpointState_ENDPOINT_LEAVING)},
 		})
-		a := cl.ask("none", func(int) {})
+		a := cl.generate("none", func(int) {})
 		f := failure.From(a.err)
 		Expect(f.Kind()).To(Equal(failure.NoChain))
 		Expect(f.Ran()).To(Equal(failure.RanNo))
@@ -254,7 +254,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
 		cl.hosts[2].kill()
-		a := cl.ask("gone", func(int) {})
+		a := cl.generate("gone", func(int) {})
 		Expect(failure.From(a.err).Ran()).To(Equal(failure.RanNo))
 		for _, h := range cl.hosts {
 			_, ran := h.engine.Ledger().Get("gone")
@@ -269,7 +269,7 @@
 		for _, h := range cl.hosts[2:4] {
 			h.engine.SetFault(engine.Fault{Full: true})
 		}
-		f := failure.From(cl.ask("full", func(int) {}).err)
+		f := failure.From(cl.generate("full", func(int) {}).err)
 		Expect(f.Kind()).To(Equal(failure.Overloaded))
 		Expect(f.Ran()).To(Equal(failure.RanNo))
 		Expect(f.RetryAfter()).To(BeNumerically(">", 0))
@@ -282,7 +282,7 @@
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
-		a := cl.ask("lost", func(n int) {
+		a := cl.generate("lost", func(n int) {
 			if n == 3 {
 				cl.hosts[1].kill()
 			}
@@ -295,29 +295,29 @@
 
 	It("is never started anew if it must not be repeated", func() {
 		cases := []struct {
-			once  bool
-			heads int // that were asked to generate
+			once             bool
+			minGenerateCalls int // that were asked to generate
 		}{
-			{once: true, heads: 1},
-			{once: false, heads: 2},
+			{once: true, minGenerateCalls: 1},
+			{once: false, minGenerateCalls: 2},
 		}
 		for _, c := range cases {
 			cl, err := newCluster(2)
 			Expect(err).NotTo(HaveOccurred())
-			asked := cl.abortGenerate(2)
+			generateCalls := cl.abortGenerate(2)
 			_, err = cl.runner.Run(context.Background(), chain.Request{
 				ID:        "first",
-				Model:     theModel,
+				Model:     testModel,
 				Prompt:    prompt,
 				MaxTokens: maxTokens,
 				Once:      c.once,
 			}, func(chain.Token) error { return nil })
-			Expect(asked.Load()).To(BeNumerically(">=", c.heads))
+			Expect(generateCalls.Load()).To(BeNumerically(">=", c.minGenerateCalls))
 			if c.once {
 				f := failure.From(err)
 				Expect(f.Kind()).To(Equal(failure.EndpointFailed))
 				Expect(f.Ran()).To(Equal(failure.RanUnknown))
-				Expect(asked.Load()).To(Equal(int64(1)), "it was asked once, and never again")
+				Expect(generateCalls.Load()).To(Equal(int64(1)), "it was asked once, and never again")
 			}
 			cl.stop()
 		}
@@ -330,7 +330,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		_, err = cl.runner.Run(ctx, chain.Request{
 			ID:        "away",
-			Model:     theModel,
+			Model:     testModel,
 			Prompt:    prompt,
 			MaxTokens: 1000,
 		}, func(t chain.Token) error {
--- a/pkg/chain/move.go
+++ b/pkg/chain/move.go
@@ -12,12 +12,12 @@
 const reasonLeaving = "leaving"
 
 const (
-	// moveTokens is how many tokens a request must still need for its stage to
+	// minMoveTokens is how many tokens a request must still need for its stage to
 	// be moved off an endpoint that leaves; a shorter one ends where it is.
-	moveTokens = 16
-	// leavingEvery is after how many tokens it is looked whether one leaves.
-	leavingEvery = 4
-	kvTimeout    = 5 * time.Second
+	minMoveTokens = 16
+	// leavingCheckTokens is after how many tokens it is looked whether one leaves.
+	leavingCheckTokens = 4
+	kvTimeout          = 5 * time.Second
 )
 
 // move is one stage's move from an endpoint that leaves.
@@ -30,7 +30,7 @@
 // leavingStages returns the stages whose endpoints leave, if the request is
 // long enough to be moved.
 func (x *execution) leavingStages() lostStages {
-	if x.stay || len(x.emitted)%leavingEvery != 0 || x.req.MaxTokens-len(x.emitted) < moveTokens {
+	if x.movesDisabled || len(x.emitted)%leavingCheckTokens != 0 || x.req.MaxTokens-len(x.emitted) < minMoveTokens {
 		return nil
 	}
 	var leaving lostStages
@@ -55,10 +55,10 @@
 	return len(lost) > 0
 }
 
-// export fences the sessions that move and takes their KV caches. The fence
+// exportKV fences the sessions that move and takes their KV caches. The fence
 // comes first: a step that is still on its way ends before it or is refused
 // after it, and so the cache holds every position that was run.
-func (x *execution) export(ctx context.Context, moves []*move) {
+func (x *execution) exportKV(ctx context.Context, moves []*move) {
 	for _, m := range moves {
 		address := m.from.endpoint.Address()
 		opened := api.EngineOpened{}
@@ -72,14 +72,14 @@
 	}
 }
 
-// load gives the exported KV caches to the new stages.
-func (x *execution) load(ctx context.Context, moves []*move) {
+// importKV gives the exported KV caches to the new stages.
+func (x *execution) importKV(ctx context.Context, moves []*move) {
 	for _, m := range moves {
 		if m.kv == nil {
 			continue
 		}
 		if x.r.call(ctx, kvTimeout, m.to.endpoint.Address(), api.EngineKVPath, m.kv, nil) == nil {
-			m.to.have = len(m.kv.Inputs)
+			m.to.cachedPositions = len(m.kv.Inputs)
 			x.r.cfg.Metrics.Counter("chain_moves").Inc(1)
 		}
 	}
--- a/pkg/chain/open.go
+++ b/pkg/chain/open.go
@@ -49,9 +49,9 @@
 		o.Next = x.stages[i+1].endpoint.Address()
 	}
 	reply := api.EngineOpened{}
-	began := x.r.cfg.Timer.Now()
+	start := x.r.cfg.Timer.Now()
 	if err := x.r.call(ctx, x.openTimeout(s), s.endpoint.Address(), api.EngineOpenPath, o, &reply); err != nil {
-		reason := reasonOf(err)
+		reason := faultReason(err)
 		if reason == reasonFull {
 			s.endpoint.Full()
 		} else {
@@ -59,7 +59,7 @@
 		}
 		return reason
 	}
-	s.have = reply.Have
+	s.cachedPositions = reply.Have
 	if reply.Leaving {
 		s.endpoint.SetLeaving()
 	}
@@ -67,7 +67,7 @@
 		s.endpoint.Closed() // opened anew: counted once
 	}
 	s.open = true
-	s.endpoint.Opened(reply.Load.Sessions, x.r.cfg.Timer.Now().Sub(began))
+	s.endpoint.Opened(reply.Load.Sessions, x.r.cfg.Timer.Now().Sub(start))
 	return ""
 }
 
--- a/pkg/chain/pace.go
+++ b/pkg/chain/pace.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// pace learns how much longer steps take than the engines' published curves
+// stepTimeEstimator learns how much longer steps take than the engines' published curves
 // say: networks, queues and busy hosts are not in the curves.
 //
 // It keeps the mean and the mean deviation of that ratio, as TCP does for
 // round-trip times, so that a timeout follows how things normally go.
-type pace struct {
+type stepTimeEstimator struct {
 	mu        sync.Mutex
 	ratio     float64
 	deviation float64
 }
 
 const (
-	firstRatio     = 2.0
-	firstDeviation = 1.0
-	ratioShare     = 0.05
-	deviationShare = 0.05
-	deviations     = 6
-	maxRatio       = 200
+	initialRatio      = 2.0
+	initialDeviation  = 1.0
+	ratioWeight       = 0.05
+	deviationWeight   = 0.05
+	timeoutDeviations = 6
+	maxRatio          = 200
 )
 
-func newPace() *pace {
-	return &pace{
-		ratio:     firstRatio,
-		deviation: firstDeviation,
+func newStepTimeEstimator() *stepTimeEstimator {
+	return &stepTimeEstimator{
+		ratio:     initialRatio,
+		deviation: initialDeviation,
 	}
 }
 
 // observe takes one step's time and the time that the curves gave for it.
-func (p *pace) observe(took, curve time.Duration) {
-	if curve <= 0 {
+func (p *stepTimeEstimator) observe(measured, modelled time.Duration) {
+	if modelled <= 0 {
 		return
 	}
-	seen := min(float64(took)/float64(curve), maxRatio)
+	ratio := min(float64(measured)/float64(modelled), maxRatio)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	off := seen - p.ratio
-	p.ratio += ratioShare * off
-	if off < 0 {
-		off = -off
+	deviation := ratio - p.ratio
+	p.ratio += ratioWeight * deviation
+	if deviation < 0 {
+		deviation = -deviation
 	}
-	p.deviation += deviationShare * (off - p.deviation)
+	p.deviation += deviationWeight * (deviation - p.deviation)
 }
 
-// bound returns how long a step that the curves give d for may take.
-func (p *pace) bound(d time.Duration) time.Duration {
+// maxStepTime returns how long a step that the curves give d for may take.
+func (p *stepTimeEstimator) maxStepTime(modelled time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(float64(d) * (p.ratio + deviations*p.deviation))
+	return time.Duration(float64(modelled) * (p.ratio + timeoutDeviations*p.deviation))
 }
 
 // stepTimeout is how long a call to the next stage may take.
@@ -79,37 +79,37 @@
 // never given less than half of what the whole is.
 func (x *execution) stepTimeouts() []stepTimeout {
 	list := make([]stepTimeout, len(x.stages))
-	whole, _ := x.curve()
-	var curve, position time.Duration
+	full, _ := x.modelledStepTime()
+	var modelled, position time.Duration
 	for i := len(x.stages) - 1; i >= 0; i-- {
 		list[i] = stepTimeout{
-			base:     x.r.timeout(max(curve, whole/2), len(x.stages)-1-i),
+			base:     x.r.timeout(max(modelled, full/2), len(x.stages)-1-i),
 			position: positionSlack * position,
 		}
-		pass, per := x.r.cfg.Router.PassTime(x.stages[i].endpoint)
-		curve += pass
-		position += per
+		pass, perPosition := x.r.cfg.Router.PassTime(x.stages[i].endpoint)
+		modelled += pass
+		position += perPosition
 	}
 	return list
 }
 
-// wholeTimeout returns how long this host waits for a token of the chain.
-func (x *execution) wholeTimeout(positions int) time.Duration {
-	curve, position := x.curve()
-	t := x.r.timeout(curve, len(x.stages))
+// tokenTimeout returns how long this host waits for a token of the chain.
+func (x *execution) tokenTimeout(positions int) time.Duration {
+	modelled, position := x.modelledStepTime()
+	t := x.r.timeout(modelled, len(x.stages))
 	return t + time.Duration(positions)*positionSlack*position
 }
 
-// curve returns what the engines' curves give for a step through the chain.
-func (x *execution) curve() (step, position time.Duration) {
+// modelledStepTime returns what the engines' curves give for a step through the chain.
+func (x *execution) modelledStepTime() (step, position time.Duration) {
 	for _, s := range x.stages {
-		pass, per := x.r.cfg.Router.PassTime(s.endpoint)
+		pass, perPosition := x.r.cfg.Router.PassTime(s.endpoint)
 		step += pass
-		position += per
+		position += perPosition
 	}
 	return step, position
 }
 
-func (r *Runner) timeout(curve time.Duration, hops int) time.Duration {
-	return minTimeout + time.Duration(hops)*hopTimeout + r.pace.bound(curve)
+func (r *Runner) timeout(modelled time.Duration, hops int) time.Duration {
+	return minTimeout + time.Duration(hops)*hopTimeout + r.stepTimes.maxStepTime(modelled)
 }
--- a/pkg/chain/repair.go
+++ b/pkg/chain/repair.go
@@ -15,35 +15,35 @@
 func (x *execution) repair(ctx context.Context, lost lostStages) error {
 	x.result.Repairs++
 	x.r.cfg.Metrics.Counter("chain_repairs").Inc(1)
-	deadline := x.r.cfg.Timer.Now().Add(repairPatience)
-	banned := map[string]bool{}
+	deadline := x.r.cfg.Timer.Now().Add(repairTimeout)
+	excluded := map[string]bool{}
 	for {
 		if err := ctx.Err(); err != nil {
 			return contextFailure(err).WithRan(x.ran())
 		}
 		for address := range lost {
-			banned[address] = true
+			excluded[address] = true
 		}
 		x.attempt++
-		moves, ok := x.replace(lost, banned)
+		moves, ok := x.replaceStages(lost, excluded)
 		if !ok {
 			if onlyLeaving(lost) {
-				x.stay = true // no one can take its place: it ends where it is
+				x.movesDisabled = true // no one can take its place: it ends where it is
 				lost = lostStages{}
 				continue
 			}
 			if x.r.cfg.Timer.Now().After(deadline) {
 				return x.failed("no live endpoint can take the place of the stage that was lost")
 			}
-			banned = map[string]bool{} // one that was lost may be back
-			_ = timer.Sleep(ctx, x.r.cfg.Timer, repairPause)
+			excluded = map[string]bool{} // one that was lost may be back
+			_ = timer.Sleep(ctx, x.r.cfg.Timer, repairRetryInterval)
 			continue
 		}
-		x.export(ctx, moves)
+		x.exportKV(ctx, moves)
 		lost = x.openAll(ctx)
 		if len(lost) == 0 {
-			x.load(ctx, moves)
-			lost = x.rebuild(ctx)
+			x.importKV(ctx, moves)
+			lost = x.rebuildCaches(ctx)
 		}
 		if len(lost) == 0 {
 			return nil
@@ -51,80 +51,80 @@
 	}
 }
 
-// replace puts endpoints that cover the same layers in the place of each lost
+// replaceStages puts endpoints that cover the same layers in the place of each lost
 // stage. It changes nothing and reports false if one can't be replaced. It
 // returns the moves of stages that are still there.
-func (x *execution) replace(lost lostStages, banned map[string]bool) ([]*move, bool) {
-	without := map[string]bool{}
-	for address := range banned {
-		without[address] = true
+func (x *execution) replaceStages(lost lostStages, excluded map[string]bool) ([]*move, bool) {
+	unavailable := map[string]bool{}
+	for address := range excluded {
+		unavailable[address] = true
 	}
 	for _, s := range x.stages {
-		without[s.endpoint.Address()] = true
+		unavailable[s.endpoint.Address()] = true
 	}
 	all := x.candidates()
-	var next, gone []*stage
+	var next, replaced []*stage
 	var moves []*move
 	for _, s := range x.stages {
-		reason, is := lost[s.endpoint.Address()]
-		if !is {
+		reason, isLost := lost[s.endpoint.Address()]
+		if !isLost {
 			next = append(next, s)
 			continue
 		}
-		c := x.r.cfg.Router.Choose(all, s.first, s.end, without)
+		c := x.r.cfg.Router.Choose(all, s.first, s.end, unavailable)
 		if c == nil {
 			return nil, false
 		}
 		for _, e := range c {
-			without[e.Address()] = true
+			unavailable[e.Address()] = true
 		}
-		fresh := stagesOf(c)
-		if reason == reasonLeaving && len(fresh) == 1 {
+		replacements := stagesOf(c)
+		if reason == reasonLeaving && len(replacements) == 1 {
 			moves = append(moves, &move{
 				from: s,
-				to:   fresh[0],
+				to:   replacements[0],
 			})
 		}
-		next = append(next, fresh...)
-		gone = append(gone, s)
+		next = append(next, replacements...)
+		replaced = append(replaced, s)
 	}
 	x.stages = next
-	for _, s := range gone {
+	for _, s := range replaced {
 		x.abandon(s)
 	}
 	return moves, true
 }
 
-// rebuild fills the KV caches of stages that lack positions, from the first
+// rebuildCaches fills the KV caches of stages that lack positions, from the first
 // stage to the last: the first from the tokens, each other from the
 // activations that the one before it saved. It returns what was lost meanwhile.
-func (x *execution) rebuild(ctx context.Context) lostStages {
-	need := x.need()
+func (x *execution) rebuildCaches(ctx context.Context) lostStages {
+	need := x.requiredPositions()
 	for i, s := range x.stages {
-		if s.have >= need {
+		if s.cachedPositions >= need {
 			continue
 		}
-		x.r.cfg.Metrics.Counter("chain_rebuilt_positions").Inc(int64(need - s.have))
+		x.r.cfg.Metrics.Counter("chain_rebuilt_positions").Inc(int64(need - s.cachedPositions))
 		var lost lostStages
 		if i == 0 {
-			lost = x.rebuildHead(ctx, s)
+			lost = x.rebuildFirstStage(ctx, s)
 		} else {
-			lost = x.replay(ctx, x.stages[i-1], s)
+			lost = x.replayActivations(ctx, x.stages[i-1], s)
 		}
 		if len(lost) > 0 {
 			return lost
 		}
-		s.have = need
+		s.cachedPositions = need
 	}
 	return nil
 }
 
 func (x *execution) rebuildTimeout(s *stage) time.Duration {
 	pass, position := x.r.cfg.Router.PassTime(s.endpoint)
-	return x.r.timeout(pass, 1) + time.Duration(x.need())*positionSlack*position
+	return x.r.timeout(pass, 1) + time.Duration(x.requiredPositions())*positionSlack*position
 }
 
-func (x *execution) rebuildHead(ctx context.Context, s *stage) lostStages {
+func (x *execution) rebuildFirstStage(ctx context.Context, s *stage) lostStages {
 	ctx, cancel := context.WithTimeout(ctx, x.rebuildTimeout(s))
 	defer cancel()
 	address := s.endpoint.Address()
@@ -138,10 +138,10 @@
 	})
 	if err != nil {
 		return lostStages{
-			address: reasonOf(err),
+			address: faultReason(err),
 		}
 	}
-	defer closeBody(resp)
+	defer drainAndClose(resp)
 	ev := api.EngineEvent{}
 	if err := json.NewDecoder(resp.Body).Decode(&ev); err != nil {
 		return lostStages{
@@ -156,32 +156,32 @@
 	return nil
 }
 
-// replay has the stage before send what it saved. The faulty one of the two is
+// replayActivations has the stage before send what it saved. The faulty one of the two is
 // told apart by who answers: the stage before answers the call itself.
-func (x *execution) replay(ctx context.Context, from, to *stage) lostStages {
+func (x *execution) replayActivations(ctx context.Context, from, to *stage) lostStages {
 	reply := api.EngineReplayed{}
 	err := x.r.call(ctx, x.rebuildTimeout(to), from.endpoint.Address(), api.EngineReplayPath, api.EngineReplay{
 		Request: x.req.ID,
 		Attempt: x.attempt,
 		To:      to.endpoint.Address(),
-		From:    to.have,
+		From:    to.cachedPositions,
 	}, &reply)
 	if err != nil {
 		return lostStages{
-			x.silentOf(ctx, from, to): reasonOf(err),
+			x.unresponsiveStage(ctx, from, to): faultReason(err),
 		}
 	}
 	if reply.Fault != nil {
-		return x.lostInReplay(reply.Fault)
+		return x.lostStagesInReplay(reply.Fault)
 	}
 	x.r.cfg.Metrics.Histogram("chain_replayed_positions").Update(int64(reply.Sent))
 	return nil
 }
 
-// lostInReplay returns the stage that a replay's fault means is lost; one that
+// lostStagesInReplay returns the stage that a replay's fault means is lost; one that
 // has dropped the session it just opened is no better than lost.
-func (x *execution) lostInReplay(f *api.EngineFault) lostStages {
-	if lost := x.lostBy(f); len(lost) > 0 {
+func (x *execution) lostStagesInReplay(f *api.EngineFault) lostStages {
+	if lost := x.lostStagesOf(f); len(lost) > 0 {
 		return lost
 	}
 	return lostStages{
@@ -189,9 +189,9 @@
 	}
 }
 
-// silentOf asks the stage before whether it is there, to tell which of the two
+// unresponsiveStage asks the stage before whether it is there, to tell which of the two
 // kept a replay from ending.
-func (x *execution) silentOf(ctx context.Context, from, to *stage) string {
+func (x *execution) unresponsiveStage(ctx context.Context, from, to *stage) string {
 	info := api.EngineInfo{}
 	if err := x.r.get(ctx, probeTimeout, from.endpoint.Address(), api.EngineInfoPath, &info); err != nil {
 		return from.endpoint.Address()
--- a/pkg/chain/runner.go
+++ b/pkg/chain/runner.go
@@ -71,28 +71,28 @@
 
 // Runner runs requests.
 type Runner struct {
-	cfg      Config
-	watchdog *watchdog
-	pace     *pace
+	cfg       Config
+	watchdog  *watchdog
+	stepTimes *stepTimeEstimator
 }
 
 // New returns a runner; its watchdog runs in cfg.Group.
 func New(cfg Config) *Runner {
 	r := &Runner{
-		cfg:      cfg,
-		watchdog: newWatchdog(cfg.Timer),
-		pace:     newPace(),
+		cfg:       cfg,
+		watchdog:  newWatchdog(cfg.Timer),
+		stepTimes: newStepTimeEstimator(),
 	}
 	cfg.Group.Go(r.watchdog.run)
 	return r
 }
 
 const (
-	// repairPatience is for how long a repair waits for an endpoint that can
+	// repairTimeout is for how long a repair waits for an endpoint that can
 	// take the lost stage's place.
-	repairPatience = 3 * time.Second
-	repairPause    = 50 * time.Millisecond
-	maxRepairs     = 64
+	repairTimeout       = 3 * time.Second
+	repairRetryInterval = 50 * time.Millisecond
+	maxRepairs          = 64
 )
 
 // Run generates, and gives each token to sink. The error is a *failure.Error
@@ -105,7 +105,7 @@
 }
 
 func (x *execution) run(ctx context.Context) error {
-	if err := x.start(ctx); err != nil {
+	if err := x.openChain(ctx); err != nil {
 		return err
 	}
 	for {
@@ -116,8 +116,8 @@
 		if x.result.Repairs >= maxRepairs {
 			return x.failed("the request was repaired %d times", maxRepairs)
 		}
-		x.faultSeen(lost)
-		if x.req.Once && x.wouldStartAnew(lost) {
+		x.recordFault(lost)
+		if x.req.Once && x.wouldRestart(lost) {
 			return x.failed("the request must not be repeated, and no stage is left that holds it")
 		}
 		if err := x.repair(ctx, lost); err != nil {
@@ -126,18 +126,18 @@
 	}
 }
 
-// wouldStartAnew reports whether a repair would run the request again rather
+// wouldRestart reports whether a repair would run the request again rather
 // than carry it on: nothing was emitted and the stage that may have begun it
 // is lost, or no stage that held it is left.
-func (x *execution) wouldStartAnew(lost lostStages) bool {
+func (x *execution) wouldRestart(lost lostStages) bool {
 	kept := 0
 	for _, s := range x.stages {
-		if _, is := lost[s.endpoint.Address()]; !is {
+		if _, isLost := lost[s.endpoint.Address()]; !isLost {
 			kept++
 		}
 	}
-	_, headLost := lost[x.stages[0].endpoint.Address()]
-	return kept == 0 || (headLost && len(x.emitted) == 0)
+	_, firstLost := lost[x.stages[0].endpoint.Address()]
+	return kept == 0 || (firstLost && len(x.emitted) == 0)
 }
 
 // failed returns the failure of a request that can't be carried on.
@@ -150,7 +150,7 @@
 	switch {
 	case len(x.emitted) > 0:
 		return failure.RanYes
-	case x.sent:
+	case x.generateSent:
 		return failure.RanUnknown
 	default:
 		return failure.RanNo
--- a/pkg/chain/stream.go
+++ b/pkg/chain/stream.go
@@ -14,12 +14,12 @@
 func (x *execution) stream(ctx context.Context) (lostStages, error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := x.r.watchdog.add(x.due(x.promptEstimate()), cancel)
+	w := x.r.watchdog.add(x.tokenDeadline(x.estimatePositions()), cancel)
 	defer x.r.watchdog.remove(w)
-	head := x.stages[0].endpoint.Address()
-	x.sent = true
+	firstAddress := x.stages[0].endpoint.Address()
+	x.generateSent = true
 	x.lastEvent = x.r.cfg.Timer.Now()
-	resp, err := x.r.post(streamCtx, head, api.EngineGeneratePath, api.EngineGenerate{
+	resp, err := x.r.post(streamCtx, firstAddress, api.EngineGeneratePath, api.EngineGenerate{
 		Request:   x.req.ID,
 		Attempt:   x.attempt,
 		Prompt:    x.req.Prompt,
@@ -27,40 +27,40 @@
 		MaxTokens: x.req.MaxTokens,
 	})
 	if err != nil {
-		return x.headLost(ctx, head, reasonOf(err))
+		return x.firstStageLost(ctx, firstAddress, faultReason(err))
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return x.read(ctx, head, json.NewDecoder(resp.Body), w)
+	return x.readEvents(ctx, firstAddress, json.NewDecoder(resp.Body), w)
 }
 
-// promptEstimate is about how many positions the next step passes on.
-func (x *execution) promptEstimate() int {
+// estimatePositions is about how many positions the next step passes on.
+func (x *execution) estimatePositions() int {
 	if len(x.emitted) > 0 {
-		return x.need()
+		return x.requiredPositions()
 	}
 	return len(x.req.Prompt)/2 + 1
 }
 
-func (x *execution) due(positions int) time.Time {
-	return x.r.cfg.Timer.Now().Add(x.wholeTimeout(positions))
+func (x *execution) tokenDeadline(positions int) time.Time {
+	return x.r.cfg.Timer.Now().Add(x.tokenTimeout(positions))
 }
 
-// headLost blames the first stage, unless the request itself is at its end.
-func (x *execution) headLost(ctx context.Context, head, reason string) (lostStages, error) {
+// firstStageLost blames the first stage, unless the request itself is at its end.
+func (x *execution) firstStageLost(ctx context.Context, firstAddress, reason string) (lostStages, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, contextFailure(err).WithRan(x.ran())
 	}
 	return lostStages{
-		head: reason,
+		firstAddress: reason,
 	}, nil
 }
 
-// maxHeld bounds the events that are held because earlier ones are missing.
-const maxHeld = 16
+// maxBufferedEvents bounds the events that are held because earlier ones are missing.
+const maxBufferedEvents = 16
 
-func (x *execution) read(ctx context.Context, head string, dec *json.Decoder, w *watch) (lostStages, error) {
-	held := map[int]api.EngineEvent{}
-	curve, _ := x.curve()
+func (x *execution) readEvents(ctx context.Context, firstAddress string, dec *json.Decoder, w *watchedStream) (lostStages, error) {
+	buffered := map[int]api.EngineEvent{}
+	modelled, _ := x.modelledStepTime()
 	for {
 		ev := api.EngineEvent{}
 		if err := dec.Decode(&ev); err != nil {
@@ -68,47 +68,47 @@
 			if w.hasExpired() {
 				reason = "silent"
 			}
-			return x.headLost(ctx, head, reason)
+			return x.firstStageLost(ctx, firstAddress, reason)
 		}
 		if ev.Fault != nil {
-			return x.lostBy(ev.Fault), nil
+			return x.lostStagesOf(ev.Fault), nil
 		}
 		if ev.Index > len(x.emitted) {
-			if len(held) >= maxHeld {
-				return x.headLost(ctx, head, "garbled")
+			if len(buffered) >= maxBufferedEvents {
+				return x.firstStageLost(ctx, firstAddress, "garbled")
 			}
-			held[ev.Index] = ev
+			buffered[ev.Index] = ev
 			continue
 		}
-		for ok := true; ok; ev, ok = held[len(x.emitted)] {
-			delete(held, ev.Index)
+		for ok := true; ok; ev, ok = buffered[len(x.emitted)] {
+			delete(buffered, ev.Index)
 			if ev.Index < len(x.emitted) {
 				break // a second copy
 			}
-			if done, err := x.take(ev); done || err != nil {
+			if done, err := x.handleEvent(ev); done || err != nil {
 				return nil, err
 			}
-			x.noteToken(curve, w)
-			if moved := x.leavingStages(); moved != nil {
-				return moved, nil
+			x.recordToken(modelled, w)
+			if leaving := x.leavingStages(); leaving != nil {
+				return leaving, nil
 			}
 		}
 	}
 }
 
-// noteToken learns from the time that a token took, and waits for the next.
-func (x *execution) noteToken(curve time.Duration, w *watch) {
+// recordToken learns from the time that a token took, and waits for the next.
+func (x *execution) recordToken(modelled time.Duration, w *watchedStream) {
 	now := x.r.cfg.Timer.Now()
 	if len(x.emitted) > 1 && x.faultAt.IsZero() {
-		x.r.pace.observe(now.Sub(x.lastEvent), curve)
+		x.r.stepTimes.observe(now.Sub(x.lastEvent), modelled)
 	}
-	x.resumed(now)
+	x.recordRepair(now)
 	x.lastEvent = now
-	w.extend(now.Add(x.wholeTimeout(1)))
+	w.extend(now.Add(x.tokenTimeout(1)))
 }
 
-// take handles the event that comes next.
-func (x *execution) take(ev api.EngineEvent) (done bool, err error) {
+// handleEvent handles the event that comes next.
+func (x *execution) handleEvent(ev api.EngineEvent) (done bool, err error) {
 	if ev.PromptLen > 0 {
 		x.promptLen = ev.PromptLen
 	}
@@ -127,9 +127,9 @@
 	return false, nil
 }
 
-// lostBy returns the stages that a fault means are lost. A stage that is there
+// lostStagesOf returns the stages that a fault means are lost. A stage that is there
 // but lacks the session or earlier positions is rebuilt where it is.
-func (x *execution) lostBy(f *api.EngineFault) lostStages {
+func (x *execution) lostStagesOf(f *api.EngineFault) lostStages {
 	switch f.Reason {
 	case api.FaultGone, api.FaultGap:
 		return lostStages{}
@@ -140,29 +140,29 @@
 		}
 		return all
 	default:
-		return x.blame(f)
+		return x.attributeFault(f)
 	}
 }
 
-// blame decides between a stage that can't be reached and the one before it,
+// attributeFault decides between a stage that can't be reached and the one before it,
 // which says so. The first time it is the later one that is replaced; if the
 // earlier one then can't reach the replacement either, it is itself cut off.
-func (x *execution) blame(f *api.EngineFault) lostStages {
-	accuser := x.before(f.Address)
-	if accuser != "" && accuser == x.accuser && x.accusedAt == len(x.emitted) {
+func (x *execution) attributeFault(f *api.EngineFault) lostStages {
+	reporter := x.previousStage(f.Address)
+	if reporter != "" && reporter == x.reporter && x.reportedAt == len(x.emitted) {
 		return lostStages{
-			accuser: "cut off",
+			reporter: "cut off",
 		}
 	}
-	x.accuser = accuser
-	x.accusedAt = len(x.emitted)
+	x.reporter = reporter
+	x.reportedAt = len(x.emitted)
 	return lostStages{
 		f.Address: f.Reason,
 	}
 }
 
-// before returns the address of the stage before the one at an address.
-func (x *execution) before(address string) string {
+// previousStage returns the address of the stage before the one at an address.
+func (x *execution) previousStage(address string) string {
 	for i, s := range x.stages {
 		if s.endpoint.Address() == address && i > 0 {
 			return x.stages[i-1].endpoint.Address()
--- a/pkg/chain/watchdog.go
+++ b/pkg/chain/watchdog.go
@@ -15,15 +15,15 @@
 	svc timer.Service
 
 	mu      sync.Mutex
-	watched map[*watch]struct{}
+	streams map[*watchedStream]struct{}
 }
 
-// watch is one stream under the watchdog.
-type watch struct {
-	mu      sync.Mutex
-	until   time.Time
-	expired bool
-	cancel  context.CancelFunc
+// watchedStream is one stream under the watchdog.
+type watchedStream struct {
+	mu       sync.Mutex
+	deadline time.Time
+	expired  bool
+	cancel   context.CancelFunc
 }
 
 const watchdogTick = 10 * time.Millisecond
@@ -31,7 +31,7 @@
 func newWatchdog(svc timer.Service) *watchdog {
 	return &watchdog{
 		svc:     svc,
-		watched: map[*watch]struct{}{},
+		streams: map[*watchedStream]struct{}{},
 	}
 }
 
@@ -42,47 +42,47 @@
 func (d *watchdog) check(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for w := range d.watched {
+	for w := range d.streams {
 		w.check(now)
 	}
 }
 
-func (w *watch) check(now time.Time) {
+func (w *watchedStream) check(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.expired && now.After(w.until) {
+	if !w.expired && now.After(w.deadline) {
 		w.expired = true
 		w.cancel()
 	}
 }
 
 // add puts a stream under the watchdog until remove.
-func (d *watchdog) add(until time.Time, cancel context.CancelFunc) *watch {
-	w := &watch{
-		until:  until,
-		cancel: cancel,
+func (d *watchdog) add(until time.Time, cancel context.CancelFunc) *watchedStream {
+	w := &watchedStream{
+		deadline: until,
+		cancel:   cancel,
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watched[w] = struct{}{}
+	d.streams[w] = struct{}{}
 	return w
 }
 
-func (d *watchdog) remove(w *watch) {
+func (d *watchdog) remove(w *watchedStream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.watched, w)
+	delete(d.streams, w)
 }
 
 // extend gives the stream until a later time.
-func (w *watch) extend(until time.Time) {
+func (w *watchedStream) extend(until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.until = until
+	w.deadline = until
 }
 
 // hasExpired reports whether the watchdog cancelled the stream.
-func (w *watch) hasExpired() bool {
+func (w *watchedStream) hasExpired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.expired
--- a/pkg/raft/core.go
+++ b/pkg/raft/core.go
@@ -80,12 +80,12 @@
 	commit uint64
 	log    entryLog
 
-	role    Role
-	leader  uint64
-	elapsed int // ticks since the leader was heard, or since the last quorum check
-	beat    int // ticks since the last heartbeat
-	timeout int
-	votes   map[uint64]bool
+	role             Role
+	leader           uint64
+	electionElapsed  int // ticks since the leader was heard, or since the last quorum check
+	heartbeatElapsed int // ticks since the last heartbeat
+	electionTimeout  int
+	votes            map[uint64]bool
 
 	members      *rpc.Members // in force: the last in the log, committed or not
 	membersIndex uint64       // where members stands in the log
@@ -97,10 +97,10 @@
 	round uint64 // heartbeat round, for reads and the lease
 	reads []pendingRead
 
-	incoming *incomingSnapshot
-	out      Ready
-	saved    *rpc.HardState
-	applied  uint64 // last entry handed out in a Ready
+	incoming     *incomingSnapshot
+	pendingReady Ready
+	saved        *rpc.HardState
+	applied      uint64 // last entry handed out in a Ready
 }
 
 // Ready is what the owner must now do, in this order: install Snapshot, make
@@ -149,7 +149,7 @@
 	c.durable = c.log.last()
 	c.commit = max(c.log.base, min(d.HardState.GetCommit(), c.log.last()))
 	c.applied = c.log.base
-	c.findMembers()
+	c.updateMembers()
 	c.resetTimeout()
 	return c
 }
@@ -171,12 +171,12 @@
 
 // Tick tells the replica that one tick has passed.
 func (c *Core) Tick() {
-	c.elapsed++
+	c.electionElapsed++
 	if c.role == Leader {
 		c.tickLeader()
 		return
 	}
-	if c.elapsed >= c.timeout && c.isMember(c.cfg.ID) {
+	if c.electionElapsed >= c.electionTimeout && c.isMember(c.cfg.ID) {
 		c.campaign(PreCandidate)
 	}
 }
@@ -192,7 +192,7 @@
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
-	return c.appendOwn(&rpc.LogEntry{
+	return c.appendAsLeader(&rpc.LogEntry{
 		Data: data,
 	}), c.term, nil
 }
@@ -202,13 +202,13 @@
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
-	if c.membersIndex > c.commit || !c.committedOwnTerm() {
+	if c.membersIndex > c.commit || !c.committedInCurrentTerm() {
 		return 0, 0, ErrMembersPending
 	}
-	if differ(c.members, members) > 1 {
+	if countMemberChanges(c.members, members) > 1 {
 		return 0, 0, errors.New("a change may add or remove one replica")
 	}
-	return c.appendOwn(&rpc.LogEntry{
+	return c.appendAsLeader(&rpc.LogEntry{
 		Members: members,
 	}), c.term, nil
 }
@@ -217,8 +217,8 @@
 func (c *Core) Take() Ready {
 	c.flushAppends()
 	c.confirmReads()
-	rd := c.out
-	c.out = Ready{}
+	rd := c.pendingReady
+	c.pendingReady = Ready{}
 	hs := &rpc.HardState{
 		Term:   c.term,
 		Vote:   c.vote,
@@ -296,8 +296,8 @@
 }
 
 func (c *Core) resetTimeout() {
-	c.elapsed = 0
-	c.timeout = c.cfg.ElectionTicks + c.cfg.Rand.IntN(c.cfg.ElectionTicks)
+	c.electionElapsed = 0
+	c.electionTimeout = c.cfg.ElectionTicks + c.cfg.Rand.IntN(c.cfg.ElectionTicks)
 }
 
 func (c *Core) send(m *rpc.RaftMessage) {
@@ -305,5 +305,5 @@
 	if m.GetTerm() == 0 {
 		m.Term = c.term
 	}
-	c.out.Messages = append(c.out.Messages, m)
+	c.pendingReady.Messages = append(c.pendingReady.Messages, m)
 }
--- a/pkg/raft/core_test.go
+++ b/pkg/raft/core_test.go
@@ -17,13 +17,13 @@
 
 const electionTicks = 10
 
-// fixed is a snapshot that never changes.
-type fixed struct {
+// fixedSnapshot is a snapshot that never changes.
+type fixedSnapshot struct {
 	meta  *rpc.SnapshotMeta
 	state []byte
 }
 
-func (f fixed) Latest() (*rpc.SnapshotMeta, []byte) {
+func (f fixedSnapshot) Latest() (*rpc.SnapshotMeta, []byte) {
 	return f.meta, f.state
 }
 
@@ -39,7 +39,7 @@
 
 // newCore returns replica 1 of three, with a log of entries of those terms
 // after the one that names the members.
-func newCore(snap fixed, term uint64, terms ...uint64) *raft.Core {
+func newCore(snap fixedSnapshot, term uint64, terms ...uint64) *raft.Core {
 	d := raft.Bootstrap(threeMembers())
 	d.HardState.Term = term
 	for i, t := range terms {
@@ -90,7 +90,7 @@
 
 var _ = Describe("Core", func() {
 	It("commits an earlier term's entry only with one of its own", func() {
-		c := newCore(fixed{}, 3, 2)
+		c := newCore(fixedSnapshot{}, 3, 2)
 		elect(c)
 		ack(c, 2, 0)
 		Expect(c.Commit()).To(Equal(uint64(1)), "entry 2 is on a majority, and may still be replaced")
@@ -99,7 +99,7 @@
 	})
 
 	It("lets a read through only after a heartbeat round that began after it", func() {
-		c := newCore(fixed{}, 1)
+		c := newCore(fixedSnapshot{}, 1)
 		elect(c)
 		ack(c, 2, c.Round())
 		Expect(c.ReadIndex(7)).To(Succeed())
@@ -111,7 +111,7 @@
 	})
 
 	It("lets a read through only once an entry of its own term is committed", func() {
-		c := newCore(fixed{}, 3, 2)
+		c := newCore(fixedSnapshot{}, 3, 2)
 		elect(c)
 		Expect(c.ReadIndex(7)).To(Succeed())
 		c.Beat()
@@ -120,7 +120,7 @@
 	})
 
 	It("takes one membership change at a time", func() {
-		c := newCore(fixed{}, 1)
+		c := newCore(fixedSnapshot{}, 1)
 		elect(c)
 		ack(c, 2, 0)
 		four := threeMembers()
@@ -136,7 +136,7 @@
 	})
 
 	It("refuses votes for as long as a leader's lease may run", func() {
-		c := newCore(fixed{}, 1)
+		c := newCore(fixedSnapshot{}, 1)
 		c.Step(&rpc.RaftMessage{Kind: rpc.RaftKind_RAFT_APPEND, From: 2, Term: 1, LogIndex: 1, LogTerm: 1})
 		persist(c)
 		for range electionTicks - 1 {
@@ -151,7 +151,7 @@
 	})
 
 	It("refuses its vote to a log that lacks what it holds", func() {
-		c := newCore(fixed{}, 1, 1, 1)
+		c := newCore(fixedSnapshot{}, 1, 1, 1)
 		for range electionTicks - 1 {
 			c.Tick()
 		}
@@ -163,13 +163,13 @@
 	})
 
 	It("refuses votes right after a start, since it may have promised not to", func() {
-		c := newCore(fixed{}, 1)
+		c := newCore(fixedSnapshot{}, 1)
 		c.Step(&rpc.RaftMessage{Kind: rpc.RaftKind_RAFT_VOTE, From: 3, Term: 2, LogIndex: 9, LogTerm: 1})
 		Expect(persist(c).Messages).To(BeEmpty())
 	})
 
 	It("puts a snapshot's chunks together in order, whatever comes twice", func() {
-		c := newCore(fixed{}, 1)
+		c := newCore(fixedSnapshot{}, 1)
 		chunk := func(offset int, text string, last bool) {
 			c.Step(&rpc.RaftMessage{
 				Kind: rpc.RaftKind_RAFT_SNAPSHOT, From: 2, Term: 1, ChunkOffset: uint64(offset), Chunk: []byte(text), ChunkLast: last,
@@ -187,7 +187,7 @@
 	})
 
 	It("sends a follower that is far behind the snapshot in chunks", func() {
-		c := newCore(fixed{meta: &rpc.SnapshotMeta{Index: 3, Term: 2}, state: []byte("abcdefghij")}, 3, 2, 2)
+		c := newCore(fixedSnapshot{meta: &rpc.SnapshotMeta{Index: 3, Term: 2}, state: []byte("abcdefghij")}, 3, 2, 2)
 		elect(c)
 		ack(c, 4, 0)
 		c.Compact(3)
@@ -206,18 +206,18 @@
 })
 
 func newLeader() *raft.Core {
-	c := newCore(fixed{}, 1)
+	c := newCore(fixedSnapshot{}, 1)
 	elect(c)
 	ack(c, 2, 0)
 	return c
 }
 
 func lastTo(rd raft.Ready, id uint64) *rpc.RaftMessage {
-	var last *rpc.RaftMessage
+	var latest *rpc.RaftMessage
 	for _, m := range rd.Early {
 		if m.GetTo() == id {
-			last = m
+			latest = m
 		}
 	}
-	return last
+	return latest
 }
--- a/pkg/raft/election.go
+++ b/pkg/raft/election.go
@@ -4,11 +4,11 @@
 
 // Step takes one message from another replica.
 func (c *Core) Step(m *rpc.RaftMessage) {
-	if m.GetTerm() > c.term && !c.stepNewer(m) {
+	if m.GetTerm() > c.term && !c.stepHigherTerm(m) {
 		return
 	}
 	if m.GetTerm() < c.term {
-		c.stepOlder(m)
+		c.stepLowerTerm(m)
 		return
 	}
 	switch m.GetKind() {
@@ -32,9 +32,9 @@
 	}
 }
 
-// stepNewer deals with a message of a later term. It reports whether the
+// stepHigherTerm deals with a message of a later term. It reports whether the
 // message still has to be handled.
-func (c *Core) stepNewer(m *rpc.RaftMessage) bool {
+func (c *Core) stepHigherTerm(m *rpc.RaftMessage) bool {
 	switch m.GetKind() {
 	case rpc.RaftKind_RAFT_PRE_VOTE:
 		c.stepPreVote(m)
@@ -45,7 +45,7 @@
 			return false
 		}
 	case rpc.RaftKind_RAFT_VOTE:
-		if c.hearsLeader() {
+		if c.leaseMayBeHeld() {
 			return false // the promise that the leader's lease rests on
 		}
 	default:
@@ -54,8 +54,8 @@
 	return true
 }
 
-// stepOlder tells the sender of a message of an earlier term that it is late.
-func (c *Core) stepOlder(m *rpc.RaftMessage) {
+// stepLowerTerm tells the sender of a message of an earlier term that it is late.
+func (c *Core) stepLowerTerm(m *rpc.RaftMessage) {
 	reply := &rpc.RaftMessage{
 		To:     m.GetFrom(),
 		Reject: true,
@@ -75,10 +75,10 @@
 	c.send(reply)
 }
 
-// hearsLeader reports whether a leader may hold a lease that counts on this
+// leaseMayBeHeld reports whether a leader may hold a lease that counts on this
 // replica. A replica that has just started can't know, and so assumes it.
-func (c *Core) hearsLeader() bool {
-	return c.elapsed < c.cfg.ElectionTicks && (c.leader != 0 || c.role == Follower)
+func (c *Core) leaseMayBeHeld() bool {
+	return c.electionElapsed < c.cfg.ElectionTicks && (c.leader != 0 || c.role == Follower)
 }
 
 func (c *Core) becomeFollower(term, leader uint64) {
@@ -131,7 +131,7 @@
 }
 
 func (c *Core) stepPreVote(m *rpc.RaftMessage) {
-	grant := m.GetTerm() > c.term && !c.hearsLeader() && c.role != Leader &&
+	grant := m.GetTerm() > c.term && !c.leaseMayBeHeld() && c.role != Leader &&
 		c.log.upToDate(m.GetLogIndex(), m.GetLogTerm())
 	reply := &rpc.RaftMessage{
 		Kind:   rpc.RaftKind_RAFT_PRE_VOTE_REPLY,
@@ -145,8 +145,8 @@
 }
 
 func (c *Core) stepVote(m *rpc.RaftMessage) {
-	free := c.vote == 0 || c.vote == m.GetFrom()
-	grant := free && c.role == Follower && c.log.upToDate(m.GetLogIndex(), m.GetLogTerm())
+	canVote := c.vote == 0 || c.vote == m.GetFrom()
+	grant := canVote && c.role == Follower && c.log.upToDate(m.GetLogIndex(), m.GetLogTerm())
 	if grant {
 		c.vote = m.GetFrom()
 		c.leader = 0
@@ -186,10 +186,10 @@
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leader = c.cfg.ID
-	c.elapsed = 0
-	c.beat = 0
+	c.electionElapsed = 0
+	c.heartbeatElapsed = 0
 	c.peers = map[uint64]*progress{}
-	c.matchPeers()
-	c.appendOwn(&rpc.LogEntry{}) // commits what earlier terms left
-	c.broadcast()
+	c.updatePeers()
+	c.appendAsLeader(&rpc.LogEntry{}) // commits what earlier terms left
+	c.broadcastHeartbeat()
 }
--- a/pkg/raft/log.go
+++ b/pkg/raft/log.go
@@ -83,6 +83,6 @@
 // upToDate reports whether a log that ends at index and term holds all that
 // this one may have committed.
 func (l *entryLog) upToDate(index, term uint64) bool {
-	mine := l.lastTerm()
-	return term > mine || (term == mine && index >= l.last())
+	lastTerm := l.lastTerm()
+	return term > lastTerm || (term == lastTerm && index >= l.last())
 }
--- a/pkg/raft/members.go
+++ b/pkg/raft/members.go
@@ -2,9 +2,9 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// findMembers puts the last membership in the log in force. Raft's safety
+// updateMembers puts the last membership in the log in force. Raft's safety
 // needs it from the moment it is appended, not from its commit.
-func (c *Core) findMembers() {
+func (c *Core) updateMembers() {
 	c.members = c.baseMembers
 	c.membersIndex = c.log.base
 	for i := len(c.log.entries) - 1; i >= 0; i-- {
@@ -15,7 +15,7 @@
 		}
 	}
 	if c.role == Leader {
-		c.matchPeers()
+		c.updatePeers()
 	}
 }
 
@@ -47,18 +47,18 @@
 }
 
 // hasQuorum reports whether the members for which yes holds are a majority.
-func (c *Core) hasQuorum(yes func(id uint64) bool) bool {
+func (c *Core) hasQuorum(pred func(id uint64) bool) bool {
 	n := 0
 	for _, m := range c.members.GetList() {
-		if yes(m.GetId()) {
+		if pred(m.GetId()) {
 			n++
 		}
 	}
 	return n > len(c.members.GetList())/2
 }
 
-// matchPeers makes the leader's bookkeeping fit the members in force.
-func (c *Core) matchPeers() {
+// updatePeers makes the leader's bookkeeping fit the members in force.
+func (c *Core) updatePeers() {
 	for id := range c.peers {
 		if !c.isMember(id) {
 			delete(c.peers, id)
@@ -76,8 +76,8 @@
 	}
 }
 
-// differ returns how many replicas are in one list but not in the other.
-func differ(a, b *rpc.Members) int {
+// countMemberChanges returns how many replicas are in one list but not in the other.
+func countMemberChanges(a, b *rpc.Members) int {
 	in := map[uint64]int{}
 	for _, m := range a.GetList() {
 		in[m.GetId()]++
--- a/pkg/raft/read.go
+++ b/pkg/raft/read.go
@@ -35,7 +35,7 @@
 	}
 	for _, r := range c.reads {
 		if r.round > c.round {
-			c.broadcast()
+			c.broadcastHeartbeat()
 			return
 		}
 	}
@@ -51,19 +51,19 @@
 	if c.role != Leader {
 		return 0
 	}
-	low := c.round
-	for low > 0 && !c.roundConfirmed(low) {
-		low = c.olderRound(low)
+	round := c.round
+	for round > 0 && !c.roundConfirmed(round) {
+		round = c.previousAnsweredRound(round)
 	}
-	return low
+	return round
 }
 
-// olderRound returns the newest round below r that some follower answered.
-func (c *Core) olderRound(r uint64) uint64 {
+// previousAnsweredRound returns the newest round below r that some follower answered.
+func (c *Core) previousAnsweredRound(r uint64) uint64 {
 	best := uint64(0)
 	for _, p := range c.peers {
-		if p.round < r {
-			best = max(best, p.round)
+		if p.ackedRound < r {
+			best = max(best, p.ackedRound)
 		}
 	}
 	return best
@@ -71,32 +71,32 @@
 
 func (c *Core) roundConfirmed(r uint64) bool {
 	return c.hasQuorum(func(id uint64) bool {
-		return id == c.cfg.ID || c.peers[id].round >= r
+		return id == c.cfg.ID || c.peers[id].ackedRound >= r
 	})
 }
 
 // confirmReads moves reads whose round a majority answered to the next Ready.
 func (c *Core) confirmReads() {
-	if c.role != Leader || !c.committedOwnTerm() {
+	if c.role != Leader || !c.committedInCurrentTerm() {
 		return
 	}
-	kept := c.reads[:0]
+	unconfirmed := c.reads[:0]
 	for _, r := range c.reads {
 		if r.round > c.round || !c.roundConfirmed(r.round) {
-			kept = append(kept, r)
+			unconfirmed = append(unconfirmed, r)
 			continue
 		}
-		c.out.Reads = append(c.out.Reads, Read{
+		c.pendingReady.Reads = append(c.pendingReady.Reads, Read{
 			ID: r.id,
 			OK: true,
 		})
 	}
-	c.reads = kept
+	c.reads = unconfirmed
 }
 
 func (c *Core) failReads() {
 	for _, r := range c.reads {
-		c.out.Reads = append(c.out.Reads, Read{
+		c.pendingReady.Reads = append(c.pendingReady.Reads, Read{
 			ID: r.id,
 		})
 	}
--- a/pkg/raft/replicate.go
+++ b/pkg/raft/replicate.go
@@ -11,12 +11,12 @@
 // Invariant: match < next. Entries up to match are durable there; next is a
 // guess that runs ahead of it and falls back when it proves wrong.
 type progress struct {
-	match  uint64
-	next   uint64
-	round  uint64 // newest heartbeat round it answered
-	active bool   // answered since the last quorum check
-	offset uint64 // of the snapshot chunk being sent
-	snap   uint64 // index of the snapshot being sent, 0 if none
+	match          uint64
+	next           uint64
+	ackedRound     uint64 // newest heartbeat round it answered
+	active         bool   // answered since the last quorum check
+	snapshotOffset uint64 // of the snapshot chunk being sent
+	snapshotIndex  uint64 // index of the snapshot being sent, 0 if none
 	// probing is true from a rejection until an append is accepted. Only one
 	// append is sent for each answer then: sending more ahead would bring as
 	// many rejections, each answered by more.
@@ -24,23 +24,23 @@
 }
 
 func (c *Core) tickLeader() {
-	c.beat++
-	if c.elapsed >= c.cfg.ElectionTicks {
+	c.heartbeatElapsed++
+	if c.electionElapsed >= c.cfg.ElectionTicks {
 		c.checkQuorum()
 	}
-	if c.role == Leader && c.beat >= c.cfg.HeartbeatTicks {
-		c.broadcast()
+	if c.role == Leader && c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
+		c.broadcastHeartbeat()
 	}
 }
 
 // checkQuorum steps down if no majority was heard for an election timeout, so
 // that a leader that was cut off stops answering.
 func (c *Core) checkQuorum() {
-	c.elapsed = 0
-	heard := c.hasQuorum(func(id uint64) bool {
+	c.electionElapsed = 0
+	active := c.hasQuorum(func(id uint64) bool {
 		return id == c.cfg.ID || c.peers[id].active
 	})
-	if !heard {
+	if !active {
 		c.becomeFollower(c.term, 0)
 		return
 	}
@@ -49,21 +49,21 @@
 	}
 }
 
-// appendOwn appends the leader's own entry and returns its index.
-func (c *Core) appendOwn(e *rpc.LogEntry) uint64 {
+// appendAsLeader appends the leader's own entry and returns its index.
+func (c *Core) appendAsLeader(e *rpc.LogEntry) uint64 {
 	e.Index = c.log.last() + 1
 	e.Term = c.term
 	c.log.append(e)
-	c.out.Entries = append(c.out.Entries, e)
+	c.pendingReady.Entries = append(c.pendingReady.Entries, e)
 	if e.GetMembers() != nil {
-		c.findMembers()
+		c.updateMembers()
 	}
 	return e.GetIndex()
 }
 
-// broadcast sends every follower a heartbeat of a new round.
-func (c *Core) broadcast() {
-	c.beat = 0
+// broadcastHeartbeat sends every follower a heartbeat of a new round.
+func (c *Core) broadcastHeartbeat() {
+	c.heartbeatElapsed = 0
 	c.round++
 	for _, id := range c.peerIDs() {
 		c.sendAppend(id, true)
@@ -98,8 +98,8 @@
 	p := c.peers[id]
 	prev := p.next - 1
 	prevTerm, held := c.log.term(prev)
-	if !held || p.snap != 0 {
-		if heartbeat || p.snap == 0 {
+	if !held || p.snapshotIndex != 0 {
+		if heartbeat || p.snapshotIndex == 0 {
 			c.sendChunk(id)
 		}
 		return
@@ -109,7 +109,7 @@
 		return
 	}
 	p.next += uint64(len(entries))
-	c.out.Early = append(c.out.Early, &rpc.RaftMessage{
+	c.pendingReady.Early = append(c.pendingReady.Early, &rpc.RaftMessage{
 		Kind:     rpc.RaftKind_RAFT_APPEND,
 		From:     c.cfg.ID,
 		To:       id,
@@ -142,7 +142,7 @@
 		c.send(reply)
 		return
 	}
-	c.takeEntries(m.GetEntries())
+	c.appendFromLeader(m.GetEntries())
 	matched := prev + uint64(len(m.GetEntries()))
 	c.commit = max(c.commit, min(m.GetCommit(), matched))
 	reply.LogIndex = matched
@@ -154,7 +154,7 @@
 		c.becomeFollower(c.term, id)
 	}
 	c.leader = id
-	c.elapsed = 0
+	c.electionElapsed = 0
 }
 
 // matchHint returns the last index that could match a log whose entry at prev
@@ -170,8 +170,8 @@
 	return i
 }
 
-// takeEntries appends what isn't there yet, dropping what conflicts with it.
-func (c *Core) takeEntries(entries []*rpc.LogEntry) {
+// appendFromLeader appends what isn't there yet, dropping what conflicts with it.
+func (c *Core) appendFromLeader(entries []*rpc.LogEntry) {
 	for i, e := range entries {
 		if t, ok := c.log.term(e.GetIndex()); ok && t == e.GetTerm() {
 			continue
@@ -179,22 +179,22 @@
 		if e.GetIndex() <= c.log.last() {
 			c.log.truncate(e.GetIndex())
 			c.durable = min(c.durable, e.GetIndex()-1)
-			c.dropPending(e.GetIndex())
+			c.dropPendingEntries(e.GetIndex())
 		}
-		for _, fresh := range entries[i:] {
-			c.log.append(fresh)
-			c.out.Entries = append(c.out.Entries, fresh)
+		for _, added := range entries[i:] {
+			c.log.append(added)
+			c.pendingReady.Entries = append(c.pendingReady.Entries, added)
 		}
-		c.findMembers()
+		c.updateMembers()
 		return
 	}
 }
 
-// dropPending forgets entries from index on that were not yet taken.
-func (c *Core) dropPending(index uint64) {
-	for i, e := range c.out.Entries {
+// dropPendingEntries forgets entries from index on that were not yet taken.
+func (c *Core) dropPendingEntries(index uint64) {
+	for i, e := range c.pendingReady.Entries {
 		if e.GetIndex() >= index {
-			c.out.Entries = c.out.Entries[:i:i]
+			c.pendingReady.Entries = c.pendingReady.Entries[:i:i]
 			return
 		}
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	p.active = true
-	p.round = max(p.round, m.GetRound())
+	p.ackedRound = max(p.ackedRound, m.GetRound())
 	c.confirmReads()
 	if m.GetReject() {
 		if m.GetLogIndex() > p.match {
@@ -220,7 +220,7 @@
 	if m.GetLogIndex() > p.match {
 		p.match = m.GetLogIndex()
 		p.next = max(p.next, p.match+1)
-		p.snap = 0
+		p.snapshotIndex = 0
 		c.advanceCommit()
 	}
 }
@@ -263,7 +263,7 @@
 	return c.peers[id].match
 }
 
-func (c *Core) committedOwnTerm() bool {
+func (c *Core) committedInCurrentTerm() bool {
 	t, ok := c.log.term(c.commit)
 	return ok && t == c.term
 }
--- a/pkg/raft/snapshot.go
+++ b/pkg/raft/snapshot.go
@@ -17,13 +17,13 @@
 	if meta == nil {
 		return
 	}
-	if p.snap != meta.GetIndex() {
-		p.snap = meta.GetIndex()
-		p.offset = 0
+	if p.snapshotIndex != meta.GetIndex() {
+		p.snapshotIndex = meta.GetIndex()
+		p.snapshotOffset = 0
 	}
-	start := min(p.offset, uint64(len(state)))
+	start := min(p.snapshotOffset, uint64(len(state)))
 	end := min(start+uint64(c.cfg.ChunkBytes), uint64(len(state)))
-	c.out.Early = append(c.out.Early, &rpc.RaftMessage{
+	c.pendingReady.Early = append(c.pendingReady.Early, &rpc.RaftMessage{
 		Kind:        rpc.RaftKind_RAFT_SNAPSHOT,
 		From:        c.cfg.ID,
 		To:          id,
@@ -49,7 +49,7 @@
 		})
 		return
 	}
-	c.takeChunk(m)
+	c.addChunk(m)
 	c.send(&rpc.RaftMessage{
 		Kind:        rpc.RaftKind_RAFT_SNAPSHOT_REPLY,
 		To:          m.GetFrom(),
@@ -58,11 +58,11 @@
 		ChunkOffset: uint64(len(c.incoming.state)),
 	})
 	if m.GetChunkLast() && m.GetChunkOffset()+uint64(len(m.GetChunk())) == uint64(len(c.incoming.state)) {
-		c.install(m.GetFrom())
+		c.installSnapshot(m.GetFrom())
 	}
 }
 
-func (c *Core) takeChunk(m *rpc.RaftMessage) {
+func (c *Core) addChunk(m *rpc.RaftMessage) {
 	meta := m.GetSnapshot()
 	in := c.incoming
 	if in == nil || in.meta.GetIndex() != meta.GetIndex() || in.meta.GetTerm() != meta.GetTerm() {
@@ -76,20 +76,20 @@
 	}
 }
 
-func (c *Core) install(leader uint64) {
+func (c *Core) installSnapshot(leader uint64) {
 	meta := c.incoming.meta
-	c.out.Snapshot = &rpc.SnapshotFile{
+	c.pendingReady.Snapshot = &rpc.SnapshotFile{
 		Meta:  meta,
 		State: c.incoming.state,
 	}
-	c.out.Entries = nil
+	c.pendingReady.Entries = nil
 	c.incoming = nil
 	c.log.reset(meta.GetIndex(), meta.GetTerm())
 	c.durable = meta.GetIndex()
 	c.commit = meta.GetIndex()
 	c.applied = meta.GetIndex()
 	c.baseMembers = meta.GetMembers()
-	c.findMembers()
+	c.updateMembers()
 	c.send(&rpc.RaftMessage{
 		Kind:     rpc.RaftKind_RAFT_APPEND_REPLY,
 		To:       leader,
@@ -103,13 +103,13 @@
 		return
 	}
 	p.active = true
-	p.round = max(p.round, m.GetRound())
+	p.ackedRound = max(p.ackedRound, m.GetRound())
 	c.confirmReads()
-	if p.snap == 0 || m.GetSnapshot().GetIndex() != p.snap || m.GetChunkOffset() <= p.offset {
+	if p.snapshotIndex == 0 || m.GetSnapshot().GetIndex() != p.snapshotIndex || m.GetChunkOffset() <= p.snapshotOffset {
 		return
 	}
-	p.offset = m.GetChunkOffset()
-	if _, state := c.cfg.Snapshots.Latest(); p.offset < uint64(len(state)) {
+	p.snapshotOffset = m.GetChunkOffset()
+	if _, state := c.cfg.Snapshots.Latest(); p.snapshotOffset < uint64(len(state)) {
 		c.sendChunk(m.GetFrom())
 	}
 }
--- a/pkg/replica/fuzz_test.go
+++ b/pkg/replica/fuzz_test.go
@@ -27,9 +27,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "replicas")
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), n)
-		place := rapid.IntRange(0, n-1)
+		index := rapid.IntRange(0, n-1)
 		host := rapid.Custom(func(t *rapid.T) uint64 {
-			return s.ids()[place.Draw(t, "place")]
+			return s.ids()[index.Draw(t, "index")]
 		})
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
@@ -37,7 +37,7 @@
 					s.tick()
 					s.deliverSome(true)
 				}
-				s.replace()
+				s.continueReplacement()
 			},
 			"write": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "writes") {
@@ -57,7 +57,7 @@
 				s.loseDisk(host.Draw(t, "host"))
 			},
 			"lose disk, all dark": func(t *rapid.T) {
-				s.darken(host.Draw(t, "host"))
+				s.loseDiskDuringPowerLoss(host.Draw(t, "host"))
 			},
 			"crash": func(t *rapid.T) {
 				s.crash(host.Draw(t, "host"))
@@ -78,17 +78,17 @@
 				s.isolate(host.Draw(t, "host"))
 			},
 			"usurp": func(t *rapid.T) {
-				s.usurp(rapid.Bool().Draw(t, "freeze"), rapid.IntRange(1, 35).Draw(t, "ticks"))
+				s.forceLeaderChange(rapid.Bool().Draw(t, "freeze"), rapid.IntRange(1, 35).Draw(t, "ticks"))
 			},
 			"retire": func(t *rapid.T) {
-				s.retire(host.Draw(t, "host"))
+				s.replaceRunning(host.Draw(t, "host"))
 			},
 			"cut one way": func(t *rapid.T) {
 				key := [2]uint64{host.Draw(t, "from"), host.Draw(t, "to")}
-				s.cut[key] = !s.cut[key]
+				s.blockedLinks[key] = !s.blockedLinks[key]
 			},
 			"heal": func(*rapid.T) {
-				s.cut = map[[2]uint64]bool{}
+				s.blockedLinks = map[[2]uint64]bool{}
 			},
 			"snapshot": func(t *rapid.T) {
 				s.snapshot(host.Draw(t, "host"))
@@ -99,7 +99,7 @@
 				}
 			},
 		})
-		if err := s.settle(); err != nil {
+		if err := s.healAndCheck(); err != nil {
 			t.Fatalf("%v\n%s", err, s)
 		}
 	})
--- a/pkg/replica/lease.go
+++ b/pkg/replica/lease.go
@@ -24,7 +24,7 @@
 	LogBytes   int64
 }
 
-type statusBox struct {
+type guardedStatus struct {
 	mu sync.Mutex
 	s  Status
 }
@@ -44,12 +44,12 @@
 	return s.Role == raft.Leader && n.cfg.Timer.Now().Before(s.LeaseUntil)
 }
 
-func (n *Node) publish() {
+func (n *Node) publishStatus() {
 	s := Status{
 		ID:       n.cfg.ID,
 		Role:     n.core.Role(),
 		Term:     n.core.Term(),
-		Leader:   n.member(n.core.Leader()),
+		Leader:   n.memberByID(n.core.Leader()),
 		Members:  n.core.Members(),
 		Commit:   n.core.Commit(),
 		Applied:  n.applied,
@@ -63,11 +63,11 @@
 	n.status.s = s
 }
 
-// noteRounds remembers when each heartbeat round began, before it is sent.
-func (n *Node) noteRounds() {
+// recordRoundStart remembers when each heartbeat round began, before it is sent.
+func (n *Node) recordRoundStart() {
 	r := n.core.Round()
-	if _, known := n.sentAt[r]; !known {
-		n.sentAt[r] = n.cfg.Timer.Now()
+	if _, known := n.roundSentAt[r]; !known {
+		n.roundSentAt[r] = n.cfg.Timer.Now()
 	}
 }
 
@@ -76,17 +76,17 @@
 // tick is taken off since a tick may fall right after the message.
 func (n *Node) leaseUntil() time.Time {
 	r := n.core.QuorumRound()
-	for old := range n.sentAt {
+	for old := range n.roundSentAt {
 		if old < r {
-			delete(n.sentAt, old)
+			delete(n.roundSentAt, old)
 		}
 	}
-	sent, ok := n.sentAt[r]
+	sent, ok := n.roundSentAt[r]
 	if !ok {
 		return time.Time{}
 	}
 	promise := time.Duration(electionTicks-1) * n.cfg.Tick
-	return sent.Add(promise * (100 - driftPercent) / 100)
+	return sent.Add(promise * (100 - maxClockDriftPercent) / 100)
 }
 
 func (n *Node) answerReads(reads []raft.Read) {
@@ -101,7 +101,7 @@
 			continue
 		}
 		reply <- result{
-			err: n.explain(raft.ErrNotLeader),
+			err: n.toNotLeaderError(raft.ErrNotLeader),
 		}
 	}
 }
--- a/pkg/replica/node.go
+++ b/pkg/replica/node.go
@@ -49,19 +49,19 @@
 }
 
 const (
-	electionTicks  = 10
-	heartbeatTicks = 2
-	defaultAppend  = 1 << 20
-	defaultChunk   = 1 << 20
-	maxBatch       = 1024
-	inboxSize      = 4096
-	// snapshotBytes is the log file's size at which a snapshot is taken.
-	snapshotBytes = 8 << 20
-	// keptEntries stay in memory after a snapshot, for followers a little behind.
-	keptEntries = 2000
-	// driftPercent bounds how much faster than ours another replica's clock
+	electionTicks      = 10
+	heartbeatTicks     = 2
+	defaultAppendBytes = 1 << 20
+	defaultChunkBytes  = 1 << 20
+	maxBatch           = 1024
+	inboxSize          = 4096
+	// snapshotThreshold is the log file's size at which a snapshot is taken.
+	snapshotThreshold = 8 << 20
+	// retainedEntries stay in memory after a snapshot, for followers a little behind.
+	retainedEntries = 2000
+	// maxClockDriftPercent bounds how much faster than ours another replica's clock
 	// may run; the lease is shortened by it.
-	driftPercent = 10
+	maxClockDriftPercent = 10
 )
 
 // NotLeaderError says that another replica must be asked.
@@ -91,13 +91,13 @@
 	core     *raft.Core
 	inbox    chan []*rpc.RaftMessage
 	requests chan request
-	status   statusBox
+	status   guardedStatus
 
-	waiting map[uint64]waiter // by log index
-	reads   map[uint64]chan result
-	nextID  uint64
-	applied uint64
-	sentAt  map[uint64]time.Time // by heartbeat round
+	proposals   map[uint64]proposal // by log index
+	reads       map[uint64]chan result
+	nextID      uint64
+	applied     uint64
+	roundSentAt map[uint64]time.Time // by heartbeat round
 }
 
 type request struct {
@@ -112,7 +112,7 @@
 	err  error
 }
 
-type waiter struct {
+type proposal struct {
 	term  uint64
 	reply chan result
 }
@@ -136,25 +136,25 @@
 		}
 	}
 	n := &Node{
-		cfg:      cfg,
-		inbox:    make(chan []*rpc.RaftMessage, inboxSize),
-		requests: make(chan request, inboxSize),
-		waiting:  map[uint64]waiter{},
-		reads:    map[uint64]chan result{},
-		sentAt:   map[uint64]time.Time{},
-		applied:  d.Snapshot.GetIndex(),
+		cfg:         cfg,
+		inbox:       make(chan []*rpc.RaftMessage, inboxSize),
+		requests:    make(chan request, inboxSize),
+		proposals:   map[uint64]proposal{},
+		reads:       map[uint64]chan result{},
+		roundSentAt: map[uint64]time.Time{},
+		applied:     d.Snapshot.GetIndex(),
 	}
 	n.core = raft.New(raft.Config{
 		ID:             cfg.ID,
 		ElectionTicks:  electionTicks,
 		HeartbeatTicks: heartbeatTicks,
-		MaxAppendBytes: orDefault(cfg.AppendBytes, defaultAppend),
-		ChunkBytes:     orDefault(cfg.ChunkBytes, defaultChunk),
+		MaxAppendBytes: orDefault(cfg.AppendBytes, defaultAppendBytes),
+		ChunkBytes:     orDefault(cfg.ChunkBytes, defaultChunkBytes),
 		Rand:           rand.New(rand.NewPCG(cfg.Seed, cfg.ID)),
 		Snapshots:      cfg.Store,
 	}, d)
 	cfg.Transport.SetMembers(n.core.Members())
-	n.publish()
+	n.publishStatus()
 	return n, nil
 }
 
@@ -169,7 +169,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	ticks := n.cfg.Timer.Every(n.cfg.Tick)
 	defer ticks.Stop()
-	defer n.failAll(ErrLost)
+	defer n.failPending(ErrLost)
 	for {
 		select {
 		case <-ctx.Done():
@@ -179,9 +179,9 @@
 		case batch := <-n.inbox:
 			n.step(batch)
 		case r := <-n.requests:
-			n.take(r)
+			n.handleRequest(r)
 		}
-		n.drain()
+		n.drainQueues()
 		if err := n.advance(); err != nil {
 			return err
 		}
@@ -199,14 +199,14 @@
 
 // Propose replicates data and returns what the state machine answered.
 func (n *Node) Propose(ctx context.Context, data []byte) ([]byte, error) {
-	return n.ask(ctx, request{
+	return n.submit(ctx, request{
 		data: data,
 	})
 }
 
 // ChangeMembers adds or removes one replica.
 func (n *Node) ChangeMembers(ctx context.Context, members *rpc.Members) error {
-	_, err := n.ask(ctx, request{
+	_, err := n.submit(ctx, request{
 		members: members,
 	})
 	return err
@@ -215,13 +215,13 @@
 // ReadBarrier returns once the local state holds everything that was accepted
 // before the call. Only the leader can tell.
 func (n *Node) ReadBarrier(ctx context.Context) error {
-	_, err := n.ask(ctx, request{
+	_, err := n.submit(ctx, request{
 		read: true,
 	})
 	return err
 }
 
-func (n *Node) ask(ctx context.Context, r request) ([]byte, error) {
+func (n *Node) submit(ctx context.Context, r request) ([]byte, error) {
 	r.reply = make(chan result, 1)
 	select {
 	case n.requests <- r:
@@ -236,14 +236,14 @@
 	}
 }
 
-// drain takes what else is there, so that one sync serves it all.
-func (n *Node) drain() {
+// drainQueues takes what else is there, so that one sync serves it all.
+func (n *Node) drainQueues() {
 	for range maxBatch {
 		select {
 		case batch := <-n.inbox:
 			n.step(batch)
 		case r := <-n.requests:
-			n.take(r)
+			n.handleRequest(r)
 		default:
 			return
 		}
@@ -256,54 +256,54 @@
 	}
 }
 
-func (n *Node) take(r request) {
+func (n *Node) handleRequest(r request) {
 	switch {
 	case r.read:
-		n.takeRead(r)
+		n.handleRead(r)
 	case r.members != nil:
 		index, term, err := n.core.ProposeMembers(r.members)
-		n.wait(r, index, term, err)
+		n.trackProposal(r, index, term, err)
 	default:
 		index, term, err := n.core.Propose(r.data)
-		n.wait(r, index, term, err)
+		n.trackProposal(r, index, term, err)
 	}
 }
 
-func (n *Node) wait(r request, index, term uint64, err error) {
+func (n *Node) trackProposal(r request, index, term uint64, err error) {
 	if err != nil {
 		r.reply <- result{
-			err: n.explain(err),
+			err: n.toNotLeaderError(err),
 		}
 		return
 	}
-	n.waiting[index] = waiter{
+	n.proposals[index] = proposal{
 		term:  term,
 		reply: r.reply,
 	}
 }
 
-func (n *Node) takeRead(r request) {
+func (n *Node) handleRead(r request) {
 	n.nextID++
 	if err := n.core.ReadIndex(n.nextID); err != nil {
 		r.reply <- result{
-			err: n.explain(err),
+			err: n.toNotLeaderError(err),
 		}
 		return
 	}
 	n.reads[n.nextID] = r.reply
 }
 
-// explain turns the algorithm's refusal into one that names who to ask.
-func (n *Node) explain(err error) error {
+// toNotLeaderError turns the algorithm's refusal into one that names who to ask.
+func (n *Node) toNotLeaderError(err error) error {
 	if !errors.Is(err, raft.ErrNotLeader) {
 		return err
 	}
 	return &NotLeaderError{
-		Leader: n.member(n.core.Leader()),
+		Leader: n.memberByID(n.core.Leader()),
 	}
 }
 
-func (n *Node) member(id uint64) *rpc.Member {
+func (n *Node) memberByID(id uint64) *rpc.Member {
 	for _, m := range n.core.Members().GetList() {
 		if m.GetId() == id {
 			return m
@@ -316,23 +316,23 @@
 func (n *Node) advance() error {
 	for {
 		n.core.Beat()
-		n.noteRounds()
+		n.recordRoundStart()
 		rd := n.core.Take()
 		if rd.Empty() {
-			n.publish()
+			n.publishStatus()
 			return nil
 		}
-		if err := n.carryOut(rd); err != nil {
+		if err := n.processReady(rd); err != nil {
 			logflags.Error(logflags.Storage, err, "replica stops")
 			return err
 		}
 	}
 }
 
-func (n *Node) carryOut(rd raft.Ready) error {
+func (n *Node) processReady(rd raft.Ready) error {
 	n.cfg.Transport.Send(rd.Early)
 	if rd.Snapshot != nil {
-		if err := n.install(rd.Snapshot); err != nil {
+		if err := n.installSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -352,12 +352,12 @@
 	return n.maybeSnapshot()
 }
 
-func (n *Node) install(file *rpc.SnapshotFile) error {
+func (n *Node) installSnapshot(file *rpc.SnapshotFile) error {
 	if err := n.cfg.Store.SaveSnapshot(file); err != nil {
 		return err
 	}
 	n.applied = file.GetMeta().GetIndex()
-	n.failAll(ErrLost)
+	n.failPending(ErrLost)
 	logflags.Info(logflags.Raft, "installed snapshot", "index", n.applied)
 	return n.cfg.Machine.Restore(file.GetState())
 }
@@ -373,37 +373,37 @@
 			n.cfg.Transport.SetMembers(n.core.Members())
 			logflags.Info(logflags.Raft, "replicas changed", "members", e.GetMembers().String())
 		}
-		n.answer(e, reply)
+		n.answerProposal(e, reply)
 	}
 	return nil
 }
 
-func (n *Node) answer(e *rpc.LogEntry, reply []byte) {
-	w, ok := n.waiting[e.GetIndex()]
+func (n *Node) answerProposal(e *rpc.LogEntry, reply []byte) {
+	p, ok := n.proposals[e.GetIndex()]
 	if !ok {
 		return
 	}
-	delete(n.waiting, e.GetIndex())
-	if w.term != e.GetTerm() {
-		w.reply <- result{
+	delete(n.proposals, e.GetIndex())
+	if p.term != e.GetTerm() {
+		p.reply <- result{
 			err: ErrLost,
 		}
 		return
 	}
-	w.reply <- result{
+	p.reply <- result{
 		data: reply,
 	}
 }
 
 func (n *Node) maybeSnapshot() error {
-	if n.cfg.Store.LogBytes() < snapshotBytes || n.applied <= n.cfg.Store.Snapshot().GetMeta().GetIndex() {
+	if n.cfg.Store.LogBytes() < snapshotThreshold || n.applied <= n.cfg.Store.Snapshot().GetMeta().GetIndex() {
 		return nil
 	}
-	return n.snapshotNow()
+	return n.takeSnapshot()
 }
 
-// snapshotNow makes the applied state durable and lets the log before it go.
-func (n *Node) snapshotNow() error {
+// takeSnapshot makes the applied state durable and lets the log before it go.
+func (n *Node) takeSnapshot() error {
 	state, err := n.cfg.Machine.Snapshot()
 	if err != nil {
 		return err
@@ -423,16 +423,16 @@
 	if err != nil {
 		return err
 	}
-	if n.applied > keptEntries {
-		n.core.Compact(n.applied - keptEntries)
+	if n.applied > retainedEntries {
+		n.core.Compact(n.applied - retainedEntries)
 	}
 	return nil
 }
 
-func (n *Node) failAll(err error) {
-	for index, w := range n.waiting {
-		delete(n.waiting, index)
-		w.reply <- result{
+func (n *Node) failPending(err error) {
+	for index, p := range n.proposals {
+		delete(n.proposals, index)
+		p.reply <- result{
 			err: err,
 		}
 	}
--- a/pkg/replica/sim_faults_test.go
+++ b/pkg/replica/sim_faults_test.go
@@ -9,15 +9,15 @@
 func (s *simulation) isolate(id uint64) {
 	for _, other := range s.ids() {
 		if other != id {
-			s.cut[[2]uint64{id, other}] = true
-			s.cut[[2]uint64{other, id}] = true
+			s.blockedLinks[[2]uint64{id, other}] = true
+			s.blockedLinks[[2]uint64{other, id}] = true
 		}
 	}
 }
 
-// usurp cuts the leader off or freezes it until another leads, writes there,
+// forceLeaderChange cuts the leader off or freezes it until another leads, writes there,
 // and then asks both to read and write before they have heard of each other.
-func (s *simulation) usurp(freeze bool, ticks int) {
+func (s *simulation) forceLeaderChange(freeze bool, ticks int) {
 	old := s.leader()
 	if old == nil {
 		return
@@ -60,7 +60,7 @@
 
 // loseDisk takes a host away for good, to be replaced by a new one.
 func (s *simulation) loseDisk(id uint64) {
-	if s.moving != nil || s.hosts[id] == nil || s.retired[id] {
+	if s.replacing != nil || s.hosts[id] == nil || s.removed[id] {
 		return
 	}
 	s.crash(id)
@@ -68,9 +68,9 @@
 	s.beginReplacement(id)
 }
 
-// darken takes a host's disk away while all other hosts lose power, and starts these
+// loseDiskDuringPowerLoss takes a host's disk away while all other hosts lose power, and starts these
 // again.
-func (s *simulation) darken(id uint64) {
+func (s *simulation) loseDiskDuringPowerLoss(id uint64) {
 	s.loseDisk(id)
 	for _, other := range s.ids() {
 		s.crash(other)
@@ -82,60 +82,60 @@
 	}
 }
 
-// retire replaces a host that is well and goes on running.
-func (s *simulation) retire(id uint64) {
-	if s.moving != nil || s.hosts[id] == nil || s.retired[id] {
+// replaceRunning replaces a host that is well and goes on running.
+func (s *simulation) replaceRunning(id uint64) {
+	if s.replacing != nil || s.hosts[id] == nil || s.removed[id] {
 		return
 	}
-	s.retired[id] = true
+	s.removed[id] = true
 	s.beginReplacement(id)
 }
 
 func (s *simulation) beginReplacement(id uint64) {
-	fresh := uint64(100 + s.rnd.Uint64N(1<<32))
-	s.addHost(fresh)
-	s.start(fresh)
-	s.moving = &replacement{
-		gone:  id,
-		fresh: fresh,
+	added := uint64(100 + s.rnd.Uint64N(1<<32))
+	s.addHost(added)
+	s.start(added)
+	s.replacing = &replacement{
+		removedID: id,
+		addedID:   added,
 	}
 }
 
-// replace goes on with the replacement that is under way.
-func (s *simulation) replace() {
-	if s.moving == nil {
+// continueReplacement goes on with the replacement that is under way.
+func (s *simulation) continueReplacement() {
+	if s.replacing == nil {
 		return
 	}
 	if h := s.leader(); h != nil {
-		s.replaceAt(h)
+		s.continueReplacementAt(h)
 	}
 }
 
-func (s *simulation) replaceAt(h *simHost) {
+func (s *simulation) continueReplacementAt(h *simHost) {
 	next := &rpc.Members{}
-	gone, fresh := false, false
+	hasRemoved, hasAdded := false, false
 	for _, m := range h.node.core.Members().GetList() {
-		gone = gone || m.GetId() == s.moving.gone
-		fresh = fresh || m.GetId() == s.moving.fresh
-		if m.GetId() != s.moving.gone {
+		hasRemoved = hasRemoved || m.GetId() == s.replacing.removedID
+		hasAdded = hasAdded || m.GetId() == s.replacing.addedID
+		if m.GetId() != s.replacing.removedID {
 			next.List = append(next.List, m)
 		}
 	}
 	switch {
-	case gone:
-	case !fresh:
+	case hasRemoved:
+	case !hasAdded:
 		next.List = append(next.List, &rpc.Member{
-			Id: s.moving.fresh,
+			Id: s.replacing.addedID,
 		})
-	case !has(h.node.core.MembersAt(h.node.core.Commit()), s.moving.fresh):
+	case !containsMember(h.node.core.MembersAt(h.node.core.Commit()), s.replacing.addedID):
 		return // not committed: it may still be lost with this leader
-	case s.hosts[s.moving.fresh].up() && s.hosts[s.moving.fresh].node.core.Commit() >= h.node.core.Commit():
-		s.moving = nil
+	case s.hosts[s.replacing.addedID].up() && s.hosts[s.replacing.addedID].node.core.Commit() >= h.node.core.Commit():
+		s.replacing = nil
 		return
 	default:
 		return
 	}
-	h.node.take(request{
+	h.node.handleRequest(request{
 		members: next,
 		reply:   make(chan result, 1),
 	})
--- a/pkg/replica/sim_oracle_test.go
+++ b/pkg/replica/sim_oracle_test.go
@@ -10,14 +10,14 @@
 // checkRead makes sure that a read that was let through sees every write that
 // was acknowledged before it began.
 func (s *simulation) checkRead(r *read, err error) {
-	if err != nil || r.life != r.host.lives {
+	if err != nil || r.incarnation != r.host.incarnation {
 		return
 	}
 	seen := map[uint64]bool{}
-	for _, v := range r.host.machine.values {
+	for _, v := range r.host.stateMachine.values {
 		seen[v] = true
 	}
-	for _, v := range s.acked[:r.must] {
+	for _, v := range s.ackedValues[:r.ackedBefore] {
 		if !seen[v] {
 			s.fail("host %d let a read through that doesn't see write %d", r.host.id, v)
 			return
@@ -25,24 +25,24 @@
 	}
 }
 
-// check holds what is seen against the oracle.
-func (s *simulation) check() {
-	holders := 0
+// checkInvariants holds what is seen against the oracle.
+func (s *simulation) checkInvariants() {
+	leaseHolders := 0
 	for _, id := range s.ids() {
 		h := s.hosts[id]
 		if h.node == nil {
 			continue
 		}
 		if h.node.HoldsLease() {
-			holders++
+			leaseHolders++
 		}
 		s.checkLeader(h)
 		s.checkHistory(h)
 	}
-	if holders > 1 {
-		s.fail("%d hosts hold the order lease", holders)
+	if leaseHolders > 1 {
+		s.fail("%d hosts hold the order lease", leaseHolders)
 	}
-	s.collect()
+	s.collectReplies()
 }
 
 func (s *simulation) checkLeader(h *simHost) {
@@ -50,27 +50,27 @@
 		return
 	}
 	term := h.node.core.Term()
-	if was, ok := s.leaders[term]; ok && was != h.id {
-		s.fail("hosts %d and %d both lead term %d", was, h.id, term)
+	if other, ok := s.leaderByTerm[term]; ok && other != h.id {
+		s.fail("hosts %d and %d both lead term %d", other, h.id, term)
 	}
-	s.leaders[term] = h.id
+	s.leaderByTerm[term] = h.id
 }
 
 func (s *simulation) checkHistory(h *simHost) {
-	mine := h.machine.values
-	for i := range min(len(mine), len(s.longest)) {
-		if mine[i] != s.longest[i] {
-			s.fail("host %d applied %d at place %d, and another host %d", h.id, mine[i], i, s.longest[i])
+	values := h.stateMachine.values
+	for i := range min(len(values), len(s.longestHistory)) {
+		if values[i] != s.longestHistory[i] {
+			s.fail("host %d applied %d at place %d, and another host %d", h.id, values[i], i, s.longestHistory[i])
 			return
 		}
 	}
-	if len(mine) > len(s.longest) {
-		s.longest = append([]uint64(nil), mine...)
+	if len(values) > len(s.longestHistory) {
+		s.longestHistory = append([]uint64(nil), values...)
 	}
 }
 
-// collect notes which writes were acknowledged.
-func (s *simulation) collect() {
+// collectReplies notes which writes were acknowledged.
+func (s *simulation) collectReplies() {
 	for _, r := range s.reads {
 		select {
 		case res := <-r.reply:
@@ -83,7 +83,7 @@
 		case r := <-w.reply:
 			w.acked = r.err == nil
 			if w.acked {
-				s.acked = append(s.acked, w.value)
+				s.ackedValues = append(s.ackedValues, w.value)
 			}
 			if w.acked && binary.LittleEndian.Uint64(r.data) != w.value {
 				s.fail("write %d got the answer of another", w.value)
@@ -93,10 +93,10 @@
 	}
 }
 
-// settle ends every fault, and checks that the system comes back, with every
+// healAndCheck ends every fault, and checks that the system comes back, with every
 // acknowledged write in its history once.
-func (s *simulation) settle() error {
-	s.cut = map[[2]uint64]bool{}
+func (s *simulation) healAndCheck() error {
+	s.blockedLinks = map[[2]uint64]bool{}
 	for _, id := range s.ids() {
 		h := s.hosts[id]
 		h.frozen = false
@@ -108,10 +108,10 @@
 	for range 400 {
 		s.tick()
 		s.deliverSome(false)
-		s.replace()
+		s.continueReplacement()
 	}
-	if s.moving != nil {
-		s.fail("the replacement of host %d never ended", s.moving.gone)
+	if s.replacing != nil {
+		s.fail("the replacement of host %d never ended", s.replacing.removedID)
 	}
 	for _, id := range s.ids() {
 		s.propose(id)
@@ -123,12 +123,12 @@
 	if s.err != nil {
 		return s.err
 	}
-	return s.checkSettled()
+	return s.checkFinalState()
 }
 
-func (s *simulation) checkSettled() error {
+func (s *simulation) checkFinalState() error {
 	seen := map[uint64]int{}
-	for _, v := range s.longest {
+	for _, v := range s.longestHistory {
 		seen[v]++
 	}
 	acked := 0
@@ -144,11 +144,11 @@
 		return errors.New("no write is accepted after every fault has ended")
 	}
 	for _, id := range s.ids() {
-		if s.retired[id] {
+		if s.removed[id] {
 			continue
 		}
-		if got := len(s.hosts[id].machine.values); got != len(s.longest) {
-			return errors.Errorf("host %d applied %d of %d values", id, got, len(s.longest))
+		if got := len(s.hosts[id].stateMachine.values); got != len(s.longestHistory) {
+			return errors.Errorf("host %d applied %d of %d values", id, got, len(s.longestHistory))
 		}
 	}
 	return nil
--- a/pkg/replica/sim_test.go
+++ b/pkg/replica/sim_test.go
@@ -52,15 +52,15 @@
 
 // simHost is one replica with its machine's disk and clock.
 type simHost struct {
-	sim     *simulation
-	id      uint64
-	disk    *fakedisk.Disk
-	clock   *timer.Manual
-	rate    float64 // of its clock against true time
-	node    *Node
-	machine *history
-	frozen  bool
-	lives   uint64
+	sim          *simulation
+	id           uint64
+	disk         *fakedisk.Disk
+	clock        *timer.Manual
+	clockRate    float64 // of its clock against true time
+	node         *Node
+	stateMachine *history
+	frozen       bool
+	incarnation  uint64
 }
 
 func (h *simHost) Send(messages []*rpc.RaftMessage) {
@@ -84,44 +84,44 @@
 
 // read is one read of the oracle's: it must see what was acknowledged before.
 type read struct {
-	host  *simHost
-	life  uint64
-	must  int // writes acknowledged before it
-	reply chan result
+	host        *simHost
+	incarnation uint64
+	ackedBefore int // writes acknowledged before it
+	reply       chan result
 }
 
 // replacement is a replica that lost its disk and the one that takes its
 // place.
 type replacement struct {
-	gone  uint64
-	fresh uint64
+	removedID uint64
+	addedID   uint64
 }
 
 type simulation struct {
-	rnd     *rand.Rand
-	hosts   map[uint64]*simHost
-	members *rpc.Members
-	network []*rpc.RaftMessage
-	cut     map[[2]uint64]bool
-	writes  []*write
-	reads   []*read
-	acked   []uint64
-	moving  *replacement
-	retired map[uint64]bool   // removed, and still running
-	longest []uint64          // the one history
-	leaders map[uint64]uint64 // by term
-	next    uint64
-	err     error
+	rnd            *rand.Rand
+	hosts          map[uint64]*simHost
+	members        *rpc.Members
+	network        []*rpc.RaftMessage
+	blockedLinks   map[[2]uint64]bool
+	writes         []*write
+	reads          []*read
+	ackedValues    []uint64
+	replacing      *replacement
+	removed        map[uint64]bool   // removed, and still running
+	longestHistory []uint64          // the one history
+	leaderByTerm   map[uint64]uint64 // by term
+	nextValue      uint64
+	err            error
 }
 
 func newSimulation(seed uint64, n int) *simulation {
 	s := &simulation{
-		rnd:     rand.New(rand.NewPCG(seed, 1)),
-		hosts:   map[uint64]*simHost{},
-		members: &rpc.Members{},
-		cut:     map[[2]uint64]bool{},
-		leaders: map[uint64]uint64{},
-		retired: map[uint64]bool{},
+		rnd:          rand.New(rand.NewPCG(seed, 1)),
+		hosts:        map[uint64]*simHost{},
+		members:      &rpc.Members{},
+		blockedLinks: map[[2]uint64]bool{},
+		leaderByTerm: map[uint64]uint64{},
+		removed:      map[uint64]bool{},
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
 		s.members.List = append(s.members.List, &rpc.Member{
@@ -137,11 +137,11 @@
 
 func (s *simulation) addHost(id uint64) {
 	s.hosts[id] = &simHost{
-		sim:   s,
-		id:    id,
-		disk:  fakedisk.New(s.rnd),
-		clock: timer.NewManual(time.Unix(1_000_000, 0)),
-		rate:  0.96 + 0.08*s.rnd.Float64(),
+		sim:       s,
+		id:        id,
+		disk:      fakedisk.New(s.rnd),
+		clock:     timer.NewManual(time.Unix(1_000_000, 0)),
+		clockRate: 0.96 + 0.08*s.rnd.Float64(),
 	}
 }
 
@@ -155,13 +155,13 @@
 		s.fail("host %d can't open its store: %v", id, err)
 		return
 	}
-	h.lives++
-	h.machine = &history{}
+	h.incarnation++
+	h.stateMachine = &history{}
 	cfg := Config{
 		ID:        id,
 		Tick:      simTick,
 		Store:     st,
-		Machine:   h.machine,
+		Machine:   h.stateMachine,
 		Transport: h,
 		Timer:     h.clock,
 		Seed:      s.rnd.Uint64(),
@@ -170,7 +170,7 @@
 		AppendBytes: 1,
 		ChunkBytes:  12,
 	}
-	if s.founder(id) {
+	if s.isInitialMember(id) {
 		cfg.Bootstrap = s.members
 	}
 	h.node, err = New(cfg)
@@ -182,7 +182,7 @@
 	}
 }
 
-func (s *simulation) founder(id uint64) bool {
+func (s *simulation) isInitialMember(id uint64) bool {
 	for _, m := range s.members.GetList() {
 		if m.GetId() == id {
 			return true
@@ -212,17 +212,17 @@
 		if !h.disk.Crashed() {
 			s.fail("host %d: %v", h.id, err)
 		}
-		h.node.failAll(ErrLost)
+		h.node.failPending(ErrLost)
 		h.node = nil
 	}
-	s.check()
+	s.checkInvariants()
 }
 
 // tick moves true time on by one tick.
 func (s *simulation) tick() {
 	for _, id := range s.ids() {
 		h := s.hosts[id]
-		h.clock.Advance(time.Duration(float64(simTick) * h.rate))
+		h.clock.Advance(time.Duration(float64(simTick) * h.clockRate))
 		if h.up() {
 			h.node.core.Tick()
 			s.advance(h)
@@ -236,7 +236,7 @@
 	m := s.network[i]
 	s.network = append(s.network[:i], s.network[i+1:]...)
 	h := s.hosts[m.GetTo()]
-	if h == nil || s.cut[[2]uint64{m.GetFrom(), m.GetTo()}] {
+	if h == nil || s.blockedLinks[[2]uint64{m.GetFrom(), m.GetTo()}] {
 		return
 	}
 	if h.frozen {
@@ -275,13 +275,13 @@
 	if h == nil || !h.up() {
 		return
 	}
-	s.next++
+	s.nextValue++
 	w := &write{
-		value: s.next,
+		value: s.nextValue,
 		reply: make(chan result, 1),
 	}
 	s.writes = append(s.writes, w)
-	h.node.take(request{
+	h.node.handleRequest(request{
 		data:  binary.LittleEndian.AppendUint64(nil, w.value),
 		reply: w.reply,
 	})
@@ -295,22 +295,22 @@
 		return
 	}
 	r := &read{
-		host:  h,
-		life:  h.lives,
-		must:  len(s.acked),
-		reply: make(chan result, 1),
+		host:        h,
+		incarnation: h.incarnation,
+		ackedBefore: len(s.ackedValues),
+		reply:       make(chan result, 1),
 	}
 	s.reads = append(s.reads, r)
-	h.node.take(request{
+	h.node.handleRequest(request{
 		read:  true,
 		reply: r.reply,
 	})
 	s.advance(h)
 }
 
-func has(m *rpc.Members, id uint64) bool {
-	for _, one := range m.GetList() {
-		if one.GetId() == id {
+func containsMember(m *rpc.Members, id uint64) bool {
+	for _, member := range m.GetList() {
+		if member.GetId() == id {
 			return true
 		}
 	}
@@ -324,7 +324,7 @@
 	}
 	h.disk.Crash()
 	if h.node != nil {
-		h.node.failAll(ErrLost)
+		h.node.failPending(ErrLost)
 	}
 	h.node = nil
 	h.frozen = false
@@ -336,7 +336,7 @@
 	if h == nil || !h.up() || h.node.applied <= h.node.cfg.Store.Snapshot().GetMeta().GetIndex() {
 		return
 	}
-	if err := h.node.snapshotNow(); err != nil {
+	if err := h.node.takeSnapshot(); err != nil {
 		if !h.disk.Crashed() {
 			s.fail("host %d: snapshot: %v", id, err)
 		}
--- a/pkg/replica/transport.go
+++ b/pkg/replica/transport.go
@@ -60,12 +60,12 @@
 	}
 	for id, address := range wanted {
 		if t.peers[id] == nil {
-			t.peers[id] = t.start(address)
+			t.peers[id] = t.startPeer(address)
 		}
 	}
 }
 
-func (t *TwirpTransport) start(address string) *peer {
+func (t *TwirpTransport) startPeer(address string) *peer {
 	ctx, cancel := context.WithCancel(t.group.Context())
 	p := &peer{
 		address: address,
@@ -74,7 +74,7 @@
 	}
 	client := rpc.NewReplicaProtobufClient("http://"+address, t.client)
 	t.group.Go(func(context.Context) {
-		p.work(ctx, client, t.client)
+		p.run(ctx, client, t.client)
 	})
 	return p
 }
@@ -95,9 +95,9 @@
 	}
 }
 
-func (p *peer) work(ctx context.Context, client rpc.Replica, idle *http.Client) {
+func (p *peer) run(ctx context.Context, client rpc.Replica, idle *http.Client) {
 	for {
-		batch := p.next(ctx)
+		batch := p.nextBatch(ctx)
 		if batch == nil {
 			return
 		}
@@ -112,8 +112,8 @@
 	}
 }
 
-// next waits for a message and takes those behind it too; nil means the end.
-func (p *peer) next(ctx context.Context) *rpc.RaftBatch {
+// nextBatch waits for a message and takes those behind it too; nil means the end.
+func (p *peer) nextBatch(ctx context.Context) *rpc.RaftBatch {
 	batch := &rpc.RaftBatch{}
 	select {
 	case <-ctx.Done():
--- a/pkg/state/bundles.go
+++ b/pkg/state/bundles.go
@@ -9,12 +9,12 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// keptContents is how many versions of a chain keep their text; older ones
+// maxVersionsWithContent is how many versions of a chain keep their text; older ones
 // keep digests and signatures only, and the oldest are forgotten, so that the
 // state stays bounded however many changes come.
 const (
-	keptContents = 100
-	keptVersions = 1000
+	maxVersionsWithContent = 100
+	maxVersions            = 1000
 )
 
 // submit accepts or refuses a version. Signatures were checked before it was
@@ -22,7 +22,7 @@
 func (m *Machine) submit(v *rpc.BundleVersion) *rpc.SubmitReply {
 	chain := m.chains[v.GetName()]
 	if old := versionAt(chain, v.GetVersion()); old != nil {
-		return m.again(v, old, chain)
+		return m.answerResubmission(v, old, chain)
 	}
 	if refused := m.checkParent(v, chain); refused != nil {
 		return refused
@@ -34,23 +34,23 @@
 	if b.Name != v.GetName() || b.Version != v.GetVersion() || b.Parent != v.GetParent() {
 		return m.refuse(failure.BundleInvalid, nil, "the text names another bundle, version or parent than the request")
 	}
-	set, err := m.build(m.revision+1, b)
+	set, err := m.buildSet(m.revision+1, b)
 	if err != nil {
 		return m.refuse(failure.BundleInvalid, nil, "%v", err)
 	}
 	v.Revision = m.revision + 1
 	v.AcceptedUnixMs = m.clock
-	m.chains[v.GetName()] = trim(append(chain, v))
-	m.install(v.GetRevision(), set)
+	m.chains[v.GetName()] = trimVersions(append(chain, v))
+	m.activate(v.GetRevision(), set)
 	return &rpc.SubmitReply{
 		Standing: v,
 		Revision: v.GetRevision(),
 	}
 }
 
-// again answers a version that stands already: the same answer as the first
+// answerResubmission answers a version that stands already: the same answer as the first
 // time for the same content, and a refusal that names what stands for other.
-func (m *Machine) again(v, old *rpc.BundleVersion, chain []*rpc.BundleVersion) *rpc.SubmitReply {
+func (m *Machine) answerResubmission(v, old *rpc.BundleVersion, chain []*rpc.BundleVersion) *rpc.SubmitReply {
 	if old.GetDigest() == v.GetDigest() {
 		return &rpc.SubmitReply{
 			Standing: old,
@@ -88,8 +88,8 @@
 	}
 }
 
-// build makes the set with b in the place of its bundle's present version.
-func (m *Machine) build(revision uint64, b *bundle.Bundle) (*bundle.Set, error) {
+// buildSet makes the set with b in the place of its bundle's present version.
+func (m *Machine) buildSet(revision uint64, b *bundle.Bundle) (*bundle.Set, error) {
 	var all []*bundle.Bundle
 	if b != nil {
 		all = append(all, b)
@@ -99,7 +99,7 @@
 			continue
 		}
 		chain := m.chains[name]
-		parsed, err := m.parsed(chain[len(chain)-1])
+		parsed, err := m.parsedBundle(chain[len(chain)-1])
 		if err != nil {
 			return nil, errors.Wrap(err, "bundle "+name)
 		}
@@ -108,8 +108,8 @@
 	return bundle.NewSet(revision, all)
 }
 
-// parsed returns the bundle that is in force, parsed before, or parses it.
-func (m *Machine) parsed(v *rpc.BundleVersion) (*bundle.Bundle, error) {
+// parsedBundle returns the bundle that is in force, parsed before, or parses it.
+func (m *Machine) parsedBundle(v *rpc.BundleVersion) (*bundle.Bundle, error) {
 	for _, b := range m.set.Bundles() {
 		if b.Name == v.GetName() && b.Version == v.GetVersion() {
 			return b, nil
@@ -118,17 +118,17 @@
 	return bundle.Parse(v.GetName(), v.GetContent())
 }
 
-func (m *Machine) install(revision uint64, set *bundle.Set) {
+func (m *Machine) activate(revision uint64, set *bundle.Set) {
 	m.revision = revision
 	m.set = set
-	wire := &rpc.BundleSet{
+	msg := &rpc.BundleSet{
 		Revision: revision,
 	}
 	for _, name := range m.chainNames() {
 		chain := m.chains[name]
-		wire.Bundles = append(wire.Bundles, chain[len(chain)-1])
+		msg.Bundles = append(msg.Bundles, chain[len(chain)-1])
 	}
-	m.wire = wire
+	m.bundleSetProto = msg
 	m.notify()
 }
 
@@ -144,14 +144,14 @@
 	return chain[i]
 }
 
-func trim(chain []*rpc.BundleVersion) []*rpc.BundleVersion {
-	if len(chain) > keptVersions {
+func trimVersions(chain []*rpc.BundleVersion) []*rpc.BundleVersion {
+	if len(chain) > maxVersions {
 		chain = append([]*rpc.BundleVersion(nil), chain[1:]...)
 	}
-	if len(chain) <= keptContents {
+	if len(chain) <= maxVersionsWithContent {
 		return chain
 	}
-	i := len(chain) - keptContents - 1
+	i := len(chain) - maxVersionsWithContent - 1
 	chain[i] = withoutContent(chain[i])
 	return chain
 }
--- a/pkg/state/claims.go
+++ b/pkg/state/claims.go
@@ -14,8 +14,8 @@
 	key     string
 }
 
-// queued is a claim's place in the order of expiry.
-type queued struct {
+// expiryEntry is a claim's place in the order of expiry.
+type expiryEntry struct {
 	key    claimKey
 	unixMS int64
 }
@@ -24,10 +24,10 @@
 //
 // Invariant: a key is granted at most once within the window.
 type claims struct {
-	windowMS int64
-	byKey    map[claimKey]*rpc.ClaimRecord
-	queue    []queued // oldest first, for expiry
-	accounts map[string]int
+	windowMS    int64
+	byKey       map[claimKey]*rpc.ClaimRecord
+	expiryQueue []expiryEntry // oldest first, for expiry
+	accounts    map[string]int
 }
 
 func newClaims(windowMS int64) *claims {
@@ -40,7 +40,7 @@
 
 func (c *claims) reset() {
 	c.byKey = map[claimKey]*rpc.ClaimRecord{}
-	c.queue = nil
+	c.expiryQueue = nil
 	c.accounts = map[string]int{}
 }
 
@@ -58,7 +58,7 @@
 func (c *claims) claim(r *rpc.ClaimRequest, now int64) *rpc.ClaimReply {
 	c.expire(now)
 	if old := c.get(r.GetAccount(), r.GetKey()); old != nil {
-		return standing(r, old, now)
+		return existingClaimReply(r, old, now)
 	}
 	if c.accounts[r.GetAccount()] >= maxClaimsPerAccount {
 		return &rpc.ClaimReply{
@@ -74,20 +74,20 @@
 	}
 }
 
-func standing(r *rpc.ClaimRequest, old *rpc.ClaimRecord, now int64) *rpc.ClaimReply {
-	was := old.GetRequest()
+func existingClaimReply(r *rpc.ClaimRequest, old *rpc.ClaimRecord, now int64) *rpc.ClaimReply {
+	first := old.GetRequest()
 	reply := &rpc.ClaimReply{
 		Outcome: old.GetOutcome(),
 	}
 	switch {
-	case was.GetBodyDigest() != r.GetBodyDigest():
+	case first.GetBodyDigest() != r.GetBodyDigest():
 		reply.State = rpc.ClaimState_CLAIM_MISMATCH
 		reply.Outcome = nil
 	case old.GetOutcome() != nil:
 		reply.State = rpc.ClaimState_CLAIM_SETTLED
-	case was.GetEntry() == r.GetEntry() && was.GetNonce() == r.GetNonce():
+	case first.GetEntry() == r.GetEntry() && first.GetNonce() == r.GetNonce():
 		reply.State = rpc.ClaimState_CLAIM_GRANTED // the first answer was lost
-	case old.GetUnixMs()+int64(was.GetRunsMs()) < now:
+	case old.GetUnixMs()+int64(first.GetRunsMs()) < now:
 		reply.State = rpc.ClaimState_CLAIM_LOST
 	default:
 		reply.State = rpc.ClaimState_CLAIM_RUNNING
@@ -123,13 +123,13 @@
 
 // release forgets a claim. Its place in the queue stays until it is expired.
 func (c *claims) release(r *rpc.ClaimRequest) {
-	c.forget(claimKey{
+	c.remove(claimKey{
 		account: r.GetAccount(),
 		key:     r.GetKey(),
 	})
 }
 
-func (c *claims) forget(k claimKey) {
+func (c *claims) remove(k claimKey) {
 	if c.byKey[k] == nil {
 		return
 	}
@@ -145,7 +145,7 @@
 		key:     rec.GetRequest().GetKey(),
 	}
 	c.byKey[k] = rec
-	c.queue = append(c.queue, queued{
+	c.expiryQueue = append(c.expiryQueue, expiryEntry{
 		key:    k,
 		unixMS: rec.GetUnixMs(),
 	})
@@ -156,20 +156,20 @@
 // whose claim was released, or claimed anew since, is only dropped.
 func (c *claims) expire(now int64) {
 	n := 0
-	for n < len(c.queue) && c.queue[n].unixMS+c.windowMS <= now {
-		if q := c.queue[n]; c.byKey[q.key].GetUnixMs() == q.unixMS {
-			c.forget(q.key)
+	for n < len(c.expiryQueue) && c.expiryQueue[n].unixMS+c.windowMS <= now {
+		if q := c.expiryQueue[n]; c.byKey[q.key].GetUnixMs() == q.unixMS {
+			c.remove(q.key)
 		}
 		n++
 	}
-	c.queue = c.queue[n:]
+	c.expiryQueue = c.expiryQueue[n:]
 }
 
 // records returns every claim, oldest first.
 func (c *claims) records() []*rpc.ClaimRecord {
 	list := make([]*rpc.ClaimRecord, 0, len(c.byKey))
 	seen := map[claimKey]bool{}
-	for _, q := range c.queue {
+	for _, q := range c.expiryQueue {
 		rec := c.byKey[q.key]
 		if rec.GetUnixMs() != q.unixMS || rec == nil || seen[q.key] {
 			continue
--- a/pkg/state/quarantine.go
+++ b/pkg/state/quarantine.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// firstHold and nextHold are how long a request is kept from endpoints when it is
+	// firstQuarantine and nextHold are how long a request is kept from endpoints when it is
 	// found to end them, and when it does so again after that. One that was found
 	// wrongly gets through after the first; one that wasn't ends an endpoint more then,
 	// and one a day from then on.
-	firstHold = 10 * time.Minute
-	nextHold  = 24 * time.Hour
+	firstQuarantine  = 10 * time.Minute
+	repeatQuarantine = 24 * time.Hour
 	// maxQuarantined bounds what is kept, at 20 bytes each; the oldest go first.
 	maxQuarantined = 1024
 )
@@ -41,11 +41,11 @@
 	return q
 }
 
-func until(r *rpc.QuarantineRecord) int64 {
+func quarantinedUntil(r *rpc.QuarantineRecord) int64 {
 	if r.GetTimes() > 1 {
-		return r.GetUnixMs() + nextHold.Milliseconds()
+		return r.GetUnixMs() + repeatQuarantine.Milliseconds()
 	}
-	return r.GetUnixMs() + firstHold.Milliseconds()
+	return r.GetUnixMs() + firstQuarantine.Milliseconds()
 }
 
 // apply holds or releases a request, and reports whether that changed anything.
@@ -55,7 +55,7 @@
 		delete(q.records, c.GetFingerprint())
 		return old != nil
 	}
-	if old != nil && clock < until(old) {
+	if old != nil && clock < quarantinedUntil(old) {
 		return false
 	}
 	if old == nil && len(q.records) >= maxQuarantined {
@@ -109,7 +109,7 @@
 	for _, r := range m.quarantine.sorted() {
 		list = append(list, Held{
 			Fingerprint: r.GetFingerprint(),
-			UntilMS:     until(r),
+			UntilMS:     quarantinedUntil(r),
 		})
 	}
 	return list
--- a/pkg/state/quarantine_test.go
+++ b/pkg/state/quarantine_test.go
@@ -25,7 +25,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func untilOf(m *Machine, f uint64) time.Duration {
+func quarantinedUntilOf(m *Machine, f uint64) time.Duration {
 	for _, h := range m.Quarantine() {
 		if h.Fingerprint == f {
 			return time.Duration(h.UntilMS) * time.Millisecond
@@ -41,12 +41,12 @@
 		changed := m.Changed()
 		apply(m, start, &rpc.Quarantine{Fingerprint: 7})
 		Expect(changed).To(BeClosed())
-		Expect(untilOf(m, 7)).To(Equal(start + firstHold))
+		Expect(quarantinedUntilOf(m, 7)).To(Equal(start + firstQuarantine))
 		apply(m, start+time.Minute, &rpc.Quarantine{Fingerprint: 7})
-		Expect(untilOf(m, 7)).To(Equal(start + firstHold))
-		again := start + firstHold + time.Second
+		Expect(quarantinedUntilOf(m, 7)).To(Equal(start + firstQuarantine))
+		again := start + firstQuarantine + time.Second
 		apply(m, again, &rpc.Quarantine{Fingerprint: 7})
-		Expect(untilOf(m, 7)).To(Equal(again + nextHold))
+		Expect(quarantinedUntilOf(m, 7)).To(Equal(again + repeatQuarantine))
 		apply(m, again, &rpc.Quarantine{Fingerprint: 7, Release: true})
 		Expect(m.Quarantine()).To(BeEmpty())
 	})
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -22,13 +22,13 @@
 // falls; a chain's versions are consecutive and each names the digest of the
 // one before; the clock never falls.
 type Machine struct {
-	mu       sync.Mutex
-	revision uint64
-	chains   map[string][]*rpc.BundleVersion
-	set      *bundle.Set
-	wire     *rpc.BundleSet
-	claims   *claims
-	document *rpc.Document
+	mu             sync.Mutex
+	revision       uint64
+	chains         map[string][]*rpc.BundleVersion
+	set            *bundle.Set
+	bundleSetProto *rpc.BundleSet
+	claims         *claims
+	document       *rpc.Document
 	// quarantine is the requests that are kept from endpoints.
 	quarantine        *quarantine
 	quarantineVersion uint64 // rises with every change
@@ -50,7 +50,7 @@
 	m.revision = 0
 	m.chains = map[string][]*rpc.BundleVersion{}
 	m.set, _ = bundle.NewSet(0, nil)
-	m.wire = &rpc.BundleSet{}
+	m.bundleSetProto = &rpc.BundleSet{}
 	m.clock = 0
 	m.document = nil
 	m.quarantine = newQuarantine(nil)
@@ -113,7 +113,7 @@
 func (m *Machine) Wire() *rpc.BundleSet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.wire
+	return m.bundleSetProto
 }
 
 // Set returns the set in force.
@@ -176,11 +176,11 @@
 	for _, c := range s.GetChains() {
 		m.chains[c.GetName()] = c.GetVersions()
 	}
-	set, err := m.build(s.GetRevision(), nil)
+	set, err := m.buildSet(s.GetRevision(), nil)
 	if err != nil {
 		return err
 	}
-	m.install(s.GetRevision(), set)
+	m.activate(s.GetRevision(), set)
 	m.clock = s.GetClockUnixMs()
 	m.document = s.GetDocument()
 	m.quarantine = newQuarantine(s.GetQuarantine())
--- a/pkg/store/load.go
+++ b/pkg/store/load.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// newest returns the name with the prefix that has the highest number.
-func newest(names []string, prefix string) (string, uint64) {
+// newestFile returns the name with the prefix that has the highest number.
+func newestFile(names []string, prefix string) (string, uint64) {
 	for i := len(names) - 1; i >= 0; i-- {
 		digits, ok := strings.CutPrefix(names[i], prefix)
 		if !ok {
@@ -24,7 +24,7 @@
 }
 
 func (s *Store) loadSnapshot(names []string) error {
-	name, _ := newest(names, snapPrefix)
+	name, _ := newestFile(names, snapPrefix)
 	if name == "" {
 		return nil
 	}
@@ -37,15 +37,15 @@
 	}
 	payload, _, err := nextRecord(name, b, prefixSize)
 	if err != nil {
-		return wholeError(name, err)
+		return truncationAsCorruption(name, err)
 	}
-	s.snap = &rpc.SnapshotFile{}
-	return decode(name, prefixSize, payload, s.snap)
+	s.snapshot = &rpc.SnapshotFile{}
+	return decode(name, prefixSize, payload, s.snapshot)
 }
 
-// wholeError turns a torn end into damage: a renamed file was complete.
-func wholeError(name string, err error) error {
-	if !errors.Is(err, errTorn) {
+// truncationAsCorruption turns a torn end into damage: a renamed file was complete.
+func truncationAsCorruption(name string, err error) error {
+	if !errors.Is(err, errTruncated) {
 		return err
 	}
 	return &CorruptError{
@@ -56,9 +56,9 @@
 }
 
 func (s *Store) loadLog(names []string) error {
-	name, sequence := newest(names, logPrefix)
+	name, sequence := newestFile(names, logPrefix)
 	if name == "" {
-		if s.snap != nil {
+		if s.snapshot != nil {
 			return &CorruptError{
 				File: "data folder",
 				What: "there is a snapshot but no log",
@@ -90,31 +90,31 @@
 	offset := int64(prefixSize)
 	for first := true; offset < int64(len(b)); first = false {
 		payload, next, err := nextRecord(name, b, offset)
-		if errors.Is(err, errTorn) && !first {
+		if errors.Is(err, errTruncated) && !first {
 			return offset, nil
 		}
 		if err != nil {
-			return 0, wholeError(name, err)
+			return 0, truncationAsCorruption(name, err)
 		}
 		r := &rpc.WalRecord{}
 		if err := decode(name, offset, payload, r); err != nil {
 			return 0, err
 		}
-		s.remember(r)
+		s.applyRecord(r)
 		offset = next
 	}
 	if offset == prefixSize {
-		return 0, wholeError(name, errTorn)
+		return 0, truncationAsCorruption(name, errTruncated)
 	}
 	return offset, nil
 }
 
 // checkContinues makes sure that the log and the snapshot leave no gap.
 func (s *Store) checkContinues(name string) error {
-	meta := s.snap.GetMeta()
+	meta := s.snapshot.GetMeta()
 	if meta != nil && len(s.entries) > 0 && s.entries[0].GetIndex() <= meta.GetIndex() {
 		s.entries = entriesAfter(s.entries, meta)
-		s.behind = true
+		s.logBehindSnapshot = true
 	}
 	next := meta.GetIndex() + 1
 	for _, e := range s.entries {
@@ -126,7 +126,7 @@
 		}
 		next++
 	}
-	if s.hard.GetCommit() >= next {
+	if s.hardState.GetCommit() >= next {
 		return &CorruptError{
 			File: name,
 			What: "committed entries are missing",
@@ -138,7 +138,7 @@
 // reopen cuts a torn end off and opens the file to write on.
 func (s *Store) reopen(name string, end, size int64) error {
 	if end < size {
-		s.torn = size - end
+		s.truncatedBytes = size - end
 		if err := s.disk.Truncate(name, end); err != nil {
 			return errors.Wrap(err, "cut torn end off "+name)
 		}
@@ -151,18 +151,18 @@
 		return errors.Wrap(err, "sync "+name)
 	}
 	s.log = f
-	s.bytes = end
+	s.logBytes = end
 	return nil
 }
 
-// removeOld drops what a crash left between two steps.
-func (s *Store) removeOld(names []string) error {
-	keepSnap, _ := newest(names, snapPrefix)
-	keepLog, _ := newest(names, logPrefix)
+// removeStaleFiles drops what a crash left between two steps.
+func (s *Store) removeStaleFiles(names []string) error {
+	newestSnapshot, _ := newestFile(names, snapPrefix)
+	newestLog, _ := newestFile(names, logPrefix)
 	for _, name := range names {
 		stale := strings.HasSuffix(name, tmpSuffix) ||
-			(strings.HasPrefix(name, snapPrefix) && name != keepSnap) ||
-			(strings.HasPrefix(name, logPrefix) && name != keepLog)
+			(strings.HasPrefix(name, snapPrefix) && name != newestSnapshot) ||
+			(strings.HasPrefix(name, logPrefix) && name != newestLog)
 		if !stale {
 			continue
 		}
--- a/pkg/store/record.go
+++ b/pkg/store/record.go
@@ -85,15 +85,15 @@
 	return append(b, payload...)
 }
 
-// errTorn marks the end of a file whose last write never completed. Nothing
+// errTruncated marks the end of a file whose last write never completed. Nothing
 // that was synced is lost by cutting it off.
-var errTorn = errors.New("torn end")
+var errTruncated = errors.New("torn end")
 
 // nextRecord returns the payload at offset and where the next record begins.
 func nextRecord(file string, b []byte, offset int64) ([]byte, int64, error) {
 	rest := b[offset:]
 	if len(rest) < headerSize || allZero(rest) {
-		return nil, 0, errTorn
+		return nil, 0, errTruncated
 	}
 	if crc32.Checksum(rest[:8], castagnoli) != binary.LittleEndian.Uint32(rest[8:]) {
 		return nil, 0, &CorruptError{
@@ -104,14 +104,14 @@
 	}
 	n := int64(binary.LittleEndian.Uint32(rest))
 	if n > maxRecord || int64(len(rest)) < headerSize+n {
-		return nil, 0, errTorn
+		return nil, 0, errTruncated
 	}
 	payload := rest[headerSize : headerSize+n]
 	if crc32.Checksum(payload, castagnoli) == binary.LittleEndian.Uint32(rest[4:]) {
 		return payload, offset + headerSize + n, nil
 	}
 	if int64(len(rest)) == headerSize+n && hasZeroPage(payload) {
-		return nil, 0, errTorn // the length was extended before the data came
+		return nil, 0, errTruncated // the length was extended before the data came
 	}
 	return nil, 0, &CorruptError{
 		File:   file,
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -29,24 +29,24 @@
 	log      File
 	logName  string
 	sequence uint64
-	broken   error
-	// behind is true if a crash came between a snapshot and its log file.
-	behind bool
+	writeErr error
+	// logBehindSnapshot is true if a crash came between a snapshot and its log file.
+	logBehindSnapshot bool
 
-	hard    *rpc.HardState
-	entries []*rpc.LogEntry
-	snap    *rpc.SnapshotFile
+	hardState *rpc.HardState
+	entries   []*rpc.LogEntry
+	snapshot  *rpc.SnapshotFile
 
-	bytes int64
-	torn  int64
-	syncs int64
+	logBytes       int64
+	truncatedBytes int64
+	syncs          int64
 }
 
 // Open reads what the folder holds. An empty folder is an empty store.
 func Open(disk Disk) (*Store, error) {
 	s := &Store{
-		disk: disk,
-		hard: &rpc.HardState{},
+		disk:      disk,
+		hardState: &rpc.HardState{},
 	}
 	names, err := disk.Names()
 	if err != nil {
@@ -58,10 +58,10 @@
 	if err := s.loadLog(names); err != nil {
 		return nil, err
 	}
-	if err := s.removeOld(names); err != nil {
+	if err := s.removeStaleFiles(names); err != nil {
 		return nil, err
 	}
-	if s.log == nil || s.behind {
+	if s.log == nil || s.logBehindSnapshot {
 		// Entries that continue the snapshot must not follow, in one file,
 		// entries that end before it: that would look like a gap.
 		err = s.rotate()
@@ -71,12 +71,12 @@
 
 // Empty reports whether nothing was ever stored.
 func (s *Store) Empty() bool {
-	return s.snap == nil && len(s.entries) == 0 && s.hard.GetTerm() == 0
+	return s.snapshot == nil && len(s.entries) == 0 && s.hardState.GetTerm() == 0
 }
 
 // HardState returns the hard state as stored.
 func (s *Store) HardState() *rpc.HardState {
-	return s.hard
+	return s.hardState
 }
 
 // Entries returns the entries after the snapshot.
@@ -86,22 +86,22 @@
 
 // Snapshot returns the newest snapshot, or nil.
 func (s *Store) Snapshot() *rpc.SnapshotFile {
-	return s.snap
+	return s.snapshot
 }
 
 // Latest returns the newest snapshot's parts; the first is nil if there is none.
 func (s *Store) Latest() (*rpc.SnapshotMeta, []byte) {
-	return s.snap.GetMeta(), s.snap.GetState()
+	return s.snapshot.GetMeta(), s.snapshot.GetState()
 }
 
 // TornBytes returns how much was cut off the log's end when it was opened.
 func (s *Store) TornBytes() int64 {
-	return s.torn
+	return s.truncatedBytes
 }
 
 // LogBytes returns the size of the log file in use.
 func (s *Store) LogBytes() int64 {
-	return s.bytes
+	return s.logBytes
 }
 
 // Syncs returns how many times a file was synced.
@@ -112,8 +112,8 @@
 // Save makes the hard state, if not nil, and entries durable with one sync.
 // Entries replace what is stored from the first one's index on.
 func (s *Store) Save(hard *rpc.HardState, entries []*rpc.LogEntry) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeErr != nil {
+		return s.writeErr
 	}
 	record := &rpc.WalRecord{
 		HardState: hard,
@@ -122,28 +122,28 @@
 	if err := s.writeRecord(s.log, record); err != nil {
 		return s.fail(err)
 	}
-	s.remember(record)
+	s.applyRecord(record)
 	return nil
 }
 
 // SaveSnapshot makes a snapshot durable and begins a new log file with the
 // entries that follow it.
 func (s *Store) SaveSnapshot(file *rpc.SnapshotFile) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeErr != nil {
+		return s.writeErr
 	}
 	name := fmt.Sprintf("%s%020d", snapPrefix, file.GetMeta().GetIndex())
-	if err := s.writeWhole(name, file); err != nil {
+	if err := s.writeFile(name, file); err != nil {
 		return s.fail(err)
 	}
-	s.snap = file
+	s.snapshot = file
 	s.entries = entriesAfter(s.entries, file.GetMeta())
 	return s.rotate()
 }
 
 // Close closes the log file.
 func (s *Store) Close() error {
-	s.broken = errors.New("the store is closed")
+	s.writeErr = errors.New("the store is closed")
 	return s.log.Close()
 }
 
@@ -169,9 +169,9 @@
 	old := s.logName
 	s.sequence++
 	name := fmt.Sprintf("%s%020d", logPrefix, s.sequence)
-	s.bytes = prefixSize
-	err := s.writeWhole(name, &rpc.WalRecord{
-		HardState: s.hard,
+	s.logBytes = prefixSize
+	err := s.writeFile(name, &rpc.WalRecord{
+		HardState: s.hardState,
 		Entries:   s.entries,
 	})
 	if err != nil {
@@ -190,17 +190,17 @@
 	if err != nil {
 		return s.fail(err)
 	}
-	return s.removeSnapshotsBut(s.snap)
+	return s.removeOtherSnapshots(s.snapshot)
 }
 
-func (s *Store) removeSnapshotsBut(keep *rpc.SnapshotFile) error {
+func (s *Store) removeOtherSnapshots(keep *rpc.SnapshotFile) error {
 	names, err := s.disk.Names()
 	if err != nil {
 		return s.fail(err)
 	}
-	kept := fmt.Sprintf("%s%020d", snapPrefix, keep.GetMeta().GetIndex())
+	keepName := fmt.Sprintf("%s%020d", snapPrefix, keep.GetMeta().GetIndex())
 	for _, name := range names {
-		if strings.HasPrefix(name, snapPrefix) && name != kept {
+		if strings.HasPrefix(name, snapPrefix) && name != keepName {
 			if err := s.disk.Remove(name); err != nil {
 				return s.fail(err)
 			}
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// writeWhole writes a file of one record under a temporary name and renames it.
-func (s *Store) writeWhole(name string, m proto.Message) error {
+// writeFile writes a file of one record under a temporary name and renames it.
+func (s *Store) writeFile(name string, m proto.Message) error {
 	f, err := s.disk.Create(name + tmpSuffix)
 	if err != nil {
 		return errors.Wrap(err, "create "+name)
@@ -242,7 +242,7 @@
 	if err != nil {
 		return errors.Wrap(err, "write")
 	}
-	s.bytes += int64(n)
+	s.logBytes += int64(n)
 	s.syncs++
 	if err := f.Sync(); err != nil {
 		return errors.Wrap(err, "sync")
@@ -250,10 +250,10 @@
 	return nil
 }
 
-// remember applies a record to what is held in memory.
-func (s *Store) remember(r *rpc.WalRecord) {
+// applyRecord applies a record to what is held in memory.
+func (s *Store) applyRecord(r *rpc.WalRecord) {
 	if r.GetHardState() != nil {
-		s.hard = r.GetHardState()
+		s.hardState = r.GetHardState()
 	}
 	if len(r.GetEntries()) == 0 {
 		return
@@ -266,6 +266,6 @@
 }
 
 func (s *Store) fail(err error) error {
-	s.broken = errors.Wrap(err, "storage failed for good")
-	return s.broken
+	s.writeErr = errors.Wrap(err, "storage failed for good")
+	return s.writeErr
 }
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -125,8 +125,8 @@
 	It("cuts a torn end off and says how much", func() {
 		withStore(5, func(d *fakedisk.Disk, _ *store.Store) {
 			name := logName(d)
-			whole, _ := d.Read(name)
-			d.SetData(name, whole[:len(whole)-3])
+			content, _ := d.Read(name)
+			d.SetData(name, content[:len(content)-3])
 			again, err := store.Open(d)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again.Entries()).To(HaveLen(4))
@@ -137,9 +137,9 @@
 	It("tells damage from a torn end, wherever a bit flips", func() {
 		withStore(5, func(d *fakedisk.Disk, _ *store.Store) {
 			name := logName(d)
-			whole, _ := d.Read(name)
-			for i := range whole {
-				d.SetData(name, append([]byte(nil), whole...))
+			content, _ := d.Read(name)
+			for i := range content {
+				d.SetData(name, append([]byte(nil), content...))
 				d.Flip(name, i)
 				_, err := store.Open(d)
 				Expect(err).To(HaveOccurred(), "bit at byte %d", i)
@@ -150,9 +150,9 @@
 	It("refuses a file of a newer release", func() {
 		withStore(1, func(d *fakedisk.Disk, _ *store.Store) {
 			name := logName(d)
-			whole, _ := d.Read(name)
-			whole[4] = 9
-			d.SetData(name, whole)
+			content, _ := d.Read(name)
+			content[4] = 9
+			d.SetData(name, content)
 			_, err := store.Open(d)
 			var newer *store.FormatError
 			Expect(err).To(BeAssignableToTypeOf(newer))
