--- a/pkg/raft/core.go
+++ b/pkg/raft/core.go
@@ -1,10 +1,10 @@
-// Package raft is the replicated log's algorithm: Raft (Ongaro and
-// Ousterhout, 2014) with pre-vote, check-quorum, read index, pipelined
-// appends, snapshots in chunks and single-step membership change.
+// Package raft implements the Raft consensus algorithm (Ongaro and Ousterhout,
+// 2014) with pre-vote, check-quorum, read index, pipelined appends, chunked
+// snapshots and single-step membership changes.
 //
-// It holds no goroutine, clock, file or socket. Its owner feeds it ticks and
-// messages, then takes a Ready, makes it durable, and only then sends what it
-// asks for. That is what lets the tests run it deterministically.
+// It uses no goroutines, clocks, files or sockets. Its owner passes in ticks and
+// messages, then takes a Ready, makes it durable, and only then sends the
+// messages in it, so that tests can run it deterministically.
 package raft
 
 import (
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Role is the part a replica plays in the present term.
+// Role is the role of a replica in the current term.
 type Role int
 
 // The roles.
@@ -33,29 +33,30 @@
 	return roleNames[r]
 }
 
-// Snapshots gives the newest snapshot that is durable, to send to a replica
-// that needs entries which were compacted away.
+// Snapshots returns the newest durable snapshot, which the leader sends to a
+// follower that needs entries which were compacted away.
 type Snapshots interface {
 	Latest() (*rpc.SnapshotMeta, []byte)
 }
 
-// Config is what a Core needs to know. Every field must be set.
+// Config configures a Core. Every field must be set.
 type Config struct {
-	// ID is this replica's number; an id is never used again after its disk
-	// was lost.
+	// ID identifies this replica. The ID of a replica that lost its disk must
+	// never be used again.
 	ID uint64
-	// ElectionTicks is how many ticks without a leader start an election; the
-	// real timeout is drawn from [ElectionTicks, 2*ElectionTicks).
+	// ElectionTicks is the minimum number of ticks without a leader before an
+	// election starts; the timeout is drawn from [ElectionTicks,
+	// 2*ElectionTicks).
 	ElectionTicks int
-	// HeartbeatTicks is how many ticks pass between two heartbeats.
+	// HeartbeatTicks is the number of ticks between heartbeats.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entries in one append.
+	// MaxAppendBytes limits the size of the entries in one append message.
 	MaxAppendBytes int
-	// ChunkBytes bounds one chunk of a snapshot.
+	// ChunkBytes limits the size of a snapshot chunk.
 	ChunkBytes int
 	// Rand draws election timeouts.
 	Rand *rand.Rand
-	// Snapshots gives snapshots to send.
+	// Snapshots returns the snapshot to send.
 	Snapshots Snapshots
 }
 
@@ -66,12 +67,12 @@
 	Entries   []*rpc.LogEntry
 }
 
-// Core is one replica's state of the algorithm.
+// Core is the state of one replica.
 //
-// Invariants: term and commit never fall; a vote is given once a term; an
-// entry below commit is never truncated; matched entries count towards a
-// commit only if they are of the leader's own term and, for the leader itself,
-// durable.
+// Invariants: term and commit never decrease; a replica votes at most once per
+// term; an entry at or below commit is never truncated; a leader advances commit
+// only to an entry of its own term that a majority holds, and counts itself only
+// for entries that are durable.
 type Core struct {
 	cfg Config
 
@@ -80,36 +81,38 @@
 	commit uint64
 	log    entryLog
 
-	role             Role
-	leader           uint64
-	electionElapsed  int // ticks since the leader was heard, or since the last quorum check
-	heartbeatElapsed int // ticks since the last heartbeat
+	role   Role
+	leader uint64
+	// electionElapsed is the number of ticks since the last message from the
+	// leader or, on the leader, since the last quorum check.
+	electionElapsed  int
+	heartbeatElapsed int // ticks since the last heartbeat was sent
 	electionTimeout  int
 	votes            map[uint64]bool
 
-	members      *rpc.Members // in force: the last in the log, committed or not
-	membersIndex uint64       // where members stands in the log
-	baseMembers  *rpc.Members // as of the snapshot
+	members      *rpc.Members // current membership: the last one in the log, committed or not
+	membersIndex uint64       // log index of members
+	baseMembers  *rpc.Members // membership at log.base
 
 	peers   map[uint64]*progress
-	durable uint64 // last entry the owner said is durable
+	durable uint64 // last entry that the owner reported as durable
 
-	round uint64 // heartbeat round, for reads and the lease
+	round uint64 // last heartbeat round started; reads and the lease depend on it
 	reads []pendingRead
 
 	incoming     *incomingSnapshot
 	pendingReady Ready
-	saved        *rpc.HardState
-	applied      uint64 // last entry handed out in a Ready
+	saved        *rpc.HardState // hard state of the last Ready that had one
+	applied      uint64         // last entry returned as committed in a Ready
 }
 
-// Ready is what the owner must now do, in this order: install Snapshot, make
-// HardState and Entries durable with one sync, call Persisted, send Messages,
-// apply Committed, answer Reads.
+// Ready is the work that the owner must do, in this order: send Early, install
+// Snapshot, make HardState and Entries durable with one sync, call Persisted,
+// send Messages, apply Committed, answer Reads.
 type Ready struct {
-	// HardState is nil if it didn't change.
+	// HardState is nil if it did not change.
 	HardState *rpc.HardState
-	// Entries replace whatever the store holds from the first one's index on.
+	// Entries replace the stored entries from the index of the first one on.
 	Entries []*rpc.LogEntry
 	// Snapshot, if not nil, replaces the state and the log.
 	Snapshot *rpc.SnapshotFile
@@ -117,7 +120,7 @@
 	Early []*rpc.RaftMessage
 	// Messages must not be sent before HardState and Entries are durable.
 	Messages []*rpc.RaftMessage
-	// Committed is to be applied, in order.
+	// Committed are the entries to apply, in order.
 	Committed []*rpc.LogEntry
 	// Reads may be answered once Committed is applied.
 	Reads []Read
@@ -129,8 +132,8 @@
 		len(r.Messages) == 0 && len(r.Committed) == 0 && len(r.Reads) == 0
 }
 
-// New returns a replica that continues from d. A replica whose log and
-// snapshot hold no members is not one yet: it waits for a leader to add it.
+// New returns a replica that continues from d. If neither the log nor the
+// snapshot holds a membership, the replica waits for a leader to add it.
 func New(cfg Config, d Durable) *Core {
 	c := &Core{
 		cfg:         cfg,
@@ -154,7 +157,8 @@
 	return c
 }
 
-// Bootstrap returns the first log entry of a new cluster.
+// Bootstrap returns the stored state of a new cluster: a log whose only entry
+// holds the members.
 func Bootstrap(members *rpc.Members) Durable {
 	return Durable{
 		HardState: &rpc.HardState{
@@ -169,7 +173,7 @@
 	}
 }
 
-// Tick tells the replica that one tick has passed.
+// Tick advances the replica's logical clock by one tick.
 func (c *Core) Tick() {
 	c.electionElapsed++
 	if c.role == Leader {
@@ -181,13 +185,15 @@
 	}
 }
 
-// ErrNotLeader is returned by calls that only a leader can serve.
+// ErrNotLeader is returned by calls that only the leader can serve.
 var ErrNotLeader = errors.New("not the leader")
 
-// ErrMembersPending is returned while an earlier change isn't committed.
+// ErrMembersPending is returned while an earlier membership change is not
+// committed, and until the leader has committed an entry of its own term.
 var ErrMembersPending = errors.New("a membership change is under way")
 
-// Propose appends data to the log if this replica leads, and returns where.
+// Propose appends data to the log if this replica is the leader, and returns the
+// index and term of the entry.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -197,7 +203,8 @@
 	}), c.term, nil
 }
 
-// ProposeMembers appends a change of the replicas. It may add or remove one.
+// ProposeMembers appends a membership change, which may add or remove one
+// replica.
 func (c *Core) ProposeMembers(members *rpc.Members) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -213,7 +220,7 @@
 	}), c.term, nil
 }
 
-// Take returns what is to be done and forgets it.
+// Take returns the pending work and clears it.
 func (c *Core) Take() Ready {
 	c.flushAppends()
 	c.confirmReads()
@@ -235,7 +242,8 @@
 	return rd
 }
 
-// Persisted tells the replica that all entries up to index are durable.
+// Persisted reports that the entry of the given index and term, and all entries
+// before it, are durable.
 func (c *Core) Persisted(index, term uint64) {
 	if t, ok := c.log.term(index); !ok || t != term {
 		return
@@ -246,7 +254,7 @@
 	}
 }
 
-// Compact forgets the entries up to index, for which a snapshot is durable.
+// Compact drops the entries up to index, which a durable snapshot must cover.
 func (c *Core) Compact(index uint64) {
 	if index > c.applied {
 		return
@@ -255,22 +263,22 @@
 	c.log.compact(index)
 }
 
-// MembersAt returns the replicas as of index, which must have been applied.
+// MembersAt returns the membership at index, which must have been applied.
 func (c *Core) MembersAt(index uint64) *rpc.Members {
 	return c.membersAt(index)
 }
 
-// Term returns the present term.
+// Term returns the current term.
 func (c *Core) Term() uint64 {
 	return c.term
 }
 
-// Role returns the part this replica plays.
+// Role returns the replica's current role.
 func (c *Core) Role() Role {
 	return c.role
 }
 
-// Leader returns who leads, or 0 if that isn't known.
+// Leader returns the ID of the current leader, or 0 if it is not known.
 func (c *Core) Leader() uint64 {
 	return c.leader
 }
@@ -285,12 +293,14 @@
 	return c.log.last()
 }
 
-// TermAt returns the term of the entry at index, and whether it is held.
+// TermAt returns the term of the entry at index, and false if the log does not
+// hold that entry.
 func (c *Core) TermAt(index uint64) (uint64, bool) {
 	return c.log.term(index)
 }
 
-// Members returns the replicas in force.
+// Members returns the current membership: the last one in the log, committed or
+// not.
 func (c *Core) Members() *rpc.Members {
 	return c.members
 }
--- a/pkg/raft/core_test.go
+++ b/pkg/raft/core_test.go
@@ -17,7 +17,7 @@
 
 const electionTicks = 10
 
-// fixedSnapshot is a snapshot that never changes.
+// fixedSnapshot always returns the same snapshot.
 type fixedSnapshot struct {
 	meta  *rpc.SnapshotMeta
 	state []byte
@@ -37,8 +37,8 @@
 	return m
 }
 
-// newCore returns replica 1 of three, with a log of entries of those terms
-// after the one that names the members.
+// newCore returns replica 1 of three. Its log holds the members entry, followed
+// by one entry for each of the given terms.
 func newCore(snap fixedSnapshot, term uint64, terms ...uint64) *raft.Core {
 	d := raft.Bootstrap(threeMembers())
 	d.HardState.Term = term
@@ -60,7 +60,7 @@
 	}, d)
 }
 
-// persist does what a Ready asks for, and returns it.
+// persist takes the Ready, reports its entries as persisted and returns it.
 func persist(c *raft.Core) raft.Ready {
 	rd := c.Take()
 	if n := len(rd.Entries); n > 0 {
@@ -69,7 +69,8 @@
 	return rd
 }
 
-// elect makes the replica the leader of its next term, with 2's votes.
+// elect makes the replica the leader of the next term with the vote of replica
+// 2.
 func elect(c *raft.Core) {
 	for c.Role() != raft.PreCandidate {
 		c.Tick()
@@ -82,23 +83,24 @@
 	Expect(c.Role()).To(Equal(raft.Leader))
 }
 
-// ack has follower 2 acknowledge entries and a heartbeat round.
+// ack delivers follower 2's acknowledgement of entries up to index and of a
+// heartbeat round.
 func ack(c *raft.Core, index, round uint64) raft.Ready {
 	c.Step(&rpc.RaftMessage{Kind: rpc.RaftKind_RAFT_APPEND_REPLY, From: 2, Term: c.Term(), LogIndex: index, Round: round})
 	return persist(c)
 }
 
 var _ = Describe("Core", func() {
-	It("commits an earlier term's entry only with one of its own", func() {
+	It("commits an entry of an earlier term only with one of the current term", func() {
 		c := newCore(fixedSnapshot{}, 3, 2)
 		elect(c)
 		ack(c, 2, 0)
-		Expect(c.Commit()).To(Equal(uint64(1)), "entry 2 is on a majority, and may still be replaced")
+		Expect(c.Commit()).To(Equal(uint64(1)), "entry 2 is on a majority, but may still be replaced")
 		ack(c, 3, 0)
 		Expect(c.Commit()).To(Equal(uint64(3)))
 	})
 
-	It("lets a read through only after a heartbeat round that began after it", func() {
+	It("confirms a read only by a heartbeat round that started after it", func() {
 		c := newCore(fixedSnapshot{}, 1)
 		elect(c)
 		ack(c, 2, c.Round())
@@ -106,20 +108,20 @@
 		Expect(persist(c).Reads).To(BeEmpty())
 		old := c.Round()
 		c.Beat()
-		Expect(ack(c, 2, old).Reads).To(BeEmpty(), "an answer to a round before the read says nothing")
+		Expect(ack(c, 2, old).Reads).To(BeEmpty(), "an answer to an earlier round must not confirm the read")
 		Expect(ack(c, 2, c.Round()).Reads).To(HaveLen(1))
 	})
 
-	It("lets a read through only once an entry of its own term is committed", func() {
+	It("confirms a read only once an entry of the current term is committed", func() {
 		c := newCore(fixedSnapshot{}, 3, 2)
 		elect(c)
 		Expect(c.ReadIndex(7)).To(Succeed())
 		c.Beat()
-		Expect(ack(c, 2, c.Round()).Reads).To(BeEmpty(), "what was acknowledged before may not be known here yet")
+		Expect(ack(c, 2, c.Round()).Reads).To(BeEmpty(), "the new leader may not know the latest commit index yet")
 		Expect(ack(c, 3, c.Round()).Reads).To(HaveLen(1))
 	})
 
-	It("takes one membership change at a time", func() {
+	It("accepts one membership change at a time", func() {
 		c := newCore(fixedSnapshot{}, 1)
 		elect(c)
 		ack(c, 2, 0)
@@ -132,10 +134,10 @@
 		_, _, err = c.ProposeMembers(five)
 		Expect(err).To(MatchError(raft.ErrMembersPending))
 		_, _, err = newLeader().ProposeMembers(five)
-		Expect(err).To(HaveOccurred(), "two at once")
+		Expect(err).To(HaveOccurred(), "a change must not add two replicas")
 	})
 
-	It("refuses votes for as long as a leader's lease may run", func() {
+	It("refuses votes while a leader's lease may be valid", func() {
 		c := newCore(fixedSnapshot{}, 1)
 		c.Step(&rpc.RaftMessage{Kind: rpc.RaftKind_RAFT_APPEND, From: 2, Term: 1, LogIndex: 1, LogTerm: 1})
 		persist(c)
@@ -150,7 +152,7 @@
 		Expect(persist(c).Messages).To(HaveLen(1))
 	})
 
-	It("refuses its vote to a log that lacks what it holds", func() {
+	It("refuses its vote to a candidate whose log is behind its own", func() {
 		c := newCore(fixedSnapshot{}, 1, 1, 1)
 		for range electionTicks - 1 {
 			c.Tick()
@@ -162,13 +164,13 @@
 		Expect(persist(c).Messages[0].GetReject()).To(BeFalse())
 	})
 
-	It("refuses votes right after a start, since it may have promised not to", func() {
+	It("refuses votes right after a start, since a leader's lease may rely on it", func() {
 		c := newCore(fixedSnapshot{}, 1)
 		c.Step(&rpc.RaftMessage{Kind: rpc.RaftKind_RAFT_VOTE, From: 3, Term: 2, LogIndex: 9, LogTerm: 1})
 		Expect(persist(c).Messages).To(BeEmpty())
 	})
 
-	It("puts a snapshot's chunks together in order, whatever comes twice", func() {
+	It("assembles snapshot chunks in order and ignores duplicates", func() {
 		c := newCore(fixedSnapshot{}, 1)
 		chunk := func(offset int, text string, last bool) {
 			c.Step(&rpc.RaftMessage{
@@ -186,7 +188,7 @@
 		Expect(string(c.Take().Snapshot.GetState())).To(Equal("abcdefghij"))
 	})
 
-	It("sends a follower that is far behind the snapshot in chunks", func() {
+	It("sends the snapshot in chunks to a follower that needs compacted entries", func() {
 		c := newCore(fixedSnapshot{meta: &rpc.SnapshotMeta{Index: 3, Term: 2}, state: []byte("abcdefghij")}, 3, 2, 2)
 		elect(c)
 		ack(c, 4, 0)
--- a/pkg/raft/election.go
+++ b/pkg/raft/election.go
@@ -2,7 +2,7 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// Step takes one message from another replica.
+// Step handles a message from another replica.
 func (c *Core) Step(m *rpc.RaftMessage) {
 	if m.GetTerm() > c.term && !c.stepHigherTerm(m) {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// stepHigherTerm deals with a message of a later term. It reports whether the
-// message still has to be handled.
+// stepHigherTerm handles a message of a higher term. It reports whether the
+// caller must still handle the message as one of the current term.
 func (c *Core) stepHigherTerm(m *rpc.RaftMessage) bool {
 	switch m.GetKind() {
 	case rpc.RaftKind_RAFT_PRE_VOTE:
@@ -46,7 +46,7 @@
 		}
 	case rpc.RaftKind_RAFT_VOTE:
 		if c.leaseMayBeHeld() {
-			return false // the promise that the leader's lease rests on
+			return false // the leader's lease relies on votes being refused
 		}
 	default:
 	}
@@ -54,7 +54,8 @@
 	return true
 }
 
-// stepLowerTerm tells the sender of a message of an earlier term that it is late.
+// stepLowerTerm rejects a message of a lower term, so that its sender learns the
+// current term.
 func (c *Core) stepLowerTerm(m *rpc.RaftMessage) {
 	reply := &rpc.RaftMessage{
 		To:     m.GetFrom(),
@@ -75,8 +76,9 @@
 	c.send(reply)
 }
 
-// leaseMayBeHeld reports whether a leader may hold a lease that counts on this
-// replica. A replica that has just started can't know, and so assumes it.
+// leaseMayBeHeld reports whether a leader may hold a lease that relies on this
+// replica refusing votes. A replica that has just started cannot know, and so
+// assumes that one does.
 func (c *Core) leaseMayBeHeld() bool {
 	return c.electionElapsed < c.cfg.ElectionTicks && (c.leader != 0 || c.role == Follower)
 }
@@ -96,8 +98,8 @@
 	c.incoming = nil
 }
 
-// campaign asks for votes. As a PreCandidate it changes nothing durable, so a
-// replica that was cut off can't disturb the others when it returns.
+// campaign requests votes. A PreCandidate changes no durable state, so a replica
+// that was partitioned does not disrupt the others when it reconnects.
 func (c *Core) campaign(as Role) {
 	c.role = as
 	c.leader = 0
@@ -170,7 +172,8 @@
 	c.countVotes()
 }
 
-// countVotes moves on if a majority granted, and reports whether it did.
+// countVotes advances to the next role if a majority granted its vote, and
+// reports whether it did.
 func (c *Core) countVotes() bool {
 	if !c.hasQuorum(func(id uint64) bool { return c.votes[id] }) {
 		return false
@@ -190,6 +193,6 @@
 	c.heartbeatElapsed = 0
 	c.peers = map[uint64]*progress{}
 	c.updatePeers()
-	c.appendAsLeader(&rpc.LogEntry{}) // commits what earlier terms left
+	c.appendAsLeader(&rpc.LogEntry{}) // committing it commits the entries of earlier terms
 	c.broadcastHeartbeat()
 }
--- a/pkg/raft/log.go
+++ b/pkg/raft/log.go
@@ -5,9 +5,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// entryLog is the part of the log that is held in memory.
+// entryLog is the part of the log that is held in memory, after the entry at
+// index base.
 //
-// Invariant: entries[i].Index == base+1+i, and terms never fall.
+// Invariant: entries[i].Index == base+1+i, and terms never decrease.
 type entryLog struct {
 	base     uint64
 	baseTerm uint64
@@ -23,7 +24,8 @@
 	return t
 }
 
-// term returns the term at index i, and false if i isn't held any more or yet.
+// term returns the term at index i, and false if i is neither base nor the index
+// of an entry in memory.
 func (l *entryLog) term(i uint64) (uint64, bool) {
 	if i == l.base {
 		return l.baseTerm, true
@@ -34,8 +36,8 @@
 	return l.entries[i-l.base-1].GetTerm(), true
 }
 
-// slice returns the entries in (after, upTo], at most about maxBytes of them
-// but at least one.
+// slice returns the entries in (after, upTo], limited to maxBytes but at least
+// one.
 func (l *entryLog) slice(after, upTo uint64, maxBytes int) []*rpc.LogEntry {
 	upTo = min(upTo, l.last())
 	if after < l.base || after >= upTo {
@@ -56,13 +58,15 @@
 	l.entries = append(l.entries, e)
 }
 
-// truncate drops the entries from index i on. Its slices stay valid.
+// truncate drops the entries from index i on. Slices returned earlier stay
+// valid.
 func (l *entryLog) truncate(i uint64) {
 	n := i - l.base - 1
 	l.entries = l.entries[:n:n]
 }
 
-// compact drops the entries up to index i, which must be held.
+// compact drops the entries up to index i. It does nothing if entry i is not in
+// memory.
 func (l *entryLog) compact(i uint64) {
 	t, ok := l.term(i)
 	if !ok || i <= l.base {
@@ -73,15 +77,15 @@
 	l.baseTerm = t
 }
 
-// reset forgets everything and begins after a snapshot.
+// reset drops all entries, so that the log continues after a snapshot.
 func (l *entryLog) reset(base, baseTerm uint64) {
 	l.base = base
 	l.baseTerm = baseTerm
 	l.entries = nil
 }
 
-// upToDate reports whether a log that ends at index and term holds all that
-// this one may have committed.
+// upToDate reports whether a log whose last entry has the given index and term
+// holds every entry that may be committed in this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	lastTerm := l.lastTerm()
 	return term > lastTerm || (term == lastTerm && index >= l.last())
--- a/pkg/raft/members.go
+++ b/pkg/raft/members.go
@@ -2,8 +2,9 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// updateMembers puts the last membership in the log in force. Raft's safety
-// needs it from the moment it is appended, not from its commit.
+// updateMembers makes the last membership in the log the current one. For
+// safety, Raft uses a membership from the time it is appended, not from its
+// commit.
 func (c *Core) updateMembers() {
 	c.members = c.baseMembers
 	c.membersIndex = c.log.base
@@ -19,7 +20,7 @@
 	}
 }
 
-// membersAt returns the replicas as of index.
+// membersAt returns the membership at index.
 func (c *Core) membersAt(index uint64) *rpc.Members {
 	for _, e := range reverse(c.log.slice(c.log.base, index, 1<<30)) {
 		if m := e.GetMembers(); m != nil {
@@ -46,7 +47,7 @@
 	return false
 }
 
-// hasQuorum reports whether the members for which yes holds are a majority.
+// hasQuorum reports whether pred returns true for a majority of the members.
 func (c *Core) hasQuorum(pred func(id uint64) bool) bool {
 	n := 0
 	for _, m := range c.members.GetList() {
@@ -57,7 +58,7 @@
 	return n > len(c.members.GetList())/2
 }
 
-// updatePeers makes the leader's bookkeeping fit the members in force.
+// updatePeers adds and removes entries of peers to match the current membership.
 func (c *Core) updatePeers() {
 	for id := range c.peers {
 		if !c.isMember(id) {
@@ -76,7 +77,7 @@
 	}
 }
 
-// countMemberChanges returns how many replicas are in one list but not in the other.
+// countMemberChanges returns how many replicas are in only one of the two lists.
 func countMemberChanges(a, b *rpc.Members) int {
 	in := map[uint64]int{}
 	for _, m := range a.GetList() {
--- a/pkg/raft/read.go
+++ b/pkg/raft/read.go
@@ -1,21 +1,24 @@
 package raft
 
-// Read is a read that may be answered, or that failed.
+// Read is the result of a ReadIndex call.
 type Read struct {
-	// ID is what the owner gave to ReadIndex.
+	// ID is the ID that the owner passed to ReadIndex.
 	ID uint64
-	// OK is false if this replica lost the lead before it could be sure.
+	// OK is false if this replica lost leadership before the read was confirmed.
 	OK bool
 }
 
+// pendingRead is a read that is confirmed once a majority answers heartbeat
+// round round.
 type pendingRead struct {
 	id    uint64
 	round uint64
 	index uint64
 }
 
-// ReadIndex asks for a Read once this replica is sure that it still led after
-// the call: an answer from the state applied by then is linearizable.
+// ReadIndex requests a Read, which a later Ready returns once it is confirmed
+// that this replica was still the leader after the call. A read of the state
+// applied by then is linearizable.
 func (c *Core) ReadIndex(id uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
@@ -28,7 +31,7 @@
 	return nil
 }
 
-// Beat starts a heartbeat round at once if a read waits for one.
+// Beat starts a heartbeat round at once if a pending read needs a new one.
 func (c *Core) Beat() {
 	if c.role != Leader {
 		return
@@ -41,12 +44,13 @@
 	}
 }
 
-// Round returns the newest heartbeat round that was started.
+// Round returns the last heartbeat round that was started.
 func (c *Core) Round() uint64 {
 	return c.round
 }
 
-// QuorumRound returns the newest round that a majority has answered.
+// QuorumRound returns the last heartbeat round that a majority has answered, or
+// 0 if this replica is not the leader.
 func (c *Core) QuorumRound() uint64 {
 	if c.role != Leader {
 		return 0
@@ -58,7 +62,8 @@
 	return round
 }
 
-// previousAnsweredRound returns the newest round below r that some follower answered.
+// previousAnsweredRound returns the last round below r that some follower
+// answered.
 func (c *Core) previousAnsweredRound(r uint64) uint64 {
 	best := uint64(0)
 	for _, p := range c.peers {
@@ -75,7 +80,8 @@
 	})
 }
 
-// confirmReads moves reads whose round a majority answered to the next Ready.
+// confirmReads moves the reads whose round a majority has answered to the next
+// Ready.
 func (c *Core) confirmReads() {
 	if c.role != Leader || !c.committedInCurrentTerm() {
 		return
--- a/pkg/raft/replicate.go
+++ b/pkg/raft/replicate.go
@@ -6,20 +6,21 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// progress is what the leader knows of one follower.
+// progress is the leader's view of one follower.
 //
-// Invariant: match < next. Entries up to match are durable there; next is a
-// guess that runs ahead of it and falls back when it proves wrong.
+// Invariant: match < next. Entries up to match are durable on the follower; next
+// is an estimate that is advanced as entries are sent and reset when the
+// follower rejects an append.
 type progress struct {
 	match          uint64
 	next           uint64
-	ackedRound     uint64 // newest heartbeat round it answered
-	active         bool   // answered since the last quorum check
-	snapshotOffset uint64 // of the snapshot chunk being sent
-	snapshotIndex  uint64 // index of the snapshot being sent, 0 if none
-	// probing is true from a rejection until an append is accepted. Only one
-	// append is sent for each answer then: sending more ahead would bring as
-	// many rejections, each answered by more.
+	ackedRound     uint64 // last heartbeat round it answered
+	active         bool   // has answered since the last quorum check
+	snapshotOffset uint64 // offset of the snapshot chunk being sent
+	snapshotIndex  uint64 // index of the snapshot being sent; 0 if none
+	// probing is true from a rejection until an append is accepted. While it is
+	// set, only one append is sent per reply: appends pipelined on a wrong guess
+	// would each be rejected and cause another append.
 	probing bool
 }
 
@@ -33,8 +34,8 @@
 	}
 }
 
-// checkQuorum steps down if no majority was heard for an election timeout, so
-// that a leader that was cut off stops answering.
+// checkQuorum steps down if no majority has answered within an election timeout,
+// so that a partitioned leader stops serving.
 func (c *Core) checkQuorum() {
 	c.electionElapsed = 0
 	active := c.hasQuorum(func(id uint64) bool {
@@ -49,7 +50,7 @@
 	}
 }
 
-// appendAsLeader appends the leader's own entry and returns its index.
+// appendAsLeader appends an entry in the current term and returns its index.
 func (c *Core) appendAsLeader(e *rpc.LogEntry) uint64 {
 	e.Index = c.log.last() + 1
 	e.Term = c.term
@@ -61,7 +62,7 @@
 	return e.GetIndex()
 }
 
-// broadcastHeartbeat sends every follower a heartbeat of a new round.
+// broadcastHeartbeat starts a new heartbeat round with all followers.
 func (c *Core) broadcastHeartbeat() {
 	c.heartbeatElapsed = 0
 	c.round++
@@ -71,7 +72,7 @@
 	c.confirmReads()
 }
 
-// flushAppends sends followers what was appended since.
+// flushAppends sends each follower the entries that it has not been sent yet.
 func (c *Core) flushAppends() {
 	if c.role != Leader {
 		return
@@ -92,8 +93,9 @@
 	return ids
 }
 
-// sendAppend sends the follower what it lacks. A heartbeat is sent even if
-// that is nothing, and sends a snapshot's chunk again.
+// sendAppend sends the follower the entries from next on, or a snapshot chunk if
+// those were compacted. A heartbeat is sent even without entries, and sends the
+// current snapshot chunk again.
 func (c *Core) sendAppend(id uint64, heartbeat bool) {
 	p := c.peers[id]
 	prev := p.next - 1
@@ -131,7 +133,7 @@
 	}
 	prev := m.GetLogIndex()
 	if prev < c.commit {
-		reply.LogIndex = c.commit // what is committed matches
+		reply.LogIndex = c.commit // committed entries are the same on every replica
 		c.send(reply)
 		return
 	}
@@ -158,7 +160,7 @@
 }
 
 // matchHint returns the last index that could match a log whose entry at prev
-// is of that term.
+// has the given term.
 func (c *Core) matchHint(prev, term uint64) uint64 {
 	i := min(prev, c.log.last())
 	for i > c.commit {
@@ -170,7 +172,8 @@
 	return i
 }
 
-// appendFromLeader appends what isn't there yet, dropping what conflicts with it.
+// appendFromLeader appends the entries that are missing from the log, after
+// truncating any that conflict with them.
 func (c *Core) appendFromLeader(entries []*rpc.LogEntry) {
 	for i, e := range entries {
 		if t, ok := c.log.term(e.GetIndex()); ok && t == e.GetTerm() {
@@ -190,7 +193,7 @@
 	}
 }
 
-// dropPendingEntries forgets entries from index on that were not yet taken.
+// dropPendingEntries removes the entries from index on from the pending Ready.
 func (c *Core) dropPendingEntries(index uint64) {
 	for i, e := range c.pendingReady.Entries {
 		if e.GetIndex() >= index {
@@ -225,8 +228,9 @@
 	}
 }
 
-// advanceCommit commits what a majority holds durably, if it is of this term:
-// an earlier term's entry may be on a majority and still be replaced.
+// advanceCommit commits the entries that are durable on a majority, if the last
+// of them is of the current term: an entry of an earlier term can be on a
+// majority and still be replaced.
 func (c *Core) advanceCommit() {
 	matches := make([]uint64, 0, len(c.members.GetList()))
 	for _, m := range c.members.GetList() {
@@ -248,8 +252,8 @@
 	c.broadcastCommit()
 }
 
-// broadcastCommit tells followers at once, so that they apply without waiting
-// for the next heartbeat.
+// broadcastCommit sends followers the commit index at once, so that they do not
+// wait for the next heartbeat to apply entries.
 func (c *Core) broadcastCommit() {
 	for _, id := range c.peerIDs() {
 		c.sendAppend(id, true)
--- a/pkg/raft/snapshot.go
+++ b/pkg/raft/snapshot.go
@@ -4,13 +4,13 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// incomingSnapshot gathers the chunks of one snapshot.
+// incomingSnapshot collects the chunks of a snapshot.
 type incomingSnapshot struct {
 	meta  *rpc.SnapshotMeta
 	state []byte
 }
 
-// sendChunk sends the follower the chunk of the newest snapshot that it lacks.
+// sendChunk sends the follower the next chunk of the newest snapshot.
 func (c *Core) sendChunk(id uint64) {
 	p := c.peers[id]
 	meta, state := c.cfg.Snapshots.Latest()
--- a/pkg/replica/fuzz_test.go
+++ b/pkg/replica/fuzz_test.go
@@ -14,14 +14,15 @@
 	RunSpecs(t, "replica")
 }
 
-// fixSeed gives the fuzz the same seed each time unless one is asked for.
+// fixSeed sets the rapid seed to 1, unless a seed was given on the command line.
 func fixSeed() {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
-		_ = f.Value.Set("1") // it takes any number
+		_ = f.Value.Set("1") // cannot fail for a number
 	}
 }
 
-// TestReplicatedLogFuzz runs three or five replicas through random faults.
+// TestReplicatedLogFuzz runs three or five replicas through random faults and
+// checks that the log stays consistent and no acknowledged write is lost.
 func TestReplicatedLogFuzz(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
@@ -56,7 +57,7 @@
 			"lose disk": func(t *rapid.T) {
 				s.loseDisk(host.Draw(t, "host"))
 			},
-			"lose disk, all dark": func(t *rapid.T) {
+			"lose disk, others lose power": func(t *rapid.T) {
 				s.loseDiskDuringPowerLoss(host.Draw(t, "host"))
 			},
 			"crash": func(t *rapid.T) {
@@ -77,10 +78,10 @@
 			"isolate": func(t *rapid.T) {
 				s.isolate(host.Draw(t, "host"))
 			},
-			"usurp": func(t *rapid.T) {
+			"supersede leader": func(t *rapid.T) {
 				s.forceLeaderChange(rapid.Bool().Draw(t, "freeze"), rapid.IntRange(1, 35).Draw(t, "ticks"))
 			},
-			"retire": func(t *rapid.T) {
+			"retire running host": func(t *rapid.T) {
 				s.replaceRunning(host.Draw(t, "host"))
 			},
 			"cut one way": func(t *rapid.T) {
--- a/pkg/replica/lease.go
+++ b/pkg/replica/lease.go
@@ -8,7 +8,7 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// Status is what a replica knows of itself and the others.
+// Status is a replica's view of itself and of the cluster.
 type Status struct {
 	ID      uint64
 	Role    raft.Role
@@ -17,9 +17,10 @@
 	Members *rpc.Members
 	Commit  uint64
 	Applied uint64
-	// LeaseUntil is until when no other replica can lead; zero if this one
-	// doesn't. It holds as long as no replica's clock runs more than
-	// driftPercent faster than this one's.
+	// LeaseUntil is the time until which no other replica can be the leader; it
+	// is zero if this replica is not the leader. It holds as long as no other
+	// replica's clock runs more than maxClockDriftPercent faster than this
+	// one's.
 	LeaseUntil time.Time
 	LogBytes   int64
 }
@@ -29,16 +30,16 @@
 	s  Status
 }
 
-// Status returns the replica's present status.
+// Status returns the replica's current status.
 func (n *Node) Status() Status {
 	n.status.mu.Lock()
 	defer n.status.mu.Unlock()
 	return n.status.s
 }
 
-// HoldsLease reports whether, at this moment, no other replica can lead. A
-// process that was stopped and continued finds its lease expired, since the
-// clock went on.
+// HoldsLease reports whether no other replica can be the leader now. A process
+// that was suspended and resumed finds its lease expired, since the clock
+// continued to run.
 func (n *Node) HoldsLease() bool {
 	s := n.Status()
 	return s.Role == raft.Leader && n.cfg.Timer.Now().Before(s.LeaseUntil)
@@ -63,7 +64,8 @@
 	n.status.s = s
 }
 
-// recordRoundStart remembers when each heartbeat round began, before it is sent.
+// recordRoundStart records the start time of the current heartbeat round before
+// its messages are sent.
 func (n *Node) recordRoundStart() {
 	r := n.core.Round()
 	if _, known := n.roundSentAt[r]; !known {
@@ -71,9 +73,10 @@
 	}
 }
 
-// leaseUntil counts from when the newest round that a majority answered was
-// sent: each of them refuses votes for an election timeout after that. One
-// tick is taken off since a tick may fall right after the message.
+// leaseUntil computes the lease from the time at which the last round that a
+// majority answered was sent: each of these replicas refuses votes for an
+// election timeout after receiving it. One tick is subtracted because a tick may
+// fall right after the message.
 func (n *Node) leaseUntil() time.Time {
 	r := n.core.QuorumRound()
 	for old := range n.roundSentAt {
--- a/pkg/replica/node.go
+++ b/pkg/replica/node.go
@@ -1,4 +1,4 @@
-// Package replica runs one replica of the replicated log: it joins the
+// Package replica runs one replica of the replicated log: it connects the
 // algorithm of package raft to a store, a state machine, a transport and the
 // timer service.
 package replica
@@ -16,21 +16,23 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Machine is the replicated state. Apply and Restore are called by one
-// goroutine only.
+// Machine is the replicated state. Apply and Restore are called by one goroutine
+// only.
 type Machine interface {
 	Apply(data []byte) ([]byte, error)
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
 }
 
-// Transport sends messages to other replicas, without waiting, and may lose them.
+// Transport sends messages to other replicas. Send does not block and may lose
+// messages.
 type Transport interface {
 	Send(messages []*rpc.RaftMessage)
 	SetMembers(members *rpc.Members)
 }
 
-// Config is what a Node is made of. Every field must be set but Bootstrap.
+// Config configures a Node. Every field must be set except AppendBytes,
+// ChunkBytes and Bootstrap.
 type Config struct {
 	ID        uint64
 	Tick      time.Duration
@@ -39,12 +41,12 @@
 	Transport Transport
 	Timer     timer.Service
 	Seed      uint64
-	// AppendBytes bounds the entries in one message, ChunkBytes a chunk of a
-	// snapshot; 0 for the defaults.
+	// AppendBytes limits the size of the entries in one message, ChunkBytes the
+	// size of a snapshot chunk; 0 selects the default.
 	AppendBytes int
 	ChunkBytes  int
-	// Bootstrap is the replicas of a new cluster; it is used only if the
-	// store is empty, and must be nil for a replica that replaces another.
+	// Bootstrap is the membership of a new cluster. It is used only if the store
+	// is empty, and must be nil for a replica that replaces another.
 	Bootstrap *rpc.Members
 }
 
@@ -55,18 +57,20 @@
 	defaultChunkBytes  = 1 << 20
 	maxBatch           = 1024
 	inboxSize          = 4096
-	// snapshotThreshold is the log file's size at which a snapshot is taken.
+	// snapshotThreshold is the size of the log file at which a snapshot is
+	// taken.
 	snapshotThreshold = 8 << 20
-	// retainedEntries stay in memory after a snapshot, for followers a little behind.
+	// retainedEntries is the number of entries kept in memory after a snapshot
+	// for followers that are slightly behind.
 	retainedEntries = 2000
-	// maxClockDriftPercent bounds how much faster than ours another replica's clock
-	// may run; the lease is shortened by it.
+	// maxClockDriftPercent is how much faster than this replica's clock the
+	// clock of another replica may run; the lease is shortened by it.
 	maxClockDriftPercent = 10
 )
 
-// NotLeaderError says that another replica must be asked.
+// NotLeaderError is returned by calls that only the leader can serve.
 type NotLeaderError struct {
-	// Leader is the leading replica, or nil if none is known.
+	// Leader is the current leader, or nil if it is not known.
 	Leader *rpc.Member
 }
 
@@ -78,14 +82,15 @@
 	return "not the leader; ask " + e.Leader.GetAddress()
 }
 
-// ErrLost says that the proposal's fate is unknown: this replica lost the lead
-// before it was committed.
+// ErrLost is returned for a request whose outcome is unknown, since this replica
+// lost leadership or stopped before it completed. A proposal may still be
+// committed.
 var ErrLost = errors.New("the lead was lost before the change was committed; it may still come into force")
 
-// Node is one running replica.
+// Node is a running replica.
 //
-// Invariant: only Run's goroutine touches core, waiting and reads; others
-// reach it through the channels.
+// Invariant: only the goroutine of Run accesses core, proposals and reads; other
+// goroutines communicate with it through the channels.
 type Node struct {
 	cfg      Config
 	core     *raft.Core
@@ -117,7 +122,7 @@
 	reply chan result
 }
 
-// New returns a node that continues from its store.
+// New returns a node that continues from the state in its store.
 func New(cfg Config) (*Node, error) {
 	d := raft.Durable{
 		HardState: cfg.Store.HardState(),
@@ -165,7 +170,8 @@
 	return n
 }
 
-// Run works until ctx ends or the store fails, whose error it returns.
+// Run runs the replica until ctx is done, or until the store or the state
+// machine fails, and returns that error.
 func (n *Node) Run(ctx context.Context) error {
 	ticks := n.cfg.Timer.Every(n.cfg.Tick)
 	defer ticks.Stop()
@@ -188,8 +194,8 @@
 	}
 }
 
-// Deliver hands over messages from other replicas. It never waits: what finds
-// no room is lost, as on a network.
+// Deliver queues messages from other replicas. It does not block: messages are
+// dropped if the queue is full, as on a network.
 func (n *Node) Deliver(messages []*rpc.RaftMessage) {
 	select {
 	case n.inbox <- messages:
@@ -197,7 +203,7 @@
 	}
 }
 
-// Propose replicates data and returns what the state machine answered.
+// Propose replicates data and returns the state machine's reply.
 func (n *Node) Propose(ctx context.Context, data []byte) ([]byte, error) {
 	return n.submit(ctx, request{
 		data: data,
@@ -212,8 +218,9 @@
 	return err
 }
 
-// ReadBarrier returns once the local state holds everything that was accepted
-// before the call. Only the leader can tell.
+// ReadBarrier returns once the local state includes every write that was
+// acknowledged before the call. It fails with a NotLeaderError if this replica
+// is not the leader.
 func (n *Node) ReadBarrier(ctx context.Context) error {
 	_, err := n.submit(ctx, request{
 		read: true,
@@ -236,7 +243,8 @@
 	}
 }
 
-// drainQueues takes what else is there, so that one sync serves it all.
+// drainQueues handles up to maxBatch more queued messages and requests, so that
+// one sync covers all of them.
 func (n *Node) drainQueues() {
 	for range maxBatch {
 		select {
@@ -293,7 +301,8 @@
 	n.reads[n.nextID] = r.reply
 }
 
-// toNotLeaderError turns the algorithm's refusal into one that names who to ask.
+// toNotLeaderError converts raft.ErrNotLeader to a NotLeaderError, which names
+// the leader; it returns other errors unchanged.
 func (n *Node) toNotLeaderError(err error) error {
 	if !errors.Is(err, raft.ErrNotLeader) {
 		return err
@@ -312,7 +321,7 @@
 	return nil
 }
 
-// advance does what the algorithm asks until it asks for nothing more.
+// advance processes Readys until there is nothing left to do.
 func (n *Node) advance() error {
 	for {
 		n.core.Beat()
@@ -323,7 +332,7 @@
 			return nil
 		}
 		if err := n.processReady(rd); err != nil {
-			logflags.Error(logflags.Storage, err, "replica stops")
+			logflags.Error(logflags.Storage, err, "stopping replica after an error")
 			return err
 		}
 	}
@@ -402,7 +411,7 @@
 	return n.takeSnapshot()
 }
 
-// takeSnapshot makes the applied state durable and lets the log before it go.
+// takeSnapshot stores a snapshot of the applied state and compacts the log.
 func (n *Node) takeSnapshot() error {
 	state, err := n.cfg.Machine.Snapshot()
 	if err != nil {
--- a/pkg/replica/sim_faults_test.go
+++ b/pkg/replica/sim_faults_test.go
@@ -5,7 +5,7 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// isolate cuts a host off from all others, both ways.
+// isolate blocks all messages between a host and the others.
 func (s *simulation) isolate(id uint64) {
 	for _, other := range s.ids() {
 		if other != id {
@@ -15,8 +15,9 @@
 	}
 }
 
-// forceLeaderChange cuts the leader off or freezes it until another leads, writes there,
-// and then asks both to read and write before they have heard of each other.
+// forceLeaderChange isolates or freezes the leader for a number of ticks, in
+// which another may be elected. It then writes to and reads from all hosts, so
+// that an old and a new leader serve requests before they learn of each other.
 func (s *simulation) forceLeaderChange(freeze bool, ticks int) {
 	old := s.leader()
 	if old == nil {
@@ -48,7 +49,7 @@
 	}
 }
 
-// leader returns a host that leads and can be reached, or nil.
+// leader returns a running host that is a leader, or nil.
 func (s *simulation) leader() *simHost {
 	for _, id := range s.ids() {
 		if h := s.hosts[id]; h.up() && h.node.core.Role() == raft.Leader {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// loseDisk takes a host away for good, to be replaced by a new one.
+// loseDisk removes a host permanently and starts its replacement by a new one.
 func (s *simulation) loseDisk(id uint64) {
 	if s.replacing != nil || s.hosts[id] == nil || s.removed[id] {
 		return
@@ -68,8 +69,8 @@
 	s.beginReplacement(id)
 }
 
-// loseDiskDuringPowerLoss takes a host's disk away while all other hosts lose power, and starts these
-// again.
+// loseDiskDuringPowerLoss removes a host permanently while all others crash, and
+// restarts the others.
 func (s *simulation) loseDiskDuringPowerLoss(id uint64) {
 	s.loseDisk(id)
 	for _, other := range s.ids() {
@@ -82,7 +83,7 @@
 	}
 }
 
-// replaceRunning replaces a host that is well and goes on running.
+// replaceRunning starts the replacement of a host that keeps running.
 func (s *simulation) replaceRunning(id uint64) {
 	if s.replacing != nil || s.hosts[id] == nil || s.removed[id] {
 		return
@@ -101,7 +102,8 @@
 	}
 }
 
-// continueReplacement goes on with the replacement that is under way.
+// continueReplacement proposes the next membership change of the replacement in
+// progress, if there is one.
 func (s *simulation) continueReplacement() {
 	if s.replacing == nil {
 		return
@@ -128,7 +130,7 @@
 			Id: s.replacing.addedID,
 		})
 	case !containsMember(h.node.core.MembersAt(h.node.core.Commit()), s.replacing.addedID):
-		return // not committed: it may still be lost with this leader
+		return // not committed: the change may still be lost with this leader
 	case s.hosts[s.replacing.addedID].up() && s.hosts[s.replacing.addedID].node.core.Commit() >= h.node.core.Commit():
 		s.replacing = nil
 		return
--- a/pkg/replica/sim_oracle_test.go
+++ b/pkg/replica/sim_oracle_test.go
@@ -7,8 +7,8 @@
 	"github.com/larchwinch/larchwinch/pkg/raft"
 )
 
-// checkRead makes sure that a read that was let through sees every write that
-// was acknowledged before it began.
+// checkRead checks that a confirmed read sees every write that was acknowledged
+// before the read started.
 func (s *simulation) checkRead(r *read, err error) {
 	if err != nil || r.incarnation != r.host.incarnation {
 		return
@@ -19,13 +19,14 @@
 	}
 	for _, v := range s.ackedValues[:r.ackedBefore] {
 		if !seen[v] {
-			s.fail("host %d let a read through that doesn't see write %d", r.host.id, v)
+			s.fail("host %d confirmed a read that does not see acknowledged write %d", r.host.id, v)
 			return
 		}
 	}
 }
 
-// checkInvariants holds what is seen against the oracle.
+// checkInvariants checks that at most one host holds the lease, that a term has
+// at most one leader, and that all hosts apply the same history.
 func (s *simulation) checkInvariants() {
 	leaseHolders := 0
 	for _, id := range s.ids() {
@@ -40,7 +41,7 @@
 		s.checkHistory(h)
 	}
 	if leaseHolders > 1 {
-		s.fail("%d hosts hold the order lease", leaseHolders)
+		s.fail("%d hosts hold the leader lease", leaseHolders)
 	}
 	s.collectReplies()
 }
@@ -51,7 +52,7 @@
 	}
 	term := h.node.core.Term()
 	if other, ok := s.leaderByTerm[term]; ok && other != h.id {
-		s.fail("hosts %d and %d both lead term %d", other, h.id, term)
+		s.fail("hosts %d and %d are both leader of term %d", other, h.id, term)
 	}
 	s.leaderByTerm[term] = h.id
 }
@@ -60,7 +61,7 @@
 	values := h.stateMachine.values
 	for i := range min(len(values), len(s.longestHistory)) {
 		if values[i] != s.longestHistory[i] {
-			s.fail("host %d applied %d at place %d, and another host %d", h.id, values[i], i, s.longestHistory[i])
+			s.fail("host %d applied %d at position %d, another host applied %d", h.id, values[i], i, s.longestHistory[i])
 			return
 		}
 	}
@@ -69,7 +70,8 @@
 	}
 }
 
-// collectReplies notes which writes were acknowledged.
+// collectReplies checks the replies to reads, and records which writes were
+// acknowledged.
 func (s *simulation) collectReplies() {
 	for _, r := range s.reads {
 		select {
@@ -86,15 +88,15 @@
 				s.ackedValues = append(s.ackedValues, w.value)
 			}
 			if w.acked && binary.LittleEndian.Uint64(r.data) != w.value {
-				s.fail("write %d got the answer of another", w.value)
+				s.fail("write %d received the reply to another write", w.value)
 			}
 		default:
 		}
 	}
 }
 
-// healAndCheck ends every fault, and checks that the system comes back, with every
-// acknowledged write in its history once.
+// healAndCheck ends all faults, and checks that the cluster recovers and that
+// its history contains every acknowledged write exactly once.
 func (s *simulation) healAndCheck() error {
 	s.blockedLinks = map[[2]uint64]bool{}
 	for _, id := range s.ids() {
@@ -111,7 +113,7 @@
 		s.continueReplacement()
 	}
 	if s.replacing != nil {
-		s.fail("the replacement of host %d never ended", s.replacing.removedID)
+		s.fail("the replacement of host %d did not complete", s.replacing.removedID)
 	}
 	for _, id := range s.ids() {
 		s.propose(id)
@@ -137,11 +139,11 @@
 			acked++
 		}
 		if w.acked && seen[w.value] != 1 {
-			return errors.Errorf("write %d was acknowledged and is %d times in the history", w.value, seen[w.value])
+			return errors.Errorf("acknowledged write %d is in the history %d times", w.value, seen[w.value])
 		}
 	}
 	if acked == 0 || !s.writes[len(s.writes)-1].acked && !s.anyAcked(len(s.hosts)) {
-		return errors.New("no write is accepted after every fault has ended")
+		return errors.New("no write was accepted after all faults had ended")
 	}
 	for _, id := range s.ids() {
 		if s.removed[id] {
--- a/pkg/replica/sim_test.go
+++ b/pkg/replica/sim_test.go
@@ -15,14 +15,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The simulation runs the real Node, store and algorithm over a fake network,
-// fake disks and manual clocks, in one goroutine. Its oracle is small: one
-// history, nothing acknowledged is lost, at most one holder of the order
-// lease, at most one leader a term.
-
+// The simulation runs the real Node, store and Raft core in one goroutine, over
+// a fake network, fake disks and manual clocks. It checks that all hosts apply
+// one history, that no acknowledged write is lost, that at most one host holds
+// the leader lease, and that each term has at most one leader.
 const simTick = 20 * time.Millisecond
 
-// history is the state machine: the values applied, in order.
+// history is a state machine that records the applied values in order.
 type history struct {
 	values []uint64
 }
@@ -50,13 +49,13 @@
 	return nil
 }
 
-// simHost is one replica with its machine's disk and clock.
+// simHost is a replica with the disk and clock of its host.
 type simHost struct {
 	sim          *simulation
 	id           uint64
 	disk         *fakedisk.Disk
 	clock        *timer.Manual
-	clockRate    float64 // of its clock against true time
+	clockRate    float64 // of its clock relative to simulated time
 	node         *Node
 	stateMachine *history
 	frozen       bool
@@ -75,23 +74,23 @@
 	return h.node != nil && !h.frozen
 }
 
-// write is one proposal of the oracle's.
+// write is a proposal made by the simulation.
 type write struct {
 	value uint64
 	reply chan result
 	acked bool
 }
 
-// read is one read of the oracle's: it must see what was acknowledged before.
+// read is a read barrier requested by the simulation. Once it is confirmed, the
+// host must have applied all writes acknowledged before it.
 type read struct {
 	host        *simHost
 	incarnation uint64
-	ackedBefore int // writes acknowledged before it
+	ackedBefore int // number of writes acknowledged before the read
 	reply       chan result
 }
 
-// replacement is a replica that lost its disk and the one that takes its
-// place.
+// replacement is a membership change that replaces one replica by another.
 type replacement struct {
 	removedID uint64
 	addedID   uint64
@@ -107,9 +106,9 @@
 	reads          []*read
 	ackedValues    []uint64
 	replacing      *replacement
-	removed        map[uint64]bool   // removed, and still running
-	longestHistory []uint64          // the one history
-	leaderByTerm   map[uint64]uint64 // by term
+	removed        map[uint64]bool   // replaced, but still running
+	longestHistory []uint64          // longest history that any host has applied
+	leaderByTerm   map[uint64]uint64 // leader's host by term
 	nextValue      uint64
 	err            error
 }
@@ -145,14 +144,14 @@
 	}
 }
 
-// start brings a replica up from its disk. One that never ran founds the
-// cluster if it was among its first members.
+// start starts a replica from its disk. A replica with an empty store bootstraps
+// the cluster if it is an initial member.
 func (s *simulation) start(id uint64) {
 	h := s.hosts[id]
 	h.disk.Restart()
 	st, err := store.Open(h.disk)
 	if err != nil {
-		s.fail("host %d can't open its store: %v", id, err)
+		s.fail("host %d: open store: %v", id, err)
 		return
 	}
 	h.incarnation++
@@ -165,8 +164,8 @@
 		Transport: h,
 		Timer:     h.clock,
 		Seed:      s.rnd.Uint64(),
-		// One entry a message and snapshots in many chunks, so that faults
-		// fall between them.
+		// One entry per message and small snapshot chunks, so that faults also
+		// hit between them.
 		AppendBytes: 1,
 		ChunkBytes:  12,
 	}
@@ -177,7 +176,7 @@
 	if err != nil {
 		h.node = nil
 		if !h.disk.Crashed() {
-			s.fail("host %d can't start: %v", id, err)
+			s.fail("host %d: start: %v", id, err)
 		}
 	}
 }
@@ -206,7 +205,8 @@
 	return ids
 }
 
-// advance lets a node do what its last event asks for, and notes a crash.
+// advance processes a node's pending work, and stops the node if its disk has
+// crashed.
 func (s *simulation) advance(h *simHost) {
 	if err := h.node.advance(); err != nil {
 		if !h.disk.Crashed() {
@@ -218,7 +218,7 @@
 	s.checkInvariants()
 }
 
-// tick moves true time on by one tick.
+// tick advances simulated time by one tick.
 func (s *simulation) tick() {
 	for _, id := range s.ids() {
 		h := s.hosts[id]
@@ -230,8 +230,9 @@
 	}
 }
 
-// deliver hands over the message at place i of the network, or loses it if it
-// can't get through.
+// deliver delivers the message at index i of the network, or drops it if the
+// link is blocked or the receiver is down. A message to a frozen host stays
+// queued.
 func (s *simulation) deliver(i int) {
 	m := s.network[i]
 	s.network = append(s.network[:i], s.network[i+1:]...)
@@ -240,7 +241,7 @@
 		return
 	}
 	if h.frozen {
-		s.network = append(s.network, m) // it waits in the socket
+		s.network = append(s.network, m) // stays in the socket buffer
 		return
 	}
 	if h.node == nil {
@@ -250,8 +251,8 @@
 	s.advance(h)
 }
 
-// deliverSome delivers about as many messages as there are, in an order that
-// is mostly the right one, losing and doubling a few.
+// deliverSome delivers about as many messages as are queued. If faulty is set,
+// it delivers them slightly out of order, and drops or duplicates some.
 func (s *simulation) deliverSome(faulty bool) {
 	for n := len(s.network); n > 0 && len(s.network) > 0; n-- {
 		i := 0
@@ -288,7 +289,7 @@
 	s.advance(h)
 }
 
-// read asks a host for a read barrier.
+// read requests a read barrier from a host.
 func (s *simulation) read(id uint64) {
 	h := s.hosts[id]
 	if h == nil || !h.up() {
@@ -330,7 +331,7 @@
 	h.frozen = false
 }
 
-// snapshot makes a host take a snapshot now, whatever its log's size.
+// snapshot makes a host take a snapshot regardless of its log size.
 func (s *simulation) snapshot(id uint64) {
 	h := s.hosts[id]
 	if h == nil || !h.up() || h.node.applied <= h.node.cfg.Store.Snapshot().GetMeta().GetIndex() {
--- a/pkg/replica/transport.go
+++ b/pkg/replica/transport.go
@@ -15,8 +15,8 @@
 	queueSize   = 1024
 )
 
-// TwirpTransport sends messages over twirp, one worker a replica, so that a
-// replica that can't be reached doesn't delay the others.
+// TwirpTransport sends messages over Twirp. It runs one worker per replica, so
+// that an unreachable replica does not delay messages to the others.
 type TwirpTransport struct {
 	self   uint64
 	client *http.Client
@@ -90,7 +90,7 @@
 		}
 		select {
 		case p.queue <- m:
-		default: // lost, as on a network; heartbeats mend it
+		default: // queue full: dropped, as on a network; heartbeats cause it to be sent again
 		}
 	}
 }
@@ -105,14 +105,16 @@
 		_, err := client.Deliver(callCtx, batch)
 		cancel()
 		if err != nil {
-			// Heartbeats mend a lost batch. Other connections at rest may have gone
-			// silent with this one: each would cost a time-out more.
+			// Heartbeats cause a lost batch to be sent again. Other idle
+			// connections may be broken as well; close them, since each would
+			// cost another timeout.
 			idle.CloseIdleConnections()
 		}
 	}
 }
 
-// nextBatch waits for a message and takes those behind it too; nil means the end.
+// nextBatch waits for a message and returns it with the others in the queue, or
+// returns nil if ctx is done.
 func (p *peer) nextBatch(ctx context.Context) *rpc.RaftBatch {
 	batch := &rpc.RaftBatch{}
 	select {
--- a/pkg/state/bench_test.go
+++ b/pkg/state/bench_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkClaim gives the time and memory of one claim in the state machine.
+// BenchmarkClaim measures the time and memory of one claim in the state machine.
 func BenchmarkClaim(b *testing.B) {
 	m := state.New(1 << 40)
 	i := 0
--- a/pkg/state/bundles.go
+++ b/pkg/state/bundles.go
@@ -9,16 +9,16 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// maxVersionsWithContent is how many versions of a chain keep their text; older ones
-// keep digests and signatures only, and the oldest are forgotten, so that the
-// state stays bounded however many changes come.
+// maxVersionsWithContent is how many versions of a bundle keep their content.
+// Older versions keep only digests and signatures, and versions beyond
+// maxVersions are dropped, so that the size of the state is bounded.
 const (
 	maxVersionsWithContent = 100
 	maxVersions            = 1000
 )
 
-// submit accepts or refuses a version. Signatures were checked before it was
-// proposed, since the settings that name the signers aren't replicated.
+// submit accepts or refuses a version. Signatures are checked before the version
+// is proposed, since the settings that name the signers are not replicated.
 func (m *Machine) submit(v *rpc.BundleVersion) *rpc.SubmitReply {
 	chain := m.chains[v.GetName()]
 	if old := versionAt(chain, v.GetVersion()); old != nil {
@@ -48,8 +48,9 @@
 	}
 }
 
-// answerResubmission answers a version that stands already: the same answer as the first
-// time for the same content, and a refusal that names what stands for other.
+// answerResubmission answers the submission of a version number that was
+// accepted before: with the same reply as the first time if the content is the
+// same, and otherwise with a refusal that contains the accepted version.
 func (m *Machine) answerResubmission(v, old *rpc.BundleVersion, chain []*rpc.BundleVersion) *rpc.SubmitReply {
 	if old.GetDigest() == v.GetDigest() {
 		return &rpc.SubmitReply{
@@ -88,7 +89,8 @@
 	}
 }
 
-// buildSet makes the set with b in the place of its bundle's present version.
+// buildSet returns the set of the latest versions of all bundles, with b, if not
+// nil, in place of the latest version of its bundle.
 func (m *Machine) buildSet(revision uint64, b *bundle.Bundle) (*bundle.Set, error) {
 	var all []*bundle.Bundle
 	if b != nil {
@@ -108,7 +110,8 @@
 	return bundle.NewSet(revision, all)
 }
 
-// parsedBundle returns the bundle that is in force, parsed before, or parses it.
+// parsedBundle returns the bundle of v from the active set, or parses it if the
+// set does not contain it.
 func (m *Machine) parsedBundle(v *rpc.BundleVersion) (*bundle.Bundle, error) {
 	for _, b := range m.set.Bundles() {
 		if b.Name == v.GetName() && b.Version == v.GetVersion() {
@@ -132,7 +135,8 @@
 	m.notify()
 }
 
-// versionAt returns the version of that number, if the chain still holds it.
+// versionAt returns the version with that number, or nil if the chain does not
+// hold it.
 func versionAt(chain []*rpc.BundleVersion, version uint64) *rpc.BundleVersion {
 	if len(chain) == 0 || version < chain[0].GetVersion() {
 		return nil
@@ -168,7 +172,7 @@
 	}
 }
 
-// notify wakes whoever waits for a change.
+// notify wakes the goroutines that wait for a change.
 func (m *Machine) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
--- a/pkg/state/claims.go
+++ b/pkg/state/claims.go
@@ -2,11 +2,11 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// maxClaimsPerAccount bounds what one client account can make the replicas keep.
+// maxClaimsPerAccount limits the claims that are kept for one client account.
 const maxClaimsPerAccount = 100_000
 
-// maxOutcomeBytes bounds the answer kept for a resend; a longer one is kept
-// as "yes, but the answer is gone".
+// maxOutcomeBytes limits the size of the answer that is kept for a repeated
+// request. Of a longer answer only the fact that the request ran is kept.
 const maxOutcomeBytes = 64 * 1024
 
 type claimKey struct {
@@ -14,19 +14,20 @@
 	key     string
 }
 
-// expiryEntry is a claim's place in the order of expiry.
+// expiryEntry is the entry of a claim in the expiry queue.
 type expiryEntry struct {
 	key    claimKey
 	unixMS int64
 }
 
-// claims is the record of requests that must not be repeated.
+// claims records the requests that must not be executed more than once.
 //
-// Invariant: a key is granted at most once within the window.
+// Invariant: within the window, a key is granted to one claimant at most, unless
+// its claim is released because the request was not run.
 type claims struct {
 	windowMS    int64
 	byKey       map[claimKey]*rpc.ClaimRecord
-	expiryQueue []expiryEntry // oldest first, for expiry
+	expiryQueue []expiryEntry // oldest first
 	accounts    map[string]int
 }
 
@@ -86,7 +87,7 @@
 	case old.GetOutcome() != nil:
 		reply.State = rpc.ClaimState_CLAIM_SETTLED
 	case first.GetEntry() == r.GetEntry() && first.GetNonce() == r.GetNonce():
-		reply.State = rpc.ClaimState_CLAIM_GRANTED // the first answer was lost
+		reply.State = rpc.ClaimState_CLAIM_GRANTED // the claimant repeats its call, as the reply was lost
 	case old.GetUnixMs()+int64(first.GetRunsMs()) < now:
 		reply.State = rpc.ClaimState_CLAIM_LOST
 	default:
@@ -95,12 +96,12 @@
 	return reply
 }
 
-// ranNo as an outcome says that nothing was sent to an endpoint.
+// ranNo is the outcome of a request of which nothing was sent to an endpoint.
 const ranNo = "no"
 
-// settle notes the outcome, the first one only. Only who was granted the
-// claim may settle it. One that wasn't run is forgotten, so that the caller
-// may come back with the same key.
+// settle records the outcome of a claim. Only the first outcome counts, and only
+// the holder of the claim may settle it. The claim of a request that was not run
+// is removed, so that the caller may retry with the same key.
 func (c *claims) settle(r *rpc.SettleRequest, now int64) *rpc.SettleReply {
 	c.expire(now)
 	rec := c.get(r.GetAccount(), r.GetKey())
@@ -121,7 +122,7 @@
 	return &rpc.SettleReply{}
 }
 
-// release forgets a claim. Its place in the queue stays until it is expired.
+// release removes a claim. Its entry in the queue stays until it expires.
 func (c *claims) release(r *rpc.ClaimRequest) {
 	c.remove(claimKey{
 		account: r.GetAccount(),
@@ -152,8 +153,8 @@
 	c.accounts[k.account]++
 }
 
-// expire forgets claims that are older than the window. A place in the queue
-// whose claim was released, or claimed anew since, is only dropped.
+// expire removes the claims that are older than the window. If the claim of a
+// queue entry was released, or made again since, only the entry is dropped.
 func (c *claims) expire(now int64) {
 	n := 0
 	for n < len(c.expiryQueue) && c.expiryQueue[n].unixMS+c.windowMS <= now {
@@ -165,7 +166,7 @@
 	c.expiryQueue = c.expiryQueue[n:]
 }
 
-// records returns every claim, oldest first.
+// records returns all claims, oldest first.
 func (c *claims) records() []*rpc.ClaimRecord {
 	list := make([]*rpc.ClaimRecord, 0, len(c.byKey))
 	seen := map[claimKey]bool{}
--- a/pkg/state/document.go
+++ b/pkg/state/document.go
@@ -2,9 +2,9 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// replaceDocument puts a whole configuration in force if its version is above
-// the one that stands, and tells which one stands then. Of two with the same
-// version the first in the log stands.
+// replaceDocument replaces the full configuration if d has a higher version, and
+// returns the version that is then committed. Of two documents with the same
+// version, the first in the log is kept.
 func (m *Machine) replaceDocument(d *rpc.Document) *rpc.DocumentReply {
 	if d.GetVersion() > m.document.GetVersion() {
 		m.document = d
@@ -15,8 +15,8 @@
 	}
 }
 
-// Document returns the whole configuration that stands; nil if there is none.
-// The caller must not change it.
+// Document returns the committed full configuration, or nil if there is none.
+// The caller must not modify it.
 func (m *Machine) Document() *rpc.Document {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/state/quarantine.go
+++ b/pkg/state/quarantine.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	// firstQuarantine and nextHold are how long a request is kept from endpoints when it is
-	// found to end them, and when it does so again after that. One that was found
-	// wrongly gets through after the first; one that wasn't ends an endpoint more then,
-	// and one a day from then on.
+	// firstQuarantine is how long a request is quarantined when it is first
+	// found to crash endpoints, and repeatQuarantine when it is found to do so
+	// again after that. A request that was quarantined wrongly passes after the
+	// first period; one that does crash endpoints then crashes one more, and
+	// after that at most one a day.
 	firstQuarantine  = 10 * time.Minute
 	repeatQuarantine = 24 * time.Hour
-	// maxQuarantined bounds what is kept, at 20 bytes each; the oldest go first.
+	// maxQuarantined limits the number of records; the oldest are dropped first.
+	// A record takes about 20 bytes.
 	maxQuarantined = 1024
 )
 
-// Held is one request that is or was kept from endpoints.
+// Held is a request that is or was quarantined.
 type Held struct {
 	Fingerprint uint64
-	// UntilMS is when it is let go, as a Unix time in milliseconds.
+	// UntilMS is the time at which the request is released, as a Unix time in
+	// milliseconds.
 	UntilMS int64
 }
 
-// quarantine is the requests that end endpoints, by fingerprint. Machine's mutex
-// guards it.
+// quarantine holds the quarantine records by fingerprint. It is guarded by
+// Machine.mu.
 type quarantine struct {
 	records map[uint64]*rpc.QuarantineRecord
 }
@@ -48,7 +51,8 @@
 	return r.GetUnixMs() + firstQuarantine.Milliseconds()
 }
 
-// apply holds or releases a request, and reports whether that changed anything.
+// apply quarantines or releases a request, and reports whether the records
+// changed.
 func (q *quarantine) apply(c *rpc.Quarantine, clock int64) bool {
 	old := q.records[c.GetFingerprint()]
 	if c.GetRelease() {
@@ -69,8 +73,8 @@
 	return true
 }
 
-// dropOldest makes room; of two as old, the one with the smaller fingerprint goes, so
-// that every replica drops the same.
+// dropOldest drops the oldest record. Of records of the same age it drops the
+// one with the smallest fingerprint, so that every replica drops the same one.
 func (q *quarantine) dropOldest() {
 	list := q.sorted()
 	oldest := list[0]
@@ -82,7 +86,7 @@
 	delete(q.records, oldest.GetFingerprint())
 }
 
-// sorted returns all records by fingerprint.
+// sorted returns all records ordered by fingerprint.
 func (q *quarantine) sorted() []*rpc.QuarantineRecord {
 	list := make([]*rpc.QuarantineRecord, 0, len(q.records))
 	for _, r := range q.records {
@@ -92,7 +96,7 @@
 	return list
 }
 
-// changeQuarantine applies a command.
+// changeQuarantine applies a quarantine command.
 func (m *Machine) changeQuarantine(c *rpc.Quarantine) {
 	if m.quarantine.apply(c, m.clock) {
 		m.quarantineVersion++
@@ -100,7 +104,7 @@
 	}
 }
 
-// Quarantine returns the requests that are or were kept from endpoints, by
+// Quarantine returns the requests that are or were quarantined, ordered by
 // fingerprint.
 func (m *Machine) Quarantine() []Held {
 	m.mu.Lock()
@@ -115,7 +119,8 @@
 	return list
 }
 
-// QuarantineVersion returns a number that rises whenever that changes.
+// QuarantineVersion returns a number that increases with every change of the
+// quarantine.
 func (m *Machine) QuarantineVersion() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/state/quarantine_test.go
+++ b/pkg/state/quarantine_test.go
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("the quarantine", func() {
-	It("holds a request for a while, for longer if it ends endpoints after that, and no longer by a word sent twice", func() {
+	It("quarantines a request for longer if it crashes endpoints again, but does not extend a quarantine that has not expired", func() {
 		m := New(1000)
 		start := time.Hour
 		changed := m.Changed()
@@ -51,7 +51,7 @@
 		Expect(m.Quarantine()).To(BeEmpty())
 	})
 
-	It("is in the snapshot, and another version after it is restored", func() {
+	It("is part of the snapshot, and changes its version when restored", func() {
 		m := New(1000)
 		for f := range uint64(5) {
 			apply(m, time.Hour, &rpc.Quarantine{Fingerprint: f})
@@ -65,7 +65,7 @@
 		Expect(other.QuarantineVersion()).NotTo(Equal(before))
 	})
 
-	It("is bounded; the oldest go first, the same ones on every replica", func() {
+	It("is bounded, and drops the oldest records, the same ones on every replica", func() {
 		m := New(1000)
 		for f := range uint64(maxQuarantined + 2) {
 			apply(m, time.Hour+time.Duration(f/4)*time.Millisecond, &rpc.Quarantine{Fingerprint: f})
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -1,8 +1,8 @@
-// Package state is the replicated state machine: the chains of bundle
-// versions, the claims of requests that must not be repeated, whole
-// configurations, and the requests that are kept from endpoints. Applying the
-// same commands in the same order gives the same state on every replica; it
-// reads no clock, and takes windows from the times inside the commands.
+// Package state implements the replicated state machine: the chains of bundle
+// versions, the claims of requests that must not be executed more than once, the
+// full configuration, and the quarantined requests. Applying the same commands
+// in the same order gives the same state on every replica: the state machine
+// reads no clock, and takes the time from the commands.
 package state
 
 import (
@@ -15,28 +15,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Machine is the state. It is safe for use by several goroutines; only the
-// replica's own applies.
+// Machine is the state machine. It is safe for concurrent use; only the
+// goroutine of the replica calls Apply.
 //
-// Invariants: revision rises by one with every accepted version and never
-// falls; a chain's versions are consecutive and each names the digest of the
-// one before; the clock never falls.
+// Invariants: revision increases by one with every accepted version and never
+// decreases; the versions in a chain are consecutive, and each names the digest
+// of its parent; the clock never decreases.
 type Machine struct {
-	mu             sync.Mutex
-	revision       uint64
-	chains         map[string][]*rpc.BundleVersion
-	set            *bundle.Set
-	bundleSetProto *rpc.BundleSet
-	claims         *claims
-	document       *rpc.Document
-	// quarantine is the requests that are kept from endpoints.
+	mu                sync.Mutex
+	revision          uint64
+	chains            map[string][]*rpc.BundleVersion
+	set               *bundle.Set
+	bundleSetProto    *rpc.BundleSet
+	claims            *claims
+	document          *rpc.Document
 	quarantine        *quarantine
-	quarantineVersion uint64 // rises with every change
+	quarantineVersion uint64 // increases with every change
 	clock             int64
-	changed           chan struct{} // closed when revision changes
+	changed           chan struct{} // closed when the bundles, the document or the quarantine change
 }
 
-// New returns an empty state that keeps claims for windowMS milliseconds.
+// New returns an empty state machine that keeps claims for windowMS
+// milliseconds.
 func New(windowMS int64) *Machine {
 	m := &Machine{
 		claims:  newClaims(windowMS),
@@ -58,8 +58,8 @@
 	m.claims.reset()
 }
 
-// Apply carries out one encoded rpc.Command and returns its encoded
-// rpc.CommandReply. An entry without data changes nothing.
+// Apply applies an encoded rpc.Command and returns the encoded rpc.CommandReply.
+// An entry without data changes nothing.
 func (m *Machine) Apply(data []byte) ([]byte, error) {
 	if len(data) == 0 {
 		return nil, nil
@@ -95,28 +95,30 @@
 	return proto.Marshal(reply)
 }
 
-// Revision returns the revision of the set in force.
+// Revision returns the revision of the active bundle set.
 func (m *Machine) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// Changed returns a channel that is closed once the revision has changed.
+// Changed returns a channel that is closed at the next change of the bundles,
+// the document or the quarantine.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Wire returns the set in force as it is sent. The caller must not change it.
+// Wire returns the active bundle set as a protobuf message. The caller must not
+// modify it.
 func (m *Machine) Wire() *rpc.BundleSet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.bundleSetProto
 }
 
-// Set returns the set in force.
+// Set returns the active bundle set.
 func (m *Machine) Set() *bundle.Set {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,21 +132,21 @@
 	return append([]*rpc.BundleVersion(nil), m.chains[name]...)
 }
 
-// Claims returns how many claims are remembered.
+// Claims returns the number of claims that are kept.
 func (m *Machine) Claims() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claims.len()
 }
 
-// Outcome returns what is known of a claim; nil if there is none.
+// Outcome returns the record of a claim, or nil if there is none.
 func (m *Machine) Outcome(account, key string) *rpc.ClaimRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claims.get(account, key)
 }
 
-// Snapshot returns the whole state, encoded.
+// Snapshot returns the full state, encoded.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,7 +166,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s)
 }
 
-// Restore replaces the state by an encoded snapshot.
+// Restore replaces the state by that of an encoded snapshot.
 func (m *Machine) Restore(data []byte) error {
 	s := &rpc.StateSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
--- a/pkg/store/disk.go
+++ b/pkg/store/disk.go
@@ -10,25 +10,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Disk is the little of a file system that the store needs. What was written
-// lasts through a crash only once File.Sync returned, and a new name only once
-// SyncFolder returned.
+// Disk is the part of a file system that the store needs. Written data survives
+// a crash only once File.Sync has returned, and a new name only once SyncFolder
+// has returned.
 type Disk interface {
-	// Names lists the files, sorted.
+	// Names returns the names of the files, sorted.
 	Names() ([]string, error)
-	// Read returns a file's whole content.
+	// Read returns the content of a file.
 	Read(name string) ([]byte, error)
-	// Create makes an empty file, dropping one that has the name already.
+	// Create creates an empty file, replacing any file with the same name.
 	Create(name string) (File, error)
-	// Append opens a file to write at its end.
+	// Append opens a file for writing at its end.
 	Append(name string) (File, error)
 	// Truncate cuts a file to size bytes.
 	Truncate(name string, size int64) error
-	// Rename gives a file a new name, replacing what had it.
+	// Rename renames a file, replacing any file with the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// SyncFolder makes names durable.
+	// SyncFolder makes the names of the files durable.
 	SyncFolder() error
 }
 
@@ -39,8 +39,8 @@
 	Close() error
 }
 
-// Folder is a Disk on one folder of the machine, locked against other
-// processes for as long as it is open.
+// Folder is a Disk in a folder of the host's file system. It is locked against
+// other processes while it is open.
 type Folder struct {
 	path string
 	lock *os.File
@@ -48,7 +48,7 @@
 
 const lockName = "LOCK"
 
-// LockedError says that another process has the data folder open.
+// LockedError is returned if another process has the data folder open.
 type LockedError struct {
 	Path string
 }
@@ -58,7 +58,7 @@
 	return "data folder " + e.Path + " is in use by another process"
 }
 
-// OpenFolder makes the folder if it isn't there, and locks it.
+// OpenFolder creates the folder if it does not exist, and locks it.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, errors.Wrap(err, "make data folder")
@@ -79,7 +79,7 @@
 	}, nil
 }
 
-// Close gives up the lock.
+// Close releases the lock.
 func (f *Folder) Close() error {
 	return f.lock.Close()
 }
--- a/pkg/store/load.go
+++ b/pkg/store/load.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// newestFile returns the name with the prefix that has the highest number.
+// newestFile returns the name with the prefix and the highest number, and that
+// number.
 func newestFile(names []string, prefix string) (string, uint64) {
 	for i := len(names) - 1; i >= 0; i-- {
 		digits, ok := strings.CutPrefix(names[i], prefix)
@@ -43,7 +44,8 @@
 	return decode(name, prefixSize, payload, s.snapshot)
 }
 
-// truncationAsCorruption turns a torn end into damage: a renamed file was complete.
+// truncationAsCorruption converts errTruncated to a CorruptError, for a file
+// that was complete when it was renamed.
 func truncationAsCorruption(name string, err error) error {
 	if !errors.Is(err, errTruncated) {
 		return err
@@ -85,7 +87,7 @@
 	return s.reopen(name, end, int64(len(b)))
 }
 
-// replay applies every record and returns where the whole ones end.
+// replay applies every complete record and returns the offset at which they end.
 func (s *Store) replay(name string, b []byte) (int64, error) {
 	offset := int64(prefixSize)
 	for first := true; offset < int64(len(b)); first = false {
@@ -109,7 +111,8 @@
 	return offset, nil
 }
 
-// checkContinues makes sure that the log and the snapshot leave no gap.
+// checkContinues checks that the log continues the snapshot without a gap and
+// holds all committed entries. It drops entries that the snapshot covers.
 func (s *Store) checkContinues(name string) error {
 	meta := s.snapshot.GetMeta()
 	if meta != nil && len(s.entries) > 0 && s.entries[0].GetIndex() <= meta.GetIndex() {
@@ -135,12 +138,12 @@
 	return nil
 }
 
-// reopen cuts a torn end off and opens the file to write on.
+// reopen removes a truncated last record and opens the file for appending.
 func (s *Store) reopen(name string, end, size int64) error {
 	if end < size {
 		s.truncatedBytes = size - end
 		if err := s.disk.Truncate(name, end); err != nil {
-			return errors.Wrap(err, "cut torn end off "+name)
+			return errors.Wrap(err, "remove truncated last record of "+name)
 		}
 	}
 	f, err := s.disk.Append(name)
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// removeStaleFiles drops what a crash left between two steps.
+// removeStaleFiles removes the files that a crash left behind.
 func (s *Store) removeStaleFiles(names []string) error {
 	newestSnapshot, _ := newestFile(names, snapPrefix)
 	newestLog, _ := newestFile(names, logPrefix)
--- a/pkg/store/record.go
+++ b/pkg/store/record.go
@@ -8,10 +8,10 @@
 	"github.com/go-faster/errors"
 )
 
-// A file begins with a magic and a format version and goes on with records.
-// A record is its payload's length, the payload's checksum, the checksum of
-// those eight bytes, and the payload. The header's own checksum tells a
-// damaged length, which would look like a torn end, from a torn end.
+// A file starts with a magic number and a format version, followed by records. A
+// record consists of the length and the checksum of the payload, the checksum of
+// these eight bytes, and the payload. The checksum of the header distinguishes a
+// corrupt length from a truncated record.
 const (
 	magic        = "LWST"
 	format       = 1
@@ -24,7 +24,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// CorruptError says that a file holds something that was not written so.
+// CorruptError is returned if the content of a file is not what was written.
 type CorruptError struct {
 	File   string
 	Offset int64
@@ -33,10 +33,10 @@
 
 // Error implements error.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s: damaged at byte %d: %s; this replica can't be trusted with what it acknowledged: remove it and add a new one", e.File, e.Offset, e.What)
+	return fmt.Sprintf("%s: corrupt at byte %d: %s; this replica may have lost data that it acknowledged: remove it and add a new one", e.File, e.Offset, e.What)
 }
 
-// FormatError says that a newer release wrote the file.
+// FormatError is returned for a file that was written by a newer release.
 type FormatError struct {
 	File   string
 	Format uint32
@@ -44,7 +44,7 @@
 
 // Error implements error.
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("%s: written in format %d, and this release reads up to %d; use the newer release", e.File, e.Format, format)
+	return fmt.Sprintf("%s: written in format %d, but this release reads formats up to %d; use the newer release", e.File, e.Format, format)
 }
 
 func filePrefix() []byte {
@@ -85,11 +85,11 @@
 	return append(b, payload...)
 }
 
-// errTruncated marks the end of a file whose last write never completed. Nothing
-// that was synced is lost by cutting it off.
-var errTruncated = errors.New("torn end")
+// errTruncated marks the end of a file whose last write did not complete.
+// Removing the incomplete record loses no synced data.
+var errTruncated = errors.New("truncated record")
 
-// nextRecord returns the payload at offset and where the next record begins.
+// nextRecord returns the payload at offset and the offset of the next record.
 func nextRecord(file string, b []byte, offset int64) ([]byte, int64, error) {
 	rest := b[offset:]
 	if len(rest) < headerSize || allZero(rest) {
@@ -111,7 +111,7 @@
 		return payload, offset + headerSize + n, nil
 	}
 	if int64(len(rest)) == headerSize+n && hasZeroPage(payload) {
-		return nil, 0, errTruncated // the length was extended before the data came
+		return nil, 0, errTruncated // the file was extended before its data was written
 	}
 	return nil, 0, &CorruptError{
 		File:   file,
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps a control replica's log and snapshots in plain files
-// below one data folder. A write is acknowledged only after the file, and
-// where a name is new the folder, is synced. A failed sync is final: what the
-// kernel holds after it is unknown, so the store refuses everything from then on.
+// Package store keeps a replica's log and snapshots in plain files in a data
+// folder. A write is acknowledged only after the file is synced and, if its name
+// is new, the folder as well. A failed sync is permanent: what the kernel holds
+// after it is unknown, so the store refuses all further writes.
 package store
 
 import (
@@ -22,15 +22,17 @@
 // Store is an open data folder.
 //
 // Invariants: exactly one log file is in use, the one with the highest number;
-// it holds the hard state and every entry after the newest snapshot; a file
-// gets its final name only when it is complete and synced.
+// it holds the hard state and every entry after the newest snapshot; a file gets
+// its final name only when it is complete and synced.
 type Store struct {
 	disk     Disk
 	log      File
 	logName  string
 	sequence uint64
 	writeErr error
-	// logBehindSnapshot is true if a crash came between a snapshot and its log file.
+	// logBehindSnapshot is true if the log file was opened with entries that the
+	// snapshot covers: a crash came after the snapshot was stored and before its
+	// log file was.
 	logBehindSnapshot bool
 
 	hardState *rpc.HardState
@@ -42,7 +44,7 @@
 	syncs          int64
 }
 
-// Open reads what the folder holds. An empty folder is an empty store.
+// Open loads the content of the data folder. An empty folder is an empty store.
 func Open(disk Disk) (*Store, error) {
 	s := &Store{
 		disk:      disk,
@@ -62,8 +64,8 @@
 		return nil, err
 	}
 	if s.log == nil || s.logBehindSnapshot {
-		// Entries that continue the snapshot must not follow, in one file,
-		// entries that end before it: that would look like a gap.
+		// Entries that continue the snapshot must not be appended to a log file
+		// whose entries end before the snapshot: that would look like a gap.
 		err = s.rotate()
 	}
 	return s, err
@@ -74,7 +76,7 @@
 	return s.snapshot == nil && len(s.entries) == 0 && s.hardState.GetTerm() == 0
 }
 
-// HardState returns the hard state as stored.
+// HardState returns the stored hard state.
 func (s *Store) HardState() *rpc.HardState {
 	return s.hardState
 }
@@ -84,17 +86,19 @@
 	return s.entries
 }
 
-// Snapshot returns the newest snapshot, or nil.
+// Snapshot returns the newest snapshot, or nil if there is none.
 func (s *Store) Snapshot() *rpc.SnapshotFile {
 	return s.snapshot
 }
 
-// Latest returns the newest snapshot's parts; the first is nil if there is none.
+// Latest returns the metadata and the state of the newest snapshot; the metadata
+// is nil if there is none.
 func (s *Store) Latest() (*rpc.SnapshotMeta, []byte) {
 	return s.snapshot.GetMeta(), s.snapshot.GetState()
 }
 
-// TornBytes returns how much was cut off the log's end when it was opened.
+// TornBytes returns the size of the incomplete record that was removed from the
+// end of the log when the store was opened.
 func (s *Store) TornBytes() int64 {
 	return s.truncatedBytes
 }
@@ -104,13 +108,13 @@
 	return s.logBytes
 }
 
-// Syncs returns how many times a file was synced.
+// Syncs returns the number of file syncs.
 func (s *Store) Syncs() int64 {
 	return s.syncs
 }
 
-// Save makes the hard state, if not nil, and entries durable with one sync.
-// Entries replace what is stored from the first one's index on.
+// Save makes the hard state, if not nil, and the entries durable with one sync.
+// The entries replace the stored ones from the index of the first one on.
 func (s *Store) Save(hard *rpc.HardState, entries []*rpc.LogEntry) error {
 	if s.writeErr != nil {
 		return s.writeErr
@@ -126,7 +130,7 @@
 	return nil
 }
 
-// SaveSnapshot makes a snapshot durable and begins a new log file with the
+// SaveSnapshot makes a snapshot durable and starts a new log file with the
 // entries that follow it.
 func (s *Store) SaveSnapshot(file *rpc.SnapshotFile) error {
 	if s.writeErr != nil {
@@ -141,14 +145,14 @@
 	return s.rotate()
 }
 
-// Close closes the log file.
 func (s *Store) Close() error {
 	s.writeErr = errors.New("the store is closed")
 	return s.log.Close()
 }
 
-// entriesAfter returns the entries that continue the snapshot; none if the
-// entry at its index is of another term, since then all conflict with it.
+// entriesAfter returns the entries that follow the snapshot. It returns none if
+// the entry at the snapshot's index is of another term, since then all of them
+// conflict with the snapshot.
 func entriesAfter(entries []*rpc.LogEntry, meta *rpc.SnapshotMeta) []*rpc.LogEntry {
 	for i, e := range entries {
 		if e.GetIndex() == meta.GetIndex() {
@@ -164,7 +168,8 @@
 	return nil
 }
 
-// rotate begins a log file that holds the present state, then drops the old.
+// rotate starts a log file that holds the current state, and then removes the
+// previous one.
 func (s *Store) rotate() error {
 	old := s.logName
 	s.sequence++
@@ -209,7 +214,8 @@
 	return nil
 }
 
-// writeFile writes a file of one record under a temporary name and renames it.
+// writeFile writes a file of one record under a temporary name, and renames it
+// when it is complete and synced.
 func (s *Store) writeFile(name string, m proto.Message) error {
 	f, err := s.disk.Create(name + tmpSuffix)
 	if err != nil {
@@ -250,7 +256,7 @@
 	return nil
 }
 
-// applyRecord applies a record to what is held in memory.
+// applyRecord applies a record to the state in memory.
 func (s *Store) applyRecord(r *rpc.WalRecord) {
 	if r.GetHardState() != nil {
 		s.hardState = r.GetHardState()
@@ -266,6 +272,6 @@
 }
 
 func (s *Store) fail(err error) error {
-	s.writeErr = errors.Wrap(err, "storage failed for good")
+	s.writeErr = errors.Wrap(err, "storage failed permanently")
 	return s.writeErr
 }
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// withStore fills a store on a fake disk with n entries and gives both to f.
+// withStore calls f with a fake disk and a store on it that holds n entries.
 func withStore(n uint64, f func(d *fakedisk.Disk, s *store.Store)) {
 	d := fakedisk.New(rand.New(rand.NewPCG(1, 1)))
 	s, err := store.Open(d)
@@ -54,7 +54,7 @@
 }
 
 var _ = Describe("Store", func() {
-	It("comes back with what was saved, and replaces conflicting entries", func() {
+	It("loads what was saved, and replaces conflicting entries", func() {
 		withStore(5, func(d *fakedisk.Disk, s *store.Store) {
 			Expect(s.Save(&rpc.HardState{Term: 2, Vote: 3}, []*rpc.LogEntry{entry(4, 2)})).To(Succeed())
 			again, err := store.Open(d)
@@ -77,7 +77,7 @@
 		})
 	})
 
-	It("holds after a crash at every operation what it had acknowledged", func() {
+	It("keeps what it acknowledged after a crash at any operation", func() {
 		for crash := 1; crash < 60; crash++ {
 			d := fakedisk.New(rand.New(rand.NewPCG(uint64(crash), 2)))
 			acked := uint64(0)
@@ -102,14 +102,14 @@
 		}
 	})
 
-	It("goes on after a crash between an installed snapshot and its log file", func() {
+	It("recovers from a crash between storing an installed snapshot and its log file", func() {
 		for crash := 1; crash < 20; crash++ {
 			d := fakedisk.New(rand.New(rand.NewPCG(uint64(crash), 3)))
 			s, err := store.Open(d)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(s.Save(&rpc.HardState{Term: 1, Commit: 1}, []*rpc.LogEntry{entry(1, 1)})).To(Succeed())
 			d.CrashIn(crash)
-			_ = s.SaveSnapshot(snapshot(5)) // it may crash
+			_ = s.SaveSnapshot(snapshot(5)) // may fail by the crash
 			d.Crash()
 			d.Restart()
 			s, err = store.Open(d)
@@ -122,7 +122,7 @@
 		}
 	})
 
-	It("cuts a torn end off and says how much", func() {
+	It("removes a truncated last record and reports its size", func() {
 		withStore(5, func(d *fakedisk.Disk, _ *store.Store) {
 			name := logName(d)
 			content, _ := d.Read(name)
@@ -134,7 +134,7 @@
 		})
 	})
 
-	It("tells damage from a torn end, wherever a bit flips", func() {
+	It("reports corruption, not truncation, for any flipped bit", func() {
 		withStore(5, func(d *fakedisk.Disk, _ *store.Store) {
 			name := logName(d)
 			content, _ := d.Read(name)
@@ -160,7 +160,7 @@
 		})
 	})
 
-	It("refuses everything after a failed sync or write", func() {
+	It("refuses all writes after a failed sync or write", func() {
 		cases := []struct {
 			name string
 			fail func(d *fakedisk.Disk, on bool)
@@ -173,7 +173,7 @@
 				c.fail(d, true)
 				Expect(s.Save(nil, []*rpc.LogEntry{entry(3, 1)})).NotTo(Succeed(), c.name)
 				c.fail(d, false)
-				Expect(s.Save(nil, []*rpc.LogEntry{entry(3, 1)})).To(MatchError(ContainSubstring("for good")), c.name)
+				Expect(s.Save(nil, []*rpc.LogEntry{entry(3, 1)})).To(MatchError(ContainSubstring("permanently")), c.name)
 			})
 		}
 	})
@@ -188,7 +188,7 @@
 })
 
 var _ = Describe("Folder", func() {
-	It("is locked against a second process and lasts", func() {
+	It("is locked against a second process and keeps its data", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "data")
 		f, err := store.OpenFolder(path)
 		Expect(err).NotTo(HaveOccurred())
@@ -208,7 +208,7 @@
 		Expect(f.Close()).To(Succeed())
 	})
 
-	It("says why a folder can't be made", func() {
+	It("reports why the folder cannot be created", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "file")
 		Expect(os.WriteFile(file, nil, 0o600)).To(Succeed())
 		_, err := store.OpenFolder(filepath.Join(file, "data"))
