--- a/pkg/chain/call.go
+++ b/pkg/chain/call.go
@@ -13,7 +13,7 @@
 	"github.com/larchwinch/larchwinch/pkg/api"
 )
 
-// statusError says that an engine refused a call.
+// statusError is returned if an engine answered with a status other than 200.
 type statusError struct {
 	status int
 }
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// get decodes what an engine has at path into out.
+// get gets path from an engine and decodes the answer into out.
 func (r *Runner) get(ctx context.Context, timeout time.Duration, address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// post returns an answer of status 200; its body must be closed.
+// post posts in to an engine and returns the response if its status is 200; the
+// caller must close its body.
 func (r *Runner) post(ctx context.Context, address, path string, in any) (*http.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -88,16 +89,17 @@
 	return resp, nil
 }
 
-// drainAndClose reads the little that is left, so that the connection is kept.
+// drainAndClose reads what is left of a short body, so that the connection is
+// reused, and closes it.
 func drainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4096)
 	_ = resp.Body.Close()
 }
 
-// reasonFull is the reason of an engine that has no slot left.
+// reasonFull is the reason of an engine that has no free slot.
 const reasonFull = "full"
 
-// faultReason names the reason of a failed call as engines do.
+// faultReason returns the reason of a failed call, as engines name it.
 func faultReason(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/pkg/chain/execution.go
+++ b/pkg/chain/execution.go
@@ -12,19 +12,19 @@
 	"github.com/larchwinch/larchwinch/pkg/route"
 )
 
-// stage is one endpoint's part in an execution.
+// stage is one endpoint of the chain with the layers that it runs.
 type stage struct {
 	endpoint        *directory.Endpoint
 	first           int
 	end             int
 	open            bool
-	cachedPositions int // positions it held when it was opened last
+	cachedPositions int // positions in its KV cache when it was last opened
 }
 
-// execution is one request on its way.
+// execution is the execution of one request.
 //
 // Invariants: emitted is exactly what the sink was given; stages cover the
-// model's layers in order; attempt rises before any stage is opened anew.
+// model's layers in order; attempt increases before any stage is reopened.
 type execution struct {
 	r    *Runner
 	req  Request
@@ -32,18 +32,18 @@
 
 	attempt       int
 	stages        []*stage
-	abandoned     []*stage // opened in earlier attempts, to be cancelled
+	abandoned     []*stage // stages that were replaced, to be cancelled at the end
 	emitted       []int
 	promptLen     int
-	generateSent  bool // an engine may have begun the request
-	movesDisabled bool // stages that leave can't be replaced
+	generateSent  bool // an engine may have started the request
+	movesDisabled bool // leaving stages cannot be replaced
 	result        Result
 
-	reporter   string // the stage that last said it can't reach the next
-	reportedAt int    // how many tokens were emitted then
+	reporter   string // the stage that last reported it cannot reach the next one
+	reportedAt int    // number of tokens emitted at that report
 
 	lastEvent time.Time
-	faultAt   time.Time // zero if no repair is under way
+	faultAt   time.Time // last event before the fault; zero if no repair is in progress
 }
 
 func newExecution(r *Runner, req Request, sink Sink) *execution {
@@ -54,21 +54,20 @@
 	}
 }
 
-// lostStages are the stages that a stream ended for, by address, with the
-// reasons. An empty one means that the chain is whole and only has to be
-// opened anew.
+// lostStages maps the address of each lost stage to the reason. If it is empty
+// but not nil, the chain is complete and only has to be reopened.
 type lostStages map[string]string
 
 func (x *execution) candidates() []*directory.Endpoint {
 	return x.r.cfg.Directory.Stages(x.req.Model.Name, x.req.Model.Version)
 }
 
-// maxOpenTries is how many times stages that don't open are replaced when engines
-// are full: looking further costs more than coming back later.
+// maxOpenTries limits how often stages that failed to open are replaced if
+// engines are full: further tries cost more than a later retry by the caller.
 const maxOpenTries = 10
 
-// openChain chooses a chain and opens it, replacing the stages that don't open and
-// keeping those that do. Nothing was run if it fails.
+// openChain chooses a chain and opens it. It keeps the stages that open and
+// replaces the others. If it fails, nothing was run.
 func (x *execution) openChain(ctx context.Context) error {
 	c := x.r.cfg.Router.Choose(x.candidates(), 0, x.req.Model.Layers, nil)
 	if c == nil {
@@ -96,8 +95,8 @@
 	}
 }
 
-// noChainError says that no chain could be opened: since engines are full, or since
-// there are none.
+// noChainError returns the failure to open a chain, either because the engines
+// are full or because no live ones cover the model.
 func (x *execution) noChainError(full bool) error {
 	if full {
 		return failure.New(failure.Overloaded, "the engines of model %q are full", x.req.Model.Name)
@@ -122,7 +121,7 @@
 	return list
 }
 
-// abandonStages gives up the present stages, to be cancelled in the end.
+// abandonStages abandons all stages. Their sessions are cancelled at the end.
 func (x *execution) abandonStages() {
 	for _, s := range x.stages {
 		x.abandon(s)
@@ -138,8 +137,8 @@
 	x.abandoned = append(x.abandoned, s)
 }
 
-// requiredPositions is how many positions every stage must hold before the request can be
-// carried on: all before the last emitted token.
+// requiredPositions returns how many positions every stage must hold before the
+// request can resume: all before the last emitted token.
 func (x *execution) requiredPositions() int {
 	if len(x.emitted) == 0 {
 		return 0
@@ -163,7 +162,7 @@
 	}
 }
 
-// recordRepair notes the first token after a repair.
+// recordRepair records the duration of a repair at the first token after it.
 func (x *execution) recordRepair(now time.Time) {
 	if x.faultAt.IsZero() {
 		return
@@ -174,7 +173,8 @@
 	metrics.Observe(x.r.cfg.Metrics.Histogram("chain_repair_us"), d)
 }
 
-// closeAll cancels the request's sessions, without waiting for it.
+// closeAll completes the result and cancels the request's sessions in the
+// background.
 func (x *execution) closeAll() {
 	x.result.Path = x.path()
 	x.result.PromptTokens = x.promptLen
--- a/pkg/chain/fixture_test.go
+++ b/pkg/chain/fixture_test.go
@@ -53,10 +53,10 @@
 }
 
 func (h *fakeHost) kill() {
-	_ = h.server.Close() // it is meant to break
+	_ = h.server.Close() // open connections are to break
 }
 
-// cluster is engines and a runner over them.
+// cluster is a set of engines and a runner on them.
 type cluster struct {
 	hosts  []*fakeHost
 	dir    *directory.Directory
@@ -64,7 +64,7 @@
 	group  *group.Group
 }
 
-// newCluster starts copies of engines for each of three layer ranges.
+// newCluster starts the given number of engines for each of three layer ranges.
 func newCluster(copies int) (*cluster, error) {
 	g := group.New(context.Background())
 	c := &cluster{
@@ -140,14 +140,14 @@
 		Handler: h.engine.Handler(),
 	}
 	g.Go(func(context.Context) {
-		_ = h.server.Serve(l) // it ends by Close
+		_ = h.server.Serve(l) // returns after Close
 	})
 	return h, nil
 }
 
-// abortGenerate has the first hosts take a request to generate and then close
-// the connection, so that no one can tell whether it began. It returns how
-// often they were asked.
+// abortGenerate makes the first hosts accept a generate request and then close
+// the connection, so that the caller cannot tell whether it was started. It
+// returns the count of such requests.
 func (c *cluster) abortGenerate(hosts int) *atomic.Int64 {
 	generateCalls := &atomic.Int64{}
 	for _, h := range c.hosts[:hosts] {
@@ -170,8 +170,8 @@
 	c.group.Stop()
 }
 
-// servingHost returns the host that holds a request's stage s now: the one with
-// that layer range whose ledger for it is the longest.
+// servingHost returns the host that serves stage s now: the one with that layer
+// range that has the most sessions.
 func (c *cluster) servingHost(s int) *fakeHost {
 	const span = layers / 3
 	var best *fakeHost
@@ -188,7 +188,7 @@
 	return best
 }
 
-// answer is what a caller got.
+// answer is what the caller of a request received.
 type answer struct {
 	text   strings.Builder
 	tokens int
@@ -196,8 +196,8 @@
 	err    error
 }
 
-// generate runs a request; before each token, before(n) is called with how many
-// came already.
+// generate runs a request. It calls before at the start and after each token,
+// with the number of tokens received so far.
 func (c *cluster) generate(id string, before func(n int)) *answer {
 	a := &answer{}
 	before(0)
@@ -219,7 +219,7 @@
 	return a
 }
 
-// reference is the one right answer.
+// reference returns the only correct answer.
 func reference() string {
 	var b strings.Builder
 	for _, t := range model.Reference(layers, seed, model.Tokenize(prompt), maxTokens) {
@@ -228,7 +228,8 @@
 	return b.String()
 }
 
-// verify holds an answer and the engines' ledgers against the oracle.
+// verify checks an answer against the reference, and the engines' ledgers for
+// positions that were run more than once.
 func (c *cluster) verify(id string, a *answer) error {
 	if a.err != nil {
 		return errors.Wrap(a.err, "the request failed")
--- a/pkg/chain/matrix_test.go
+++ b/pkg/chain/matrix_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// fault is one way in which a stage fails.
+// fault is a way in which a stage can fail.
 type fault struct {
 	name   string
 	inject func(h *fakeHost)
@@ -35,21 +35,22 @@
 	{name: "kill", inject: (*fakeHost).kill},
 	{name: "freeze", inject: injectEngineFault(engine.Fault{FreezeMS: longFreezeMS})},
 	{name: "freeze and thaw", inject: injectEngineFault(engine.Fault{FreezeMS: shortFreezeMS})},
-	{name: "cut in", inject: injectEngineFault(engine.Fault{Cut: true})},
-	{name: "cut out", inject: injectEngineFault(engine.Fault{CutOut: true})},
+	{name: "inbound cut", inject: injectEngineFault(engine.Fault{Cut: true})},
+	{name: "outbound cut", inject: injectEngineFault(engine.Fault{CutOut: true})},
 	{name: "slow", inject: injectEngineFault(engine.Fault{Slow: 30})},
 	{name: "doubled", inject: injectEngineFault(engine.Fault{Duplicate: true})},
 	{name: "reordered", inject: injectEngineFault(engine.Fault{Reorder: true})},
 	{name: "corrupt", inject: injectEngineFault(engine.Fault{Corrupt: true})},
 	{name: "restart", inject: injectEngineFault(engine.Fault{Forget: true})},
-	{name: "die in a pass", inject: injectEngineFault(engine.Fault{DieAfter: 1})},
+	{name: "crash in a pass", inject: injectEngineFault(engine.Fault{DieAfter: 1})},
 }
 
-// steps are the numbers of tokens after which faults come: before the request
-// is opened, at the prefill's answer, early, in the middle, and at the last.
+// steps are the numbers of emitted tokens at which faults are injected: before
+// the request is opened, at the answer to the prefill, early, in the middle, and
+// before the last token.
 var steps = []int{0, 1, 2, maxTokens / 2, maxTokens - 1}
 
-// scenario is one place in the matrix: faults and when they come.
+// scenario is a set of faults and when they are injected.
 type scenario struct {
 	name   string
 	events []event
@@ -61,8 +62,8 @@
 	step  int
 }
 
-// runScenarios runs all scenarios at once, each on a cluster of its own, and returns
-// what went wrong in each.
+// runScenarios runs the scenarios in parallel, each on its own cluster, and
+// returns the errors.
 func runScenarios(scenarios []scenario) []string {
 	var mu sync.Mutex
 	var failures []string
@@ -101,12 +102,12 @@
 }
 
 var _ = Describe("a request over a chain", func() {
-	It("gives the whole answer when nothing fails", func() {
+	It("returns the complete answer when nothing fails", func() {
 		Expect(runScenarios([]scenario{{name: "healthy"}})).To(BeEmpty())
 	})
 
 	for _, f := range faults {
-		It("is whole, and runs each position once a stage, after: "+f.name, func() {
+		It("returns the complete answer and runs each position once per stage after: "+f.name, func() {
 			var scenarios []scenario
 			for stage := range 3 {
 				for _, step := range steps {
@@ -125,7 +126,7 @@
 	}
 
 	for _, first := range faults[:4] {
-		It("survives a second loss right after: "+first.name, func() {
+		It("survives a second fault right after: "+first.name, func() {
 			var scenarios []scenario
 			for _, second := range faults[:5] {
 				for stage := range 3 {
@@ -142,7 +143,7 @@
 		})
 	}
 
-	It("survives all three stages lost at once", func() {
+	It("survives the loss of all three stages at once", func() {
 		Expect(runScenarios([]scenario{{
 			name: "three kills",
 			events: []event{
@@ -154,8 +155,8 @@
 	})
 })
 
-var _ = Describe("an endpoint that leaves", func() {
-	It("cuts nothing off: its KV cache moves, and no position runs twice anywhere", func() {
+var _ = Describe("a leaving endpoint", func() {
+	It("interrupts no request: its KV cache is moved, and no position runs twice", func() {
 		for stage := range 3 {
 			cl, err := newCluster(2)
 			Expect(err).NotTo(HaveOccurred())
@@ -178,7 +179,7 @@
 		}
 	})
 
-	It("ends the request where it is if no one can take its place", func() {
+	It("completes the request if no endpoint can replace it", func() {
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
@@ -192,7 +193,7 @@
 		Expect(a.result.Path).To(ContainElement(cl.hosts[1].address))
 	})
 
-	It("gets no new work as soon as it says so itself", func() {
+	It("gets no new requests once an engine has reported it", func() {
 		cl, err := newCluster(2)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
@@ -206,11 +207,11 @@
 				started++
 			}
 		}
-		Expect(started).To(BeNumerically("<=", 1), "only the request that learnt it may have begun there")
+		Expect(started).To(BeNumerically("<=", 1), "only the request that received the notice may have started there")
 	})
 })
 
-// runsOf returns how often each position ran on any host of a stage.
+// runsOf returns how often each position was run on all hosts of a stage.
 func (c *cluster) runsOf(id string, stage int) []int {
 	const span = layers / 3
 	var sum []int
@@ -229,8 +230,8 @@
 	return sum
 }
 
-var _ = Describe("a request that can't run", func() {
-	It("says that it was not run when no chain covers the model", func() {
+var _ = Describe("a request that cannot run", func() {
+	It("reports that it was not run when no chain covers the model", func() {
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
@@ -249,7 +250,7 @@
 		}
 	})
 
-	It("says that it was not run when every engine of a stage is gone", func() {
+	It("reports that it was not run when every engine of a stage is gone", func() {
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
@@ -262,7 +263,7 @@
 		}
 	})
 
-	It("says that the engines are full, and when to come back, and blames no engine", func() {
+	It("reports that the engines are full and when to retry, and no endpoint is avoided", func() {
 		cl, err := newCluster(2)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
@@ -278,7 +279,7 @@
 		}
 	})
 
-	It("gives up when no one can take a lost stage's place, and says that it ran", func() {
+	It("fails when no endpoint can replace a lost stage, and reports that it ran", func() {
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
@@ -293,10 +294,10 @@
 		Expect(f.RetryAfter()).To(BeNumerically(">", 0))
 	})
 
-	It("is never started anew if it must not be repeated", func() {
+	It("is not restarted if it must run at most once", func() {
 		cases := []struct {
 			once             bool
-			minGenerateCalls int // that were asked to generate
+			minGenerateCalls int // generate requests sent to first stages
 		}{
 			{once: true, minGenerateCalls: 1},
 			{once: false, minGenerateCalls: 2},
@@ -317,13 +318,13 @@
 				f := failure.From(err)
 				Expect(f.Kind()).To(Equal(failure.EndpointFailed))
 				Expect(f.Ran()).To(Equal(failure.RanUnknown))
-				Expect(generateCalls.Load()).To(Equal(int64(1)), "it was asked once, and never again")
+				Expect(generateCalls.Load()).To(Equal(int64(1)), "only one generate request may be sent")
 			}
 			cl.stop()
 		}
 	})
 
-	It("ends at once when the caller goes away", func() {
+	It("ends when the caller goes away", func() {
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
--- a/pkg/chain/move.go
+++ b/pkg/chain/move.go
@@ -7,28 +7,30 @@
 	"github.com/larchwinch/larchwinch/pkg/api"
 )
 
-// reasonLeaving is the reason of a stage that leaves on plan. It is still
-// there, so its KV cache is moved instead of being computed anew.
+// reasonLeaving is the reason of a stage whose endpoint is leaving. The endpoint
+// still answers, so its KV cache is moved instead of being computed again.
 const reasonLeaving = "leaving"
 
 const (
-	// minMoveTokens is how many tokens a request must still need for its stage to
-	// be moved off an endpoint that leaves; a shorter one ends where it is.
+	// minMoveTokens is the least number of tokens that a request must still
+	// generate for its stage to be moved off a leaving endpoint; a shorter
+	// request completes where it is.
 	minMoveTokens = 16
-	// leavingCheckTokens is after how many tokens it is looked whether one leaves.
+	// leavingCheckTokens is the number of tokens between checks for leaving
+	// endpoints.
 	leavingCheckTokens = 4
 	kvTimeout          = 5 * time.Second
 )
 
-// move is one stage's move from an endpoint that leaves.
+// move is the move of one stage off a leaving endpoint.
 type move struct {
 	from *stage
 	to   *stage
-	kv   *api.EngineKV // nil if it could not be exported
+	kv   *api.EngineKV // nil if the export failed
 }
 
-// leavingStages returns the stages whose endpoints leave, if the request is
-// long enough to be moved.
+// leavingStages returns the stages whose endpoints are leaving, or nil if the
+// request has too few tokens left to be moved.
 func (x *execution) leavingStages() lostStages {
 	if x.movesDisabled || len(x.emitted)%leavingCheckTokens != 0 || x.req.MaxTokens-len(x.emitted) < minMoveTokens {
 		return nil
@@ -55,15 +57,15 @@
 	return len(lost) > 0
 }
 
-// exportKV fences the sessions that move and takes their KV caches. The fence
-// comes first: a step that is still on its way ends before it or is refused
-// after it, and so the cache holds every position that was run.
+// exportKV fences the sessions to be moved and exports their KV caches. The
+// fence comes first: a step that is in flight completes before the fence or is
+// rejected after it, so the exported cache holds every position that was run.
 func (x *execution) exportKV(ctx context.Context, moves []*move) {
 	for _, m := range moves {
 		address := m.from.endpoint.Address()
 		opened := api.EngineOpened{}
 		if x.r.call(ctx, x.openTimeout(m.from), address, api.EngineOpenPath, x.openMessage(stepTimeout{}), &opened) != nil {
-			continue // it is rebuilt like a lost one
+			continue // it is rebuilt like a lost stage
 		}
 		kv := &api.EngineKV{}
 		if x.r.get(ctx, kvTimeout, address, api.EngineKVPath+"?request="+x.req.ID, kv) == nil {
@@ -72,7 +74,7 @@
 	}
 }
 
-// importKV gives the exported KV caches to the new stages.
+// importKV imports the exported KV caches into the new stages.
 func (x *execution) importKV(ctx context.Context, moves []*move) {
 	for _, m := range moves {
 		if m.kv == nil {
--- a/pkg/chain/open.go
+++ b/pkg/chain/open.go
@@ -15,14 +15,14 @@
 )
 
 // openTimeout returns how long an engine may take to open a session: it may
-// have to end the pass that the session is in.
+// first have to complete the pass that the session is in.
 func (x *execution) openTimeout(s *stage) time.Duration {
 	pass, _ := x.r.cfg.Router.PassTime(s.endpoint)
 	return x.r.timeout(pass, 0)
 }
 
-// openAll opens the present attempt on every stage at once. It returns the
-// stages that didn't take it.
+// openAll opens the current attempt on all stages in parallel. It returns the
+// stages that failed to open.
 func (x *execution) openAll(ctx context.Context) lostStages {
 	timeouts := x.stepTimeouts()
 	var mu sync.Mutex
@@ -64,7 +64,7 @@
 		s.endpoint.SetLeaving()
 	}
 	if s.open {
-		s.endpoint.Closed() // opened anew: counted once
+		s.endpoint.Closed() // reopened: count it once
 	}
 	s.open = true
 	s.endpoint.Opened(reply.Load.Sessions, x.r.cfg.Timer.Now().Sub(start))
@@ -85,5 +85,5 @@
 }
 
 func (r *Runner) cancel(ctx context.Context, address string, c api.EngineCancel) {
-	_ = r.call(ctx, cancelTimeout, address, api.EngineCancelPath, c, nil) // the engine drops orphans by itself
+	_ = r.call(ctx, cancelTimeout, address, api.EngineCancelPath, c, nil) // on failure, the engine drops orphaned sessions by itself
 }
--- a/pkg/chain/pace.go
+++ b/pkg/chain/pace.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// stepTimeEstimator learns how much longer steps take than the engines' published curves
-// say: networks, queues and busy hosts are not in the curves.
+// stepTimeEstimator estimates the ratio of measured step times to those of the
+// latency curves that engines publish, which do not include networks, queues and
+// busy hosts.
 //
-// It keeps the mean and the mean deviation of that ratio, as TCP does for
-// round-trip times, so that a timeout follows how things normally go.
+// It keeps the mean and the mean deviation of the ratio, as TCP does for
+// round-trip times, so that timeouts follow the usual step times.
 type stepTimeEstimator struct {
 	mu        sync.Mutex
 	ratio     float64
@@ -32,7 +33,8 @@
 	}
 }
 
-// observe takes one step's time and the time that the curves gave for it.
+// observe records a step's time and the time that the latency curves give for
+// it.
 func (p *stepTimeEstimator) observe(measured, modelled time.Duration) {
 	if modelled <= 0 {
 		return
@@ -48,7 +50,7 @@
 	p.deviation += deviationWeight * (deviation - p.deviation)
 }
 
-// maxStepTime returns how long a step that the curves give d for may take.
+// maxStepTime returns how long a step with the given modelled time may take.
 func (p *stepTimeEstimator) maxStepTime(modelled time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,25 +60,26 @@
 // stepTimeout is how long a call to the next stage may take.
 type stepTimeout struct {
 	base     time.Duration
-	position time.Duration // more, for each position passed on
+	position time.Duration // added for each position passed on
 }
 
 const (
-	// minTimeout is the least time that a stage gives the one after it, and
-	// hopTimeout what each further stage adds, so that the stage next to a
-	// frozen one notices it before those further up do.
+	// minTimeout is the minimum time that a stage allows the next one. Each
+	// further stage down the chain adds hopTimeout, so that the stage right
+	// before a frozen one times out before those further up do.
 	minTimeout = 80 * time.Millisecond
 	hopTimeout = 25 * time.Millisecond
-	// positionSlack widens the time for prefills, which wait for others'.
+	// positionSlack extends the time allowed for prefills, which wait for those
+	// of other requests.
 	positionSlack = 6
 )
 
-// stepTimeouts returns, for each stage, how long its call to the next may
-// take. The last stage calls nobody.
+// stepTimeouts returns, for each stage, how long its call to the next one may
+// take. The last stage makes no calls.
 //
-// What is learnt is how much the time of a whole chain varies, which varies
-// less, by its share, than that of one stage. A part of the chain is therefore
-// never given less than half of what the whole is.
+// The estimator learns the relative variation of the time of a full chain, which
+// is less than that of a single stage. The modelled time for the rest of a chain
+// is therefore never taken as less than half of that for the full chain.
 func (x *execution) stepTimeouts() []stepTimeout {
 	list := make([]stepTimeout, len(x.stages))
 	full, _ := x.modelledStepTime()
@@ -100,7 +103,8 @@
 	return t + time.Duration(positions)*positionSlack*position
 }
 
-// modelledStepTime returns what the engines' curves give for a step through the chain.
+// modelledStepTime returns the time that the engines' latency curves give for a
+// step through the chain, and for each position in it.
 func (x *execution) modelledStepTime() (step, position time.Duration) {
 	for _, s := range x.stages {
 		pass, perPosition := x.r.cfg.Router.PassTime(s.endpoint)
--- a/pkg/chain/repair.go
+++ b/pkg/chain/repair.go
@@ -9,9 +9,9 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// repair puts others in the place of lost stages and brings every stage to the
-// position at which the request stopped. What the other stages hold is kept.
-// Stages that are lost during the repair are replaced as well.
+// repair replaces lost stages and brings every stage to the position at which
+// the request stopped. The KV caches of the other stages are kept. Stages that
+// are lost during the repair are replaced as well.
 func (x *execution) repair(ctx context.Context, lost lostStages) error {
 	x.result.Repairs++
 	x.r.cfg.Metrics.Counter("chain_repairs").Inc(1)
@@ -28,14 +28,14 @@
 		moves, ok := x.replaceStages(lost, excluded)
 		if !ok {
 			if onlyLeaving(lost) {
-				x.movesDisabled = true // no one can take its place: it ends where it is
+				x.movesDisabled = true // no replacement: the request completes where it is
 				lost = lostStages{}
 				continue
 			}
 			if x.r.cfg.Timer.Now().After(deadline) {
 				return x.failed("no live endpoint can take the place of the stage that was lost")
 			}
-			excluded = map[string]bool{} // one that was lost may be back
+			excluded = map[string]bool{} // a lost endpoint may be live again
 			_ = timer.Sleep(ctx, x.r.cfg.Timer, repairRetryInterval)
 			continue
 		}
@@ -51,9 +51,9 @@
 	}
 }
 
-// replaceStages puts endpoints that cover the same layers in the place of each lost
-// stage. It changes nothing and reports false if one can't be replaced. It
-// returns the moves of stages that are still there.
+// replaceStages replaces each lost stage by endpoints that cover the same
+// layers. It returns the moves of leaving stages that a single endpoint
+// replaces. If a stage cannot be replaced, it changes nothing and returns false.
 func (x *execution) replaceStages(lost lostStages, excluded map[string]bool) ([]*move, bool) {
 	unavailable := map[string]bool{}
 	for address := range excluded {
@@ -95,9 +95,10 @@
 	return moves, true
 }
 
-// rebuildCaches fills the KV caches of stages that lack positions, from the first
-// stage to the last: the first from the tokens, each other from the
-// activations that the one before it saved. It returns what was lost meanwhile.
+// rebuildCaches fills the KV caches of stages that lack positions, from the
+// first stage to the last: the first from the tokens, each other one from the
+// activations that the stage before it saved. It returns the stages that were
+// lost meanwhile.
 func (x *execution) rebuildCaches(ctx context.Context) lostStages {
 	need := x.requiredPositions()
 	for i, s := range x.stages {
@@ -156,8 +157,8 @@
 	return nil
 }
 
-// replayActivations has the stage before send what it saved. The faulty one of the two is
-// told apart by who answers: the stage before answers the call itself.
+// replayActivations has the stage before send its saved activations. If the call
+// fails, the stage before is probed to find out which of the two is lost.
 func (x *execution) replayActivations(ctx context.Context, from, to *stage) lostStages {
 	reply := api.EngineReplayed{}
 	err := x.r.call(ctx, x.rebuildTimeout(to), from.endpoint.Address(), api.EngineReplayPath, api.EngineReplay{
@@ -178,8 +179,8 @@
 	return nil
 }
 
-// lostStagesInReplay returns the stage that a replay's fault means is lost; one that
-// has dropped the session it just opened is no better than lost.
+// lostStagesInReplay returns the stages that a fault in a replay means are lost.
+// A stage that no longer has the session it just opened counts as lost.
 func (x *execution) lostStagesInReplay(f *api.EngineFault) lostStages {
 	if lost := x.lostStagesOf(f); len(lost) > 0 {
 		return lost
@@ -189,8 +190,8 @@
 	}
 }
 
-// unresponsiveStage asks the stage before whether it is there, to tell which of the two
-// kept a replay from ending.
+// unresponsiveStage probes the stage before, and returns its address if it does
+// not answer, and that of the next stage otherwise.
 func (x *execution) unresponsiveStage(ctx context.Context, from, to *stage) string {
 	info := api.EngineInfo{}
 	if err := x.r.get(ctx, probeTimeout, from.endpoint.Address(), api.EngineInfoPath, &info); err != nil {
--- a/pkg/chain/runner.go
+++ b/pkg/chain/runner.go
@@ -1,11 +1,12 @@
-// Package chain runs a request over a chain of engines and carries it on when
-// a stage is lost in mid-stream.
+// Package chain runs a request on a chain of engines and resumes it when a stage
+// is lost in mid-stream.
 //
-// The engines pass activations on along the route that this host gives them,
-// and only tokens return. A step is named by request, attempt and position.
-// Every repair raises the attempt and opens it on all stages first, so that
-// whatever an earlier attempt still has on its way is refused; a stage that
-// has run a position gives its saved result instead of running it again.
+// The engines pass activations along the route that this host gives them, and
+// only tokens return. A step is identified by request, attempt and position.
+// Every repair first increases the attempt and opens it on all stages, so that
+// steps of earlier attempts that are still in flight are rejected; a stage that
+// has already run a position returns its saved result instead of running it
+// again.
 package chain
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Request is one generation.
+// Request is a request to generate tokens.
 type Request struct {
 	ID        string
 	Model     bundle.Model
@@ -30,8 +31,8 @@
 	Seed      uint64
 	MaxTokens int
 	Priority  int
-	// Once forbids to start the request anew. Repairs, which run no position
-	// twice on a stage that holds it, are not a new start.
+	// Once forbids restarting the request. A repair is not a restart, since a
+	// stage does not run a position again that it holds.
 	Once bool
 }
 
@@ -41,31 +42,31 @@
 	Text  string
 }
 
-// Sink takes tokens, each once and in order. An error means that the caller
-// is gone.
+// Sink receives tokens, each once and in order. An error means that the caller
+// has gone away.
 type Sink func(Token) error
 
-// Result is how a request went.
+// Result is the outcome of a request.
 type Result struct {
-	// Path is the endpoints that it ended on.
+	// Path is the addresses of the endpoints that the request ended on.
 	Path         []string
 	PromptTokens int
 	Tokens       int
 	Repairs      int
-	// RepairTimes is, for each repair, from when the fault was seen to the
-	// next token.
+	// RepairTimes is, for each repair, the time from the last event before the
+	// fault to the next token.
 	RepairTimes []time.Duration
 	End         string
 }
 
-// Config is what a Runner is made of.
+// Config configures a Runner.
 type Config struct {
 	Client    *http.Client
 	Directory *directory.Directory
 	Router    *route.Router
 	Timer     timer.Service
 	Metrics   *metrics.Set
-	// Group runs what outlives a request: the cancelling of its sessions.
+	// Group runs what outlives a request: the cancellation of its sessions.
 	Group *group.Group
 }
 
@@ -76,7 +77,7 @@
 	stepTimes *stepTimeEstimator
 }
 
-// New returns a runner; its watchdog runs in cfg.Group.
+// New returns a runner. Its watchdog runs in cfg.Group.
 func New(cfg Config) *Runner {
 	r := &Runner{
 		cfg:       cfg,
@@ -88,15 +89,15 @@
 }
 
 const (
-	// repairTimeout is for how long a repair waits for an endpoint that can
-	// take the lost stage's place.
+	// repairTimeout is how long a repair waits for an endpoint that can replace
+	// the lost stage.
 	repairTimeout       = 3 * time.Second
 	repairRetryInterval = 50 * time.Millisecond
 	maxRepairs          = 64
 )
 
-// Run generates, and gives each token to sink. The error is a *failure.Error
-// that says whether the request ran.
+// Run runs the request and passes each token to sink. A returned error is a
+// *failure.Error that tells whether the request ran.
 func (r *Runner) Run(ctx context.Context, req Request, sink Sink) (Result, error) {
 	x := newExecution(r, req, sink)
 	err := x.run(ctx)
@@ -126,9 +127,9 @@
 	}
 }
 
-// wouldRestart reports whether a repair would run the request again rather
-// than carry it on: nothing was emitted and the stage that may have begun it
-// is lost, or no stage that held it is left.
+// wouldRestart reports whether a repair would restart the request rather than
+// resume it: because nothing was emitted and the stage that may have started it
+// is lost, or because no stage that held it is left.
 func (x *execution) wouldRestart(lost lostStages) bool {
 	kept := 0
 	for _, s := range x.stages {
@@ -140,12 +141,12 @@
 	return kept == 0 || (firstLost && len(x.emitted) == 0)
 }
 
-// failed returns the failure of a request that can't be carried on.
+// failed returns the failure of a request that cannot be resumed.
 func (x *execution) failed(format string, args ...any) error {
 	return failure.New(failure.EndpointFailed, format, args...).WithRan(x.ran())
 }
 
-// ran says what is known of the request: whether an engine may have begun it.
+// ran reports whether an engine may have started the request.
 func (x *execution) ran() failure.Ran {
 	switch {
 	case len(x.emitted) > 0:
--- a/pkg/chain/stream.go
+++ b/pkg/chain/stream.go
@@ -9,8 +9,8 @@
 	"github.com/larchwinch/larchwinch/pkg/failure"
 )
 
-// stream asks the first stage to generate and passes tokens to the sink. It
-// returns the stages that were lost, or nil if the request is done.
+// stream requests generation from the first stage and passes tokens to the sink.
+// It returns the stages that were lost, or nil if the request is done.
 func (x *execution) stream(ctx context.Context) (lostStages, error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -33,7 +33,7 @@
 	return x.readEvents(ctx, firstAddress, json.NewDecoder(resp.Body), w)
 }
 
-// estimatePositions is about how many positions the next step passes on.
+// estimatePositions estimates how many positions the next step passes on.
 func (x *execution) estimatePositions() int {
 	if len(x.emitted) > 0 {
 		return x.requiredPositions()
@@ -45,7 +45,7 @@
 	return x.r.cfg.Timer.Now().Add(x.tokenTimeout(positions))
 }
 
-// firstStageLost blames the first stage, unless the request itself is at its end.
+// firstStageLost reports the first stage as lost, unless ctx is done.
 func (x *execution) firstStageLost(ctx context.Context, firstAddress, reason string) (lostStages, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, contextFailure(err).WithRan(x.ran())
@@ -55,7 +55,8 @@
 	}, nil
 }
 
-// maxBufferedEvents bounds the events that are held because earlier ones are missing.
+// maxBufferedEvents limits the events that are buffered because earlier ones are
+// missing.
 const maxBufferedEvents = 16
 
 func (x *execution) readEvents(ctx context.Context, firstAddress string, dec *json.Decoder, w *watchedStream) (lostStages, error) {
@@ -83,7 +84,7 @@
 		for ok := true; ok; ev, ok = buffered[len(x.emitted)] {
 			delete(buffered, ev.Index)
 			if ev.Index < len(x.emitted) {
-				break // a second copy
+				break // duplicate
 			}
 			if done, err := x.handleEvent(ev); done || err != nil {
 				return nil, err
@@ -96,7 +97,8 @@
 	}
 }
 
-// recordToken learns from the time that a token took, and waits for the next.
+// recordToken updates the step time estimate and extends the deadline for the
+// next token.
 func (x *execution) recordToken(modelled time.Duration, w *watchedStream) {
 	now := x.r.cfg.Timer.Now()
 	if len(x.emitted) > 1 && x.faultAt.IsZero() {
@@ -107,7 +109,7 @@
 	w.extend(now.Add(x.tokenTimeout(1)))
 }
 
-// handleEvent handles the event that comes next.
+// handleEvent handles the next event in order.
 func (x *execution) handleEvent(ev api.EngineEvent) (done bool, err error) {
 	if ev.PromptLen > 0 {
 		x.promptLen = ev.PromptLen
@@ -127,8 +129,8 @@
 	return false, nil
 }
 
-// lostStagesOf returns the stages that a fault means are lost. A stage that is there
-// but lacks the session or earlier positions is rebuilt where it is.
+// lostStagesOf returns the stages that a fault means are lost. A stage that
+// answers but lacks the session or earlier positions is rebuilt in place.
 func (x *execution) lostStagesOf(f *api.EngineFault) lostStages {
 	switch f.Reason {
 	case api.FaultGone, api.FaultGap:
@@ -144,9 +146,10 @@
 	}
 }
 
-// attributeFault decides between a stage that can't be reached and the one before it,
-// which says so. The first time it is the later one that is replaced; if the
-// earlier one then can't reach the replacement either, it is itself cut off.
+// attributeFault decides which stage is lost: one that is reported as
+// unreachable, or the stage before it, which reports that. On the first report
+// it is the later one. If the earlier one then cannot reach the replacement
+// either, it is itself partitioned.
 func (x *execution) attributeFault(f *api.EngineFault) lostStages {
 	reporter := x.previousStage(f.Address)
 	if reporter != "" && reporter == x.reporter && x.reportedAt == len(x.emitted) {
@@ -161,7 +164,8 @@
 	}
 }
 
-// previousStage returns the address of the stage before the one at an address.
+// previousStage returns the address of the stage before the one at address, or
+// "" if there is none.
 func (x *execution) previousStage(address string) string {
 	for i, s := range x.stages {
 		if s.endpoint.Address() == address && i > 0 {
--- a/pkg/chain/watchdog.go
+++ b/pkg/chain/watchdog.go
@@ -8,9 +8,9 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// watchdog cancels streams that are silent for too long. One ticker serves
-// all streams, since a timer set and unset for each token costs more than the
-// token does.
+// watchdog cancels streams that exceed their deadline without an event. One
+// ticker serves all streams, since setting and stopping a timer for each token
+// would cost more than the token itself.
 type watchdog struct {
 	svc timer.Service
 
@@ -18,7 +18,7 @@
 	streams map[*watchedStream]struct{}
 }
 
-// watchedStream is one stream under the watchdog.
+// watchedStream is a stream that is monitored by the watchdog.
 type watchedStream struct {
 	mu       sync.Mutex
 	deadline time.Time
@@ -56,7 +56,7 @@
 	}
 }
 
-// add puts a stream under the watchdog until remove.
+// add monitors a stream until remove is called.
 func (d *watchdog) add(until time.Time, cancel context.CancelFunc) *watchedStream {
 	w := &watchedStream{
 		deadline: until,
@@ -74,14 +74,14 @@
 	delete(d.streams, w)
 }
 
-// extend gives the stream until a later time.
+// extend sets a later deadline.
 func (w *watchedStream) extend(until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.deadline = until
 }
 
-// hasExpired reports whether the watchdog cancelled the stream.
+// hasExpired reports whether the watchdog has cancelled the stream.
 func (w *watchedStream) hasExpired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
