--- a/pkg/chain/call.go
+++ b/pkg/chain/call.go
@@ -13,7 +13,7 @@
 	"github.com/larchwinch/larchwinch/pkg/api"
 )
 
-// statusError says that an engine refused a call.
+// statusError is returned if an engine answered with a status other than 200.
 type statusError struct {
 	status int
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	defer closeBody(resp)
+	defer drainAndClose(resp)
 	if out == nil {
 		return nil
 	}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// get decodes what an engine has at path into out.
+// get gets path from an engine and decodes the answer into out.
 func (r *Runner) get(ctx context.Context, timeout time.Duration, address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 	if err != nil {
 		return errors.Wrap(err, "call engine")
 	}
-	defer closeBody(resp)
+	defer drainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
 		return &statusError{
 			status: resp.StatusCode,
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// post returns an answer of status 200; its body must be closed.
+// post posts in to an engine and returns the response if its status is 200; the
+// caller must close its body.
 func (r *Runner) post(ctx context.Context, address, path string, in any) (*http.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -80,7 +81,7 @@
 		return nil, errors.Wrap(err, "call engine")
 	}
 	if resp.StatusCode != http.StatusOK {
-		closeBody(resp)
+		drainAndClose(resp)
 		return nil, &statusError{
 			status: resp.StatusCode,
 		}
@@ -88,17 +89,18 @@
 	return resp, nil
 }
 
-// closeBody reads the little that is left, so that the connection is kept.
-func closeBody(resp *http.Response) {
+// drainAndClose reads what is left of a short body, so that the connection is
+// reused, and closes it.
+func drainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, 4096)
 	_ = resp.Body.Close()
 }
 
-// reasonFull is the reason of an engine that has no slot left.
+// reasonFull is the reason of an engine that has no free slot.
 const reasonFull = "full"
 
-// reasonOf names the reason of a failed call as engines do.
-func reasonOf(err error) string {
+// faultReason returns the reason of a failed call, as engines name it.
+func faultReason(err error) string {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return api.FaultUnreachable
--- a/pkg/chain/execution.go
+++ b/pkg/chain/execution.go
@@ -12,38 +12,38 @@
 	"github.com/larchwinch/larchwinch/pkg/route"
 )
 
-// stage is one endpoint's part in an execution.
+// stage is one endpoint of the chain with the layers that it runs.
 type stage struct {
-	endpoint *directory.Endpoint
-	first    int
-	end      int
-	open     bool
-	have     int // positions it held when it was opened last
+	endpoint        *directory.Endpoint
+	first           int
+	end             int
+	open            bool
+	cachedPositions int // positions in its KV cache when it was last opened
 }
 
-// execution is one request on its way.
+// execution is the execution of one request.
 //
 // Invariants: emitted is exactly what the sink was given; stages cover the
-// model's layers in order; attempt rises before any stage is opened anew.
+// model's layers in order; attempt increases before any stage is reopened.
 type execution struct {
 	r    *Runner
 	req  Request
 	sink Sink
 
-	attempt   int
-	stages    []*stage
-	left      []*stage // opened in earlier attempts, to be cancelled
-	emitted   []int
-	promptLen int
-	sent      bool // an engine may have begun the request
-	stay      bool // stages that leave can't be replaced
-	result    Result
+	attempt       int
+	stages        []*stage
+	abandoned     []*stage // stages that were replaced, to be cancelled at the end
+	emitted       []int
+	promptLen     int
+	generateSent  bool // an engine may have started the request
+	movesDisabled bool // leaving stages cannot be replaced
+	result        Result
 
-	accuser   string // the stage that last said it can't reach the next
-	accusedAt int    // how many tokens were emitted then
+	reporter   string // the stage that last reported it cannot reach the next one
+	reportedAt int    // number of tokens emitted at that report
 
 	lastEvent time.Time
-	faultAt   time.Time // zero if no repair is under way
+	faultAt   time.Time // last event before the fault; zero if no repair is in progress
 }
 
 func newExecution(r *Runner, req Request, sink Sink) *execution {
@@ -54,30 +54,29 @@
 	}
 }
 
-// lostStages are the stages that a stream ended for, by address, with the
-// reasons. An empty one means that the chain is whole and only has to be
-// opened anew.
+// lostStages maps the address of each lost stage to the reason. If it is empty
+// but not nil, the chain is complete and only has to be reopened.
 type lostStages map[string]string
 
 func (x *execution) candidates() []*directory.Endpoint {
 	return x.r.cfg.Directory.Stages(x.req.Model.Name, x.req.Model.Version)
 }
 
-// maxStarts is how many times stages that don't open are replaced when engines
-// are full: looking further costs more than coming back later.
-const maxStarts = 10
+// maxOpenTries limits how often stages that failed to open are replaced if
+// engines are full: further tries cost more than a later retry by the caller.
+const maxOpenTries = 10
 
-// start chooses a chain and opens it, replacing the stages that don't open and
-// keeping those that do. Nothing was run if it fails.
-func (x *execution) start(ctx context.Context) error {
+// openChain chooses a chain and opens it. It keeps the stages that open and
+// replaces the others. If it fails, nothing was run.
+func (x *execution) openChain(ctx context.Context) error {
 	c := x.r.cfg.Router.Choose(x.candidates(), 0, x.req.Model.Layers, nil)
 	if c == nil {
-		return x.noChain(false)
+		return x.noChainError(false)
 	}
 	x.setStages(c)
-	banned := map[string]bool{}
+	excluded := map[string]bool{}
 	full := false
-	for try := 0; ; try++ {
+	for tries := 0; ; tries++ {
 		failed := x.openAll(ctx)
 		if err := ctx.Err(); err != nil {
 			return contextFailure(err).WithRan(failure.RanNo)
@@ -86,19 +85,19 @@
 			return nil
 		}
 		for address, reason := range failed {
-			banned[address] = true
+			excluded[address] = true
 			full = full || reason == reasonFull
 		}
 		x.attempt++
-		if _, ok := x.replace(failed, banned); !ok || (full && try >= maxStarts) {
-			return x.noChain(full)
+		if _, ok := x.replaceStages(failed, excluded); !ok || (full && tries >= maxOpenTries) {
+			return x.noChainError(full)
 		}
 	}
 }
 
-// noChain says that no chain could be opened: since engines are full, or since
-// there are none.
-func (x *execution) noChain(full bool) error {
+// noChainError returns the failure to open a chain, either because the engines
+// are full or because no live ones cover the model.
+func (x *execution) noChainError(full bool) error {
 	if full {
 		return failure.New(failure.Overloaded, "the engines of model %q are full", x.req.Model.Name)
 	}
@@ -122,7 +121,7 @@
 	return list
 }
 
-// abandonStages gives up the present stages, to be cancelled in the end.
+// abandonStages abandons all stages. Their sessions are cancelled at the end.
 func (x *execution) abandonStages() {
 	for _, s := range x.stages {
 		x.abandon(s)
@@ -135,19 +134,19 @@
 		s.open = false
 		s.endpoint.Closed()
 	}
-	x.left = append(x.left, s)
+	x.abandoned = append(x.abandoned, s)
 }
 
-// need is how many positions every stage must hold before the request can be
-// carried on: all before the last emitted token.
-func (x *execution) need() int {
+// requiredPositions returns how many positions every stage must hold before the
+// request can resume: all before the last emitted token.
+func (x *execution) requiredPositions() int {
 	if len(x.emitted) == 0 {
 		return 0
 	}
 	return x.promptLen + len(x.emitted) - 1
 }
 
-func (x *execution) faultSeen(lost lostStages) {
+func (x *execution) recordFault(lost lostStages) {
 	if x.faultAt.IsZero() {
 		x.faultAt = x.lastEvent
 	}
@@ -163,8 +162,8 @@
 	}
 }
 
-// resumed notes the first token after a repair.
-func (x *execution) resumed(now time.Time) {
+// recordRepair records the duration of a repair at the first token after it.
+func (x *execution) recordRepair(now time.Time) {
 	if x.faultAt.IsZero() {
 		return
 	}
@@ -174,19 +173,20 @@
 	metrics.Observe(x.r.cfg.Metrics.Histogram("chain_repair_us"), d)
 }
 
-// closeAll cancels the request's sessions, without waiting for it.
+// closeAll completes the result and cancels the request's sessions in the
+// background.
 func (x *execution) closeAll() {
 	x.result.Path = x.path()
 	x.result.PromptTokens = x.promptLen
 	x.result.Tokens = len(x.emitted)
 	x.abandonStages()
-	left := x.left
+	abandoned := x.abandoned
 	cancel := api.EngineCancel{
 		Request: x.req.ID,
 		Attempt: x.attempt,
 	}
 	x.r.cfg.Group.Go(func(ctx context.Context) {
-		for _, s := range left {
+		for _, s := range abandoned {
 			x.r.cancel(ctx, s.endpoint.Address(), cancel)
 		}
 	})
--- a/pkg/chain/pace.go
+++ b/pkg/chain/pace.go
@@ -5,111 +5,115 @@
 	"time"
 )
 
-// pace learns how much longer steps take than the engines' published curves
-// say: networks, queues and busy hosts are not in the curves.
+// stepTimeEstimator estimates the ratio of measured step times to those of the
+// latency curves that engines publish, which do not include networks, queues and
+// busy hosts.
 //
-// It keeps the mean and the mean deviation of that ratio, as TCP does for
-// round-trip times, so that a timeout follows how things normally go.
-type pace struct {
+// It keeps the mean and the mean deviation of the ratio, as TCP does for
+// round-trip times, so that timeouts follow the usual step times.
+type stepTimeEstimator struct {
 	mu        sync.Mutex
 	ratio     float64
 	deviation float64
 }
 
 const (
-	firstRatio     = 2.0
-	firstDeviation = 1.0
-	ratioShare     = 0.05
-	deviationShare = 0.05
-	deviations     = 6
-	maxRatio       = 200
+	initialRatio      = 2.0
+	initialDeviation  = 1.0
+	ratioWeight       = 0.05
+	deviationWeight   = 0.05
+	timeoutDeviations = 6
+	maxRatio          = 200
 )
 
-func newPace() *pace {
-	return &pace{
-		ratio:     firstRatio,
-		deviation: firstDeviation,
+func newStepTimeEstimator() *stepTimeEstimator {
+	return &stepTimeEstimator{
+		ratio:     initialRatio,
+		deviation: initialDeviation,
 	}
 }
 
-// observe takes one step's time and the time that the curves gave for it.
-func (p *pace) observe(took, curve time.Duration) {
-	if curve <= 0 {
+// observe records a step's time and the time that the latency curves give for
+// it.
+func (p *stepTimeEstimator) observe(measured, modelled time.Duration) {
+	if modelled <= 0 {
 		return
 	}
-	seen := min(float64(took)/float64(curve), maxRatio)
+	ratio := min(float64(measured)/float64(modelled), maxRatio)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	off := seen - p.ratio
-	p.ratio += ratioShare * off
-	if off < 0 {
-		off = -off
+	deviation := ratio - p.ratio
+	p.ratio += ratioWeight * deviation
+	if deviation < 0 {
+		deviation = -deviation
 	}
-	p.deviation += deviationShare * (off - p.deviation)
+	p.deviation += deviationWeight * (deviation - p.deviation)
 }
 
-// bound returns how long a step that the curves give d for may take.
-func (p *pace) bound(d time.Duration) time.Duration {
+// maxStepTime returns how long a step with the given modelled time may take.
+func (p *stepTimeEstimator) maxStepTime(modelled time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(float64(d) * (p.ratio + deviations*p.deviation))
+	return time.Duration(float64(modelled) * (p.ratio + timeoutDeviations*p.deviation))
 }
 
 // stepTimeout is how long a call to the next stage may take.
 type stepTimeout struct {
 	base     time.Duration
-	position time.Duration // more, for each position passed on
+	position time.Duration // added for each position passed on
 }
 
 const (
-	// minTimeout is the least time that a stage gives the one after it, and
-	// hopTimeout what each further stage adds, so that the stage next to a
-	// frozen one notices it before those further up do.
+	// minTimeout is the minimum time that a stage allows the next one. Each
+	// further stage down the chain adds hopTimeout, so that the stage right
+	// before a frozen one times out before those further up do.
 	minTimeout = 80 * time.Millisecond
 	hopTimeout = 25 * time.Millisecond
-	// positionSlack widens the time for prefills, which wait for others'.
+	// positionSlack extends the time allowed for prefills, which wait for those
+	// of other requests.
 	positionSlack = 6
 )
 
-// stepTimeouts returns, for each stage, how long its call to the next may
-// take. The last stage calls nobody.
+// stepTimeouts returns, for each stage, how long its call to the next one may
+// take. The last stage makes no calls.
 //
-// What is learnt is how much the time of a whole chain varies, which varies
-// less, by its share, than that of one stage. A part of the chain is therefore
-// never given less than half of what the whole is.
+// The estimator learns the relative variation of the time of a full chain, which
+// is less than that of a single stage. The modelled time for the rest of a chain
+// is therefore never taken as less than half of that for the full chain.
 func (x *execution) stepTimeouts() []stepTimeout {
 	list := make([]stepTimeout, len(x.stages))
-	whole, _ := x.curve()
-	var curve, position time.Duration
+	full, _ := x.modelledStepTime()
+	var modelled, position time.Duration
 	for i := len(x.stages) - 1; i >= 0; i-- {
 		list[i] = stepTimeout{
-			base:     x.r.timeout(max(curve, whole/2), len(x.stages)-1-i),
+			base:     x.r.timeout(max(modelled, full/2), len(x.stages)-1-i),
 			position: positionSlack * position,
 		}
-		pass, per := x.r.cfg.Router.PassTime(x.stages[i].endpoint)
-		curve += pass
-		position += per
+		pass, perPosition := x.r.cfg.Router.PassTime(x.stages[i].endpoint)
+		modelled += pass
+		position += perPosition
 	}
 	return list
 }
 
-// wholeTimeout returns how long this host waits for a token of the chain.
-func (x *execution) wholeTimeout(positions int) time.Duration {
-	curve, position := x.curve()
-	t := x.r.timeout(curve, len(x.stages))
+// tokenTimeout returns how long this host waits for a token of the chain.
+func (x *execution) tokenTimeout(positions int) time.Duration {
+	modelled, position := x.modelledStepTime()
+	t := x.r.timeout(modelled, len(x.stages))
 	return t + time.Duration(positions)*positionSlack*position
 }
 
-// curve returns what the engines' curves give for a step through the chain.
-func (x *execution) curve() (step, position time.Duration) {
+// modelledStepTime returns the time that the engines' latency curves give for a
+// step through the chain, and for each position in it.
+func (x *execution) modelledStepTime() (step, position time.Duration) {
 	for _, s := range x.stages {
-		pass, per := x.r.cfg.Router.PassTime(s.endpoint)
+		pass, perPosition := x.r.cfg.Router.PassTime(s.endpoint)
 		step += pass
-		position += per
+		position += perPosition
 	}
 	return step, position
 }
 
-func (r *Runner) timeout(curve time.Duration, hops int) time.Duration {
-	return minTimeout + time.Duration(hops)*hopTimeout + r.pace.bound(curve)
+func (r *Runner) timeout(modelled time.Duration, hops int) time.Duration {
+	return minTimeout + time.Duration(hops)*hopTimeout + r.stepTimes.maxStepTime(modelled)
 }
--- a/pkg/raft/members.go
+++ b/pkg/raft/members.go
@@ -2,9 +2,10 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// findMembers puts the last membership in the log in force. Raft's safety
-// needs it from the moment it is appended, not from its commit.
-func (c *Core) findMembers() {
+// updateMembers makes the last membership in the log the current one. For
+// safety, Raft uses a membership from the time it is appended, not from its
+// commit.
+func (c *Core) updateMembers() {
 	c.members = c.baseMembers
 	c.membersIndex = c.log.base
 	for i := len(c.log.entries) - 1; i >= 0; i-- {
@@ -15,11 +16,11 @@
 		}
 	}
 	if c.role == Leader {
-		c.matchPeers()
+		c.updatePeers()
 	}
 }
 
-// membersAt returns the replicas as of index.
+// membersAt returns the membership at index.
 func (c *Core) membersAt(index uint64) *rpc.Members {
 	for _, e := range reverse(c.log.slice(c.log.base, index, 1<<30)) {
 		if m := e.GetMembers(); m != nil {
@@ -46,19 +47,19 @@
 	return false
 }
 
-// hasQuorum reports whether the members for which yes holds are a majority.
-func (c *Core) hasQuorum(yes func(id uint64) bool) bool {
+// hasQuorum reports whether pred returns true for a majority of the members.
+func (c *Core) hasQuorum(pred func(id uint64) bool) bool {
 	n := 0
 	for _, m := range c.members.GetList() {
-		if yes(m.GetId()) {
+		if pred(m.GetId()) {
 			n++
 		}
 	}
 	return n > len(c.members.GetList())/2
 }
 
-// matchPeers makes the leader's bookkeeping fit the members in force.
-func (c *Core) matchPeers() {
+// updatePeers adds and removes entries of peers to match the current membership.
+func (c *Core) updatePeers() {
 	for id := range c.peers {
 		if !c.isMember(id) {
 			delete(c.peers, id)
@@ -76,8 +77,8 @@
 	}
 }
 
-// differ returns how many replicas are in one list but not in the other.
-func differ(a, b *rpc.Members) int {
+// countMemberChanges returns how many replicas are in only one of the two lists.
+func countMemberChanges(a, b *rpc.Members) int {
 	in := map[uint64]int{}
 	for _, m := range a.GetList() {
 		in[m.GetId()]++
--- a/pkg/raft/replicate.go
+++ b/pkg/raft/replicate.go
@@ -6,41 +6,42 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// progress is what the leader knows of one follower.
+// progress is the leader's view of one follower.
 //
-// Invariant: match < next. Entries up to match are durable there; next is a
-// guess that runs ahead of it and falls back when it proves wrong.
+// Invariant: match < next. Entries up to match are durable on the follower; next
+// is an estimate that is advanced as entries are sent and reset when the
+// follower rejects an append.
 type progress struct {
-	match  uint64
-	next   uint64
-	round  uint64 // newest heartbeat round it answered
-	active bool   // answered since the last quorum check
-	offset uint64 // of the snapshot chunk being sent
-	snap   uint64 // index of the snapshot being sent, 0 if none
-	// probing is true from a rejection until an append is accepted. Only one
-	// append is sent for each answer then: sending more ahead would bring as
-	// many rejections, each answered by more.
+	match          uint64
+	next           uint64
+	ackedRound     uint64 // last heartbeat round it answered
+	active         bool   // has answered since the last quorum check
+	snapshotOffset uint64 // offset of the snapshot chunk being sent
+	snapshotIndex  uint64 // index of the snapshot being sent; 0 if none
+	// probing is true from a rejection until an append is accepted. While it is
+	// set, only one append is sent per reply: appends pipelined on a wrong guess
+	// would each be rejected and cause another append.
 	probing bool
 }
 
 func (c *Core) tickLeader() {
-	c.beat++
-	if c.elapsed >= c.cfg.ElectionTicks {
+	c.heartbeatElapsed++
+	if c.electionElapsed >= c.cfg.ElectionTicks {
 		c.checkQuorum()
 	}
-	if c.role == Leader && c.beat >= c.cfg.HeartbeatTicks {
-		c.broadcast()
+	if c.role == Leader && c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
+		c.broadcastHeartbeat()
 	}
 }
 
-// checkQuorum steps down if no majority was heard for an election timeout, so
-// that a leader that was cut off stops answering.
+// checkQuorum steps down if no majority has answered within an election timeout,
+// so that a partitioned leader stops serving.
 func (c *Core) checkQuorum() {
-	c.elapsed = 0
-	heard := c.hasQuorum(func(id uint64) bool {
+	c.electionElapsed = 0
+	active := c.hasQuorum(func(id uint64) bool {
 		return id == c.cfg.ID || c.peers[id].active
 	})
-	if !heard {
+	if !active {
 		c.becomeFollower(c.term, 0)
 		return
 	}
@@ -49,21 +50,21 @@
 	}
 }
 
-// appendOwn appends the leader's own entry and returns its index.
-func (c *Core) appendOwn(e *rpc.LogEntry) uint64 {
+// appendAsLeader appends an entry in the current term and returns its index.
+func (c *Core) appendAsLeader(e *rpc.LogEntry) uint64 {
 	e.Index = c.log.last() + 1
 	e.Term = c.term
 	c.log.append(e)
-	c.out.Entries = append(c.out.Entries, e)
+	c.pendingReady.Entries = append(c.pendingReady.Entries, e)
 	if e.GetMembers() != nil {
-		c.findMembers()
+		c.updateMembers()
 	}
 	return e.GetIndex()
 }
 
-// broadcast sends every follower a heartbeat of a new round.
-func (c *Core) broadcast() {
-	c.beat = 0
+// broadcastHeartbeat starts a new heartbeat round with all followers.
+func (c *Core) broadcastHeartbeat() {
+	c.heartbeatElapsed = 0
 	c.round++
 	for _, id := range c.peerIDs() {
 		c.sendAppend(id, true)
@@ -71,7 +72,7 @@
 	c.confirmReads()
 }
 
-// flushAppends sends followers what was appended since.
+// flushAppends sends each follower the entries that it has not been sent yet.
 func (c *Core) flushAppends() {
 	if c.role != Leader {
 		return
@@ -92,14 +93,15 @@
 	return ids
 }
 
-// sendAppend sends the follower what it lacks. A heartbeat is sent even if
-// that is nothing, and sends a snapshot's chunk again.
+// sendAppend sends the follower the entries from next on, or a snapshot chunk if
+// those were compacted. A heartbeat is sent even without entries, and sends the
+// current snapshot chunk again.
 func (c *Core) sendAppend(id uint64, heartbeat bool) {
 	p := c.peers[id]
 	prev := p.next - 1
 	prevTerm, held := c.log.term(prev)
-	if !held || p.snap != 0 {
-		if heartbeat || p.snap == 0 {
+	if !held || p.snapshotIndex != 0 {
+		if heartbeat || p.snapshotIndex == 0 {
 			c.sendChunk(id)
 		}
 		return
@@ -109,7 +111,7 @@
 		return
 	}
 	p.next += uint64(len(entries))
-	c.out.Early = append(c.out.Early, &rpc.RaftMessage{
+	c.pendingReady.Early = append(c.pendingReady.Early, &rpc.RaftMessage{
 		Kind:     rpc.RaftKind_RAFT_APPEND,
 		From:     c.cfg.ID,
 		To:       id,
@@ -131,7 +133,7 @@
 	}
 	prev := m.GetLogIndex()
 	if prev < c.commit {
-		reply.LogIndex = c.commit // what is committed matches
+		reply.LogIndex = c.commit // committed entries are the same on every replica
 		c.send(reply)
 		return
 	}
@@ -142,7 +144,7 @@
 		c.send(reply)
 		return
 	}
-	c.takeEntries(m.GetEntries())
+	c.appendFromLeader(m.GetEntries())
 	matched := prev + uint64(len(m.GetEntries()))
 	c.commit = max(c.commit, min(m.GetCommit(), matched))
 	reply.LogIndex = matched
@@ -154,11 +156,11 @@
 		c.becomeFollower(c.term, id)
 	}
 	c.leader = id
-	c.elapsed = 0
+	c.electionElapsed = 0
 }
 
 // matchHint returns the last index that could match a log whose entry at prev
-// is of that term.
+// has the given term.
 func (c *Core) matchHint(prev, term uint64) uint64 {
 	i := min(prev, c.log.last())
 	for i > c.commit {
@@ -170,8 +172,9 @@
 	return i
 }
 
-// takeEntries appends what isn't there yet, dropping what conflicts with it.
-func (c *Core) takeEntries(entries []*rpc.LogEntry) {
+// appendFromLeader appends the entries that are missing from the log, after
+// truncating any that conflict with them.
+func (c *Core) appendFromLeader(entries []*rpc.LogEntry) {
 	for i, e := range entries {
 		if t, ok := c.log.term(e.GetIndex()); ok && t == e.GetTerm() {
 			continue
@@ -179,22 +182,22 @@
 		if e.GetIndex() <= c.log.last() {
 			c.log.truncate(e.GetIndex())
 			c.durable = min(c.durable, e.GetIndex()-1)
-			c.dropPending(e.GetIndex())
+			c.dropPendingEntries(e.GetIndex())
 		}
-		for _, fresh := range entries[i:] {
-			c.log.append(fresh)
-			c.out.Entries = append(c.out.Entries, fresh)
+		for _, added := range entries[i:] {
+			c.log.append(added)
+			c.pendingReady.Entries = append(c.pendingReady.Entries, added)
 		}
-		c.findMembers()
+		c.updateMembers()
 		return
 	}
 }
 
-// dropPending forgets entries from index on that were not yet taken.
-func (c *Core) dropPending(index uint64) {
-	for i, e := range c.out.Entries {
+// dropPendingEntries removes the entries from index on from the pending Ready.
+func (c *Core) dropPendingEntries(index uint64) {
+	for i, e := range c.pendingReady.Entries {
 		if e.GetIndex() >= index {
-			c.out.Entries = c.out.Entries[:i:i]
+			c.pendingReady.Entries = c.pendingReady.Entries[:i:i]
 			return
 		}
 	}
@@ -206,7 +209,7 @@
 		return
 	}
 	p.active = true
-	p.round = max(p.round, m.GetRound())
+	p.ackedRound = max(p.ackedRound, m.GetRound())
 	c.confirmReads()
 	if m.GetReject() {
 		if m.GetLogIndex() > p.match {
@@ -220,13 +223,14 @@
 	if m.GetLogIndex() > p.match {
 		p.match = m.GetLogIndex()
 		p.next = max(p.next, p.match+1)
-		p.snap = 0
+		p.snapshotIndex = 0
 		c.advanceCommit()
 	}
 }
 
-// advanceCommit commits what a majority holds durably, if it is of this term:
-// an earlier term's entry may be on a majority and still be replaced.
+// advanceCommit commits the entries that are durable on a majority, if the last
+// of them is of the current term: an entry of an earlier term can be on a
+// majority and still be replaced.
 func (c *Core) advanceCommit() {
 	matches := make([]uint64, 0, len(c.members.GetList()))
 	for _, m := range c.members.GetList() {
@@ -248,8 +252,8 @@
 	c.broadcastCommit()
 }
 
-// broadcastCommit tells followers at once, so that they apply without waiting
-// for the next heartbeat.
+// broadcastCommit sends followers the commit index at once, so that they do not
+// wait for the next heartbeat to apply entries.
 func (c *Core) broadcastCommit() {
 	for _, id := range c.peerIDs() {
 		c.sendAppend(id, true)
@@ -263,7 +267,7 @@
 	return c.peers[id].match
 }
 
-func (c *Core) committedOwnTerm() bool {
+func (c *Core) committedInCurrentTerm() bool {
 	t, ok := c.log.term(c.commit)
 	return ok && t == c.term
 }
--- a/pkg/replica/fuzz_test.go
+++ b/pkg/replica/fuzz_test.go
@@ -14,22 +14,23 @@
 	RunSpecs(t, "replica")
 }
 
-// fixSeed gives the fuzz the same seed each time unless one is asked for.
+// fixSeed sets the rapid seed to 1, unless a seed was given on the command line.
 func fixSeed() {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
-		_ = f.Value.Set("1") // it takes any number
+		_ = f.Value.Set("1") // cannot fail for a number
 	}
 }
 
-// TestReplicatedLogFuzz runs three or five replicas through random faults.
+// TestReplicatedLogFuzz runs three or five replicas through random faults and
+// checks that the log stays consistent and no acknowledged write is lost.
 func TestReplicatedLogFuzz(t *testing.T) {
 	fixSeed()
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 5}).Draw(t, "replicas")
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), n)
-		place := rapid.IntRange(0, n-1)
+		index := rapid.IntRange(0, n-1)
 		host := rapid.Custom(func(t *rapid.T) uint64 {
-			return s.ids()[place.Draw(t, "place")]
+			return s.ids()[index.Draw(t, "index")]
 		})
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
@@ -37,7 +38,7 @@
 					s.tick()
 					s.deliverSome(true)
 				}
-				s.replace()
+				s.continueReplacement()
 			},
 			"write": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "writes") {
@@ -56,8 +57,8 @@
 			"lose disk": func(t *rapid.T) {
 				s.loseDisk(host.Draw(t, "host"))
 			},
-			"lose disk, all dark": func(t *rapid.T) {
-				s.darken(host.Draw(t, "host"))
+			"lose disk, others lose power": func(t *rapid.T) {
+				s.loseDiskDuringPowerLoss(host.Draw(t, "host"))
 			},
 			"crash": func(t *rapid.T) {
 				s.crash(host.Draw(t, "host"))
@@ -77,18 +78,18 @@
 			"isolate": func(t *rapid.T) {
 				s.isolate(host.Draw(t, "host"))
 			},
-			"usurp": func(t *rapid.T) {
-				s.usurp(rapid.Bool().Draw(t, "freeze"), rapid.IntRange(1, 35).Draw(t, "ticks"))
+			"supersede leader": func(t *rapid.T) {
+				s.forceLeaderChange(rapid.Bool().Draw(t, "freeze"), rapid.IntRange(1, 35).Draw(t, "ticks"))
 			},
-			"retire": func(t *rapid.T) {
-				s.retire(host.Draw(t, "host"))
+			"retire running host": func(t *rapid.T) {
+				s.replaceRunning(host.Draw(t, "host"))
 			},
 			"cut one way": func(t *rapid.T) {
 				key := [2]uint64{host.Draw(t, "from"), host.Draw(t, "to")}
-				s.cut[key] = !s.cut[key]
+				s.blockedLinks[key] = !s.blockedLinks[key]
 			},
 			"heal": func(*rapid.T) {
-				s.cut = map[[2]uint64]bool{}
+				s.blockedLinks = map[[2]uint64]bool{}
 			},
 			"snapshot": func(t *rapid.T) {
 				s.snapshot(host.Draw(t, "host"))
@@ -99,7 +100,7 @@
 				}
 			},
 		})
-		if err := s.settle(); err != nil {
+		if err := s.healAndCheck(); err != nil {
 			t.Fatalf("%v\n%s", err, s)
 		}
 	})
--- a/pkg/replica/lease.go
+++ b/pkg/replica/lease.go
@@ -8,7 +8,7 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// Status is what a replica knows of itself and the others.
+// Status is a replica's view of itself and of the cluster.
 type Status struct {
 	ID      uint64
 	Role    raft.Role
@@ -17,39 +17,40 @@
 	Members *rpc.Members
 	Commit  uint64
 	Applied uint64
-	// LeaseUntil is until when no other replica can lead; zero if this one
-	// doesn't. It holds as long as no replica's clock runs more than
-	// driftPercent faster than this one's.
+	// LeaseUntil is the time until which no other replica can be the leader; it
+	// is zero if this replica is not the leader. It holds as long as no other
+	// replica's clock runs more than maxClockDriftPercent faster than this
+	// one's.
 	LeaseUntil time.Time
 	LogBytes   int64
 }
 
-type statusBox struct {
+type guardedStatus struct {
 	mu sync.Mutex
 	s  Status
 }
 
-// Status returns the replica's present status.
+// Status returns the replica's current status.
 func (n *Node) Status() Status {
 	n.status.mu.Lock()
 	defer n.status.mu.Unlock()
 	return n.status.s
 }
 
-// HoldsLease reports whether, at this moment, no other replica can lead. A
-// process that was stopped and continued finds its lease expired, since the
-// clock went on.
+// HoldsLease reports whether no other replica can be the leader now. A process
+// that was suspended and resumed finds its lease expired, since the clock
+// continued to run.
 func (n *Node) HoldsLease() bool {
 	s := n.Status()
 	return s.Role == raft.Leader && n.cfg.Timer.Now().Before(s.LeaseUntil)
 }
 
-func (n *Node) publish() {
+func (n *Node) publishStatus() {
 	s := Status{
 		ID:       n.cfg.ID,
 		Role:     n.core.Role(),
 		Term:     n.core.Term(),
-		Leader:   n.member(n.core.Leader()),
+		Leader:   n.memberByID(n.core.Leader()),
 		Members:  n.core.Members(),
 		Commit:   n.core.Commit(),
 		Applied:  n.applied,
@@ -63,30 +64,32 @@
 	n.status.s = s
 }
 
-// noteRounds remembers when each heartbeat round began, before it is sent.
-func (n *Node) noteRounds() {
+// recordRoundStart records the start time of the current heartbeat round before
+// its messages are sent.
+func (n *Node) recordRoundStart() {
 	r := n.core.Round()
-	if _, known := n.sentAt[r]; !known {
-		n.sentAt[r] = n.cfg.Timer.Now()
+	if _, known := n.roundSentAt[r]; !known {
+		n.roundSentAt[r] = n.cfg.Timer.Now()
 	}
 }
 
-// leaseUntil counts from when the newest round that a majority answered was
-// sent: each of them refuses votes for an election timeout after that. One
-// tick is taken off since a tick may fall right after the message.
+// leaseUntil computes the lease from the time at which the last round that a
+// majority answered was sent: each of these replicas refuses votes for an
+// election timeout after receiving it. One tick is subtracted because a tick may
+// fall right after the message.
 func (n *Node) leaseUntil() time.Time {
 	r := n.core.QuorumRound()
-	for old := range n.sentAt {
+	for old := range n.roundSentAt {
 		if old < r {
-			delete(n.sentAt, old)
+			delete(n.roundSentAt, old)
 		}
 	}
-	sent, ok := n.sentAt[r]
+	sent, ok := n.roundSentAt[r]
 	if !ok {
 		return time.Time{}
 	}
 	promise := time.Duration(electionTicks-1) * n.cfg.Tick
-	return sent.Add(promise * (100 - driftPercent) / 100)
+	return sent.Add(promise * (100 - maxClockDriftPercent) / 100)
 }
 
 func (n *Node) answerReads(reads []raft.Read) {
@@ -101,7 +104,7 @@
 			continue
 		}
 		reply <- result{
-			err: n.explain(raft.ErrNotLeader),
+			err: n.toNotLeaderError(raft.ErrNotLeader),
 		}
 	}
 }
--- a/pkg/replica/sim_test.go
+++ b/pkg/replica/sim_test.go
@@ -15,14 +15,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The simulation runs the real Node, store and algorithm over a fake network,
-// fake disks and manual clocks, in one goroutine. Its oracle is small: one
-// history, nothing acknowledged is lost, at most one holder of the order
-// lease, at most one leader a term.
-
+// The simulation runs the real Node, store and Raft core in one goroutine, over
+// a fake network, fake disks and manual clocks. It checks that all hosts apply
+// one history, that no acknowledged write is lost, that at most one host holds
+// the leader lease, and that each term has at most one leader.
 const simTick = 20 * time.Millisecond
 
-// history is the state machine: the values applied, in order.
+// history is a state machine that records the applied values in order.
 type history struct {
 	values []uint64
 }
@@ -50,17 +49,17 @@
 	return nil
 }
 
-// simHost is one replica with its machine's disk and clock.
+// simHost is a replica with the disk and clock of its host.
 type simHost struct {
-	sim     *simulation
-	id      uint64
-	disk    *fakedisk.Disk
-	clock   *timer.Manual
-	rate    float64 // of its clock against true time
-	node    *Node
-	machine *history
-	frozen  bool
-	lives   uint64
+	sim          *simulation
+	id           uint64
+	disk         *fakedisk.Disk
+	clock        *timer.Manual
+	clockRate    float64 // of its clock relative to simulated time
+	node         *Node
+	stateMachine *history
+	frozen       bool
+	incarnation  uint64
 }
 
 func (h *simHost) Send(messages []*rpc.RaftMessage) {
@@ -75,53 +74,53 @@
 	return h.node != nil && !h.frozen
 }
 
-// write is one proposal of the oracle's.
+// write is a proposal made by the simulation.
 type write struct {
 	value uint64
 	reply chan result
 	acked bool
 }
 
-// read is one read of the oracle's: it must see what was acknowledged before.
+// read is a read barrier requested by the simulation. Once it is confirmed, the
+// host must have applied all writes acknowledged before it.
 type read struct {
-	host  *simHost
-	life  uint64
-	must  int // writes acknowledged before it
-	reply chan result
+	host        *simHost
+	incarnation uint64
+	ackedBefore int // number of writes acknowledged before the read
+	reply       chan result
 }
 
-// replacement is a replica that lost its disk and the one that takes its
-// place.
+// replacement is a membership change that replaces one replica by another.
 type replacement struct {
-	gone  uint64
-	fresh uint64
+	removedID uint64
+	addedID   uint64
 }
 
 type simulation struct {
-	rnd     *rand.Rand
-	hosts   map[uint64]*simHost
-	members *rpc.Members
-	network []*rpc.RaftMessage
-	cut     map[[2]uint64]bool
-	writes  []*write
-	reads   []*read
-	acked   []uint64
-	moving  *replacement
-	retired map[uint64]bool   // removed, and still running
-	longest []uint64          // the one history
-	leaders map[uint64]uint64 // by term
-	next    uint64
-	err     error
+	rnd            *rand.Rand
+	hosts          map[uint64]*simHost
+	members        *rpc.Members
+	network        []*rpc.RaftMessage
+	blockedLinks   map[[2]uint64]bool
+	writes         []*write
+	reads          []*read
+	ackedValues    []uint64
+	replacing      *replacement
+	removed        map[uint64]bool   // replaced, but still running
+	longestHistory []uint64          // longest history that any host has applied
+	leaderByTerm   map[uint64]uint64 // leader's host by term
+	nextValue      uint64
+	err            error
 }
 
 func newSimulation(seed uint64, n int) *simulation {
 	s := &simulation{
-		rnd:     rand.New(rand.NewPCG(seed, 1)),
-		hosts:   map[uint64]*simHost{},
-		members: &rpc.Members{},
-		cut:     map[[2]uint64]bool{},
-		leaders: map[uint64]uint64{},
-		retired: map[uint64]bool{},
+		rnd:          rand.New(rand.NewPCG(seed, 1)),
+		hosts:        map[uint64]*simHost{},
+		members:      &rpc.Members{},
+		blockedLinks: map[[2]uint64]bool{},
+		leaderByTerm: map[uint64]uint64{},
+		removed:      map[uint64]bool{},
 	}
 	for id := uint64(1); id <= uint64(n); id++ {
 		s.members.List = append(s.members.List, &rpc.Member{
@@ -137,52 +136,52 @@
 
 func (s *simulation) addHost(id uint64) {
 	s.hosts[id] = &simHost{
-		sim:   s,
-		id:    id,
-		disk:  fakedisk.New(s.rnd),
-		clock: timer.NewManual(time.Unix(1_000_000, 0)),
-		rate:  0.96 + 0.08*s.rnd.Float64(),
+		sim:       s,
+		id:        id,
+		disk:      fakedisk.New(s.rnd),
+		clock:     timer.NewManual(time.Unix(1_000_000, 0)),
+		clockRate: 0.96 + 0.08*s.rnd.Float64(),
 	}
 }
 
-// start brings a replica up from its disk. One that never ran founds the
-// cluster if it was among its first members.
+// start starts a replica from its disk. A replica with an empty store bootstraps
+// the cluster if it is an initial member.
 func (s *simulation) start(id uint64) {
 	h := s.hosts[id]
 	h.disk.Restart()
 	st, err := store.Open(h.disk)
 	if err != nil {
-		s.fail("host %d can't open its store: %v", id, err)
+		s.fail("host %d: open store: %v", id, err)
 		return
 	}
-	h.lives++
-	h.machine = &history{}
+	h.incarnation++
+	h.stateMachine = &history{}
 	cfg := Config{
 		ID:        id,
 		Tick:      simTick,
 		Store:     st,
-		Machine:   h.machine,
+		Machine:   h.stateMachine,
 		Transport: h,
 		Timer:     h.clock,
 		Seed:      s.rnd.Uint64(),
-		// One entry a message and snapshots in many chunks, so that faults
-		// fall between them.
+		// One entry per message and small snapshot chunks, so that faults also
+		// hit between them.
 		AppendBytes: 1,
 		ChunkBytes:  12,
 	}
-	if s.founder(id) {
+	if s.isInitialMember(id) {
 		cfg.Bootstrap = s.members
 	}
 	h.node, err = New(cfg)
 	if err != nil {
 		h.node = nil
 		if !h.disk.Crashed() {
-			s.fail("host %d can't start: %v", id, err)
+			s.fail("host %d: start: %v", id, err)
 		}
 	}
 }
 
-func (s *simulation) founder(id uint64) bool {
+func (s *simulation) isInitialMember(id uint64) bool {
 	for _, m := range s.members.GetList() {
 		if m.GetId() == id {
 			return true
@@ -206,23 +205,24 @@
 	return ids
 }
 
-// advance lets a node do what its last event asks for, and notes a crash.
+// advance processes a node's pending work, and stops the node if its disk has
+// crashed.
 func (s *simulation) advance(h *simHost) {
 	if err := h.node.advance(); err != nil {
 		if !h.disk.Crashed() {
 			s.fail("host %d: %v", h.id, err)
 		}
-		h.node.failAll(ErrLost)
+		h.node.failPending(ErrLost)
 		h.node = nil
 	}
-	s.check()
+	s.checkInvariants()
 }
 
-// tick moves true time on by one tick.
+// tick advances simulated time by one tick.
 func (s *simulation) tick() {
 	for _, id := range s.ids() {
 		h := s.hosts[id]
-		h.clock.Advance(time.Duration(float64(simTick) * h.rate))
+		h.clock.Advance(time.Duration(float64(simTick) * h.clockRate))
 		if h.up() {
 			h.node.core.Tick()
 			s.advance(h)
@@ -230,17 +230,18 @@
 	}
 }
 
-// deliver hands over the message at place i of the network, or loses it if it
-// can't get through.
+// deliver delivers the message at index i of the network, or drops it if the
+// link is blocked or the receiver is down. A message to a frozen host stays
+// queued.
 func (s *simulation) deliver(i int) {
 	m := s.network[i]
 	s.network = append(s.network[:i], s.network[i+1:]...)
 	h := s.hosts[m.GetTo()]
-	if h == nil || s.cut[[2]uint64{m.GetFrom(), m.GetTo()}] {
+	if h == nil || s.blockedLinks[[2]uint64{m.GetFrom(), m.GetTo()}] {
 		return
 	}
 	if h.frozen {
-		s.network = append(s.network, m) // it waits in the socket
+		s.network = append(s.network, m) // stays in the socket buffer
 		return
 	}
 	if h.node == nil {
@@ -250,8 +251,8 @@
 	s.advance(h)
 }
 
-// deliverSome delivers about as many messages as there are, in an order that
-// is mostly the right one, losing and doubling a few.
+// deliverSome delivers about as many messages as are queued. If faulty is set,
+// it delivers them slightly out of order, and drops or duplicates some.
 func (s *simulation) deliverSome(faulty bool) {
 	for n := len(s.network); n > 0 && len(s.network) > 0; n-- {
 		i := 0
@@ -275,42 +276,42 @@
 	if h == nil || !h.up() {
 		return
 	}
-	s.next++
+	s.nextValue++
 	w := &write{
-		value: s.next,
+		value: s.nextValue,
 		reply: make(chan result, 1),
 	}
 	s.writes = append(s.writes, w)
-	h.node.take(request{
+	h.node.handleRequest(request{
 		data:  binary.LittleEndian.AppendUint64(nil, w.value),
 		reply: w.reply,
 	})
 	s.advance(h)
 }
 
-// read asks a host for a read barrier.
+// read requests a read barrier from a host.
 func (s *simulation) read(id uint64) {
 	h := s.hosts[id]
 	if h == nil || !h.up() {
 		return
 	}
 	r := &read{
-		host:  h,
-		life:  h.lives,
-		must:  len(s.acked),
-		reply: make(chan result, 1),
+		host:        h,
+		incarnation: h.incarnation,
+		ackedBefore: len(s.ackedValues),
+		reply:       make(chan result, 1),
 	}
 	s.reads = append(s.reads, r)
-	h.node.take(request{
+	h.node.handleRequest(request{
 		read:  true,
 		reply: r.reply,
 	})
 	s.advance(h)
 }
 
-func has(m *rpc.Members, id uint64) bool {
-	for _, one := range m.GetList() {
-		if one.GetId() == id {
+func containsMember(m *rpc.Members, id uint64) bool {
+	for _, member := range m.GetList() {
+		if member.GetId() == id {
 			return true
 		}
 	}
@@ -324,19 +325,19 @@
 	}
 	h.disk.Crash()
 	if h.node != nil {
-		h.node.failAll(ErrLost)
+		h.node.failPending(ErrLost)
 	}
 	h.node = nil
 	h.frozen = false
 }
 
-// snapshot makes a host take a snapshot now, whatever its log's size.
+// snapshot makes a host take a snapshot regardless of its log size.
 func (s *simulation) snapshot(id uint64) {
 	h := s.hosts[id]
 	if h == nil || !h.up() || h.node.applied <= h.node.cfg.Store.Snapshot().GetMeta().GetIndex() {
 		return
 	}
-	if err := h.node.snapshotNow(); err != nil {
+	if err := h.node.takeSnapshot(); err != nil {
 		if !h.disk.Crashed() {
 			s.fail("host %d: snapshot: %v", id, err)
 		}
--- a/pkg/replica/transport.go
+++ b/pkg/replica/transport.go
@@ -15,8 +15,8 @@
 	queueSize   = 1024
 )
 
-// TwirpTransport sends messages over twirp, one worker a replica, so that a
-// replica that can't be reached doesn't delay the others.
+// TwirpTransport sends messages over Twirp. It runs one worker per replica, so
+// that an unreachable replica does not delay messages to the others.
 type TwirpTransport struct {
 	self   uint64
 	client *http.Client
@@ -60,12 +60,12 @@
 	}
 	for id, address := range wanted {
 		if t.peers[id] == nil {
-			t.peers[id] = t.start(address)
+			t.peers[id] = t.startPeer(address)
 		}
 	}
 }
 
-func (t *TwirpTransport) start(address string) *peer {
+func (t *TwirpTransport) startPeer(address string) *peer {
 	ctx, cancel := context.WithCancel(t.group.Context())
 	p := &peer{
 		address: address,
@@ -74,7 +74,7 @@
 	}
 	client := rpc.NewReplicaProtobufClient("http://"+address, t.client)
 	t.group.Go(func(context.Context) {
-		p.work(ctx, client, t.client)
+		p.run(ctx, client, t.client)
 	})
 	return p
 }
@@ -90,14 +90,14 @@
 		}
 		select {
 		case p.queue <- m:
-		default: // lost, as on a network; heartbeats mend it
+		default: // queue full: dropped, as on a network; heartbeats cause it to be sent again
 		}
 	}
 }
 
-func (p *peer) work(ctx context.Context, client rpc.Replica, idle *http.Client) {
+func (p *peer) run(ctx context.Context, client rpc.Replica, idle *http.Client) {
 	for {
-		batch := p.next(ctx)
+		batch := p.nextBatch(ctx)
 		if batch == nil {
 			return
 		}
@@ -105,15 +105,17 @@
 		_, err := client.Deliver(callCtx, batch)
 		cancel()
 		if err != nil {
-			// Heartbeats mend a lost batch. Other connections at rest may have gone
-			// silent with this one: each would cost a time-out more.
+			// Heartbeats cause a lost batch to be sent again. Other idle
+			// connections may be broken as well; close them, since each would
+			// cost another timeout.
 			idle.CloseIdleConnections()
 		}
 	}
 }
 
-// next waits for a message and takes those behind it too; nil means the end.
-func (p *peer) next(ctx context.Context) *rpc.RaftBatch {
+// nextBatch waits for a message and returns it with the others in the queue, or
+// returns nil if ctx is done.
+func (p *peer) nextBatch(ctx context.Context) *rpc.RaftBatch {
 	batch := &rpc.RaftBatch{}
 	select {
 	case <-ctx.Done():
--- a/pkg/state/claims.go
+++ b/pkg/state/claims.go
@@ -2,11 +2,11 @@
 
 import "github.com/larchwinch/larchwinch/pkg/rpc"
 
-// maxClaimsPerAccount bounds what one client account can make the replicas keep.
+// maxClaimsPerAccount limits the claims that are kept for one client account.
 const maxClaimsPerAccount = 100_000
 
-// maxOutcomeBytes bounds the answer kept for a resend; a longer one is kept
-// as "yes, but the answer is gone".
+// maxOutcomeBytes limits the size of the answer that is kept for a repeated
+// request. Of a longer answer only the fact that the request ran is kept.
 const maxOutcomeBytes = 64 * 1024
 
 type claimKey struct {
@@ -14,20 +14,21 @@
 	key     string
 }
 
-// queued is a claim's place in the order of expiry.
-type queued struct {
+// expiryEntry is the entry of a claim in the expiry queue.
+type expiryEntry struct {
 	key    claimKey
 	unixMS int64
 }
 
-// claims is the record of requests that must not be repeated.
+// claims records the requests that must not be executed more than once.
 //
-// Invariant: a key is granted at most once within the window.
+// Invariant: within the window, a key is granted to one claimant at most, unless
+// its claim is released because the request was not run.
 type claims struct {
-	windowMS int64
-	byKey    map[claimKey]*rpc.ClaimRecord
-	queue    []queued // oldest first, for expiry
-	accounts map[string]int
+	windowMS    int64
+	byKey       map[claimKey]*rpc.ClaimRecord
+	expiryQueue []expiryEntry // oldest first
+	accounts    map[string]int
 }
 
 func newClaims(windowMS int64) *claims {
@@ -40,7 +41,7 @@
 
 func (c *claims) reset() {
 	c.byKey = map[claimKey]*rpc.ClaimRecord{}
-	c.queue = nil
+	c.expiryQueue = nil
 	c.accounts = map[string]int{}
 }
 
@@ -58,7 +59,7 @@
 func (c *claims) claim(r *rpc.ClaimRequest, now int64) *rpc.ClaimReply {
 	c.expire(now)
 	if old := c.get(r.GetAccount(), r.GetKey()); old != nil {
-		return standing(r, old, now)
+		return existingClaimReply(r, old, now)
 	}
 	if c.accounts[r.GetAccount()] >= maxClaimsPerAccount {
 		return &rpc.ClaimReply{
@@ -74,20 +75,20 @@
 	}
 }
 
-func standing(r *rpc.ClaimRequest, old *rpc.ClaimRecord, now int64) *rpc.ClaimReply {
-	was := old.GetRequest()
+func existingClaimReply(r *rpc.ClaimRequest, old *rpc.ClaimRecord, now int64) *rpc.ClaimReply {
+	first := old.GetRequest()
 	reply := &rpc.ClaimReply{
 		Outcome: old.GetOutcome(),
 	}
 	switch {
-	case was.GetBodyDigest() != r.GetBodyDigest():
+	case first.GetBodyDigest() != r.GetBodyDigest():
 		reply.State = rpc.ClaimState_CLAIM_MISMATCH
 		reply.Outcome = nil
 	case old.GetOutcome() != nil:
 		reply.State = rpc.ClaimState_CLAIM_SETTLED
-	case was.GetEntry() == r.GetEntry() && was.GetNonce() == r.GetNonce():
-		reply.State = rpc.ClaimState_CLAIM_GRANTED // the first answer was lost
-	case old.GetUnixMs()+int64(was.GetRunsMs()) < now:
+	case first.GetEntry() == r.GetEntry() && first.GetNonce() == r.GetNonce():
+		reply.State = rpc.ClaimState_CLAIM_GRANTED // the claimant repeats its call, as the reply was lost
+	case old.GetUnixMs()+int64(first.GetRunsMs()) < now:
 		reply.State = rpc.ClaimState_CLAIM_LOST
 	default:
 		reply.State = rpc.ClaimState_CLAIM_RUNNING
@@ -95,12 +96,12 @@
 	return reply
 }
 
-// ranNo as an outcome says that nothing was sent to an endpoint.
+// ranNo is the outcome of a request of which nothing was sent to an endpoint.
 const ranNo = "no"
 
-// settle notes the outcome, the first one only. Only who was granted the
-// claim may settle it. One that wasn't run is forgotten, so that the caller
-// may come back with the same key.
+// settle records the outcome of a claim. Only the first outcome counts, and only
+// the holder of the claim may settle it. The claim of a request that was not run
+// is removed, so that the caller may retry with the same key.
 func (c *claims) settle(r *rpc.SettleRequest, now int64) *rpc.SettleReply {
 	c.expire(now)
 	rec := c.get(r.GetAccount(), r.GetKey())
@@ -121,15 +122,15 @@
 	return &rpc.SettleReply{}
 }
 
-// release forgets a claim. Its place in the queue stays until it is expired.
+// release removes a claim. Its entry in the queue stays until it expires.
 func (c *claims) release(r *rpc.ClaimRequest) {
-	c.forget(claimKey{
+	c.remove(claimKey{
 		account: r.GetAccount(),
 		key:     r.GetKey(),
 	})
 }
 
-func (c *claims) forget(k claimKey) {
+func (c *claims) remove(k claimKey) {
 	if c.byKey[k] == nil {
 		return
 	}
@@ -145,31 +146,31 @@
 		key:     rec.GetRequest().GetKey(),
 	}
 	c.byKey[k] = rec
-	c.queue = append(c.queue, queued{
+	c.expiryQueue = append(c.expiryQueue, expiryEntry{
 		key:    k,
 		unixMS: rec.GetUnixMs(),
 	})
 	c.accounts[k.account]++
 }
 
-// expire forgets claims that are older than the window. A place in the queue
-// whose claim was released, or claimed anew since, is only dropped.
+// expire removes the claims that are older than the window. If the claim of a
+// queue entry was released, or made again since, only the entry is dropped.
 func (c *claims) expire(now int64) {
 	n := 0
-	for n < len(c.queue) && c.queue[n].unixMS+c.windowMS <= now {
-		if q := c.queue[n]; c.byKey[q.key].GetUnixMs() == q.unixMS {
-			c.forget(q.key)
+	for n < len(c.expiryQueue) && c.expiryQueue[n].unixMS+c.windowMS <= now {
+		if q := c.expiryQueue[n]; c.byKey[q.key].GetUnixMs() == q.unixMS {
+			c.remove(q.key)
 		}
 		n++
 	}
-	c.queue = c.queue[n:]
+	c.expiryQueue = c.expiryQueue[n:]
 }
 
-// records returns every claim, oldest first.
+// records returns all claims, oldest first.
 func (c *claims) records() []*rpc.ClaimRecord {
 	list := make([]*rpc.ClaimRecord, 0, len(c.byKey))
 	seen := map[claimKey]bool{}
-	for _, q := range c.queue {
+	for _, q := range c.expiryQueue {
 		rec := c.byKey[q.key]
 		if rec.GetUnixMs() != q.unixMS || rec == nil || seen[q.key] {
 			continue
--- a/pkg/state/quarantine_test.go
+++ b/pkg/state/quarantine_test.go
@@ -25,7 +25,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func untilOf(m *Machine, f uint64) time.Duration {
+func quarantinedUntilOf(m *Machine, f uint64) time.Duration {
 	for _, h := range m.Quarantine() {
 		if h.Fingerprint == f {
 			return time.Duration(h.UntilMS) * time.Millisecond
@@ -35,23 +35,23 @@
 }
 
 var _ = Describe("the quarantine", func() {
-	It("holds a request for a while, for longer if it ends endpoints after that, and no longer by a word sent twice", func() {
+	It("quarantines a request for longer if it crashes endpoints again, but does not extend a quarantine that has not expired", func() {
 		m := New(1000)
 		start := time.Hour
 		changed := m.Changed()
 		apply(m, start, &rpc.Quarantine{Fingerprint: 7})
 		Expect(changed).To(BeClosed())
-		Expect(untilOf(m, 7)).To(Equal(start + firstHold))
+		Expect(quarantinedUntilOf(m, 7)).To(Equal(start + firstQuarantine))
 		apply(m, start+time.Minute, &rpc.Quarantine{Fingerprint: 7})
-		Expect(untilOf(m, 7)).To(Equal(start + firstHold))
-		again := start + firstHold + time.Second
+		Expect(quarantinedUntilOf(m, 7)).To(Equal(start + firstQuarantine))
+		again := start + firstQuarantine + time.Second
 		apply(m, again, &rpc.Quarantine{Fingerprint: 7})
-		Expect(untilOf(m, 7)).To(Equal(again + nextHold))
+		Expect(quarantinedUntilOf(m, 7)).To(Equal(again + repeatQuarantine))
 		apply(m, again, &rpc.Quarantine{Fingerprint: 7, Release: true})
 		Expect(m.Quarantine()).To(BeEmpty())
 	})
 
-	It("is in the snapshot, and another version after it is restored", func() {
+	It("is part of the snapshot, and changes its version when restored", func() {
 		m := New(1000)
 		for f := range uint64(5) {
 			apply(m, time.Hour, &rpc.Quarantine{Fingerprint: f})
@@ -65,7 +65,7 @@
 		Expect(other.QuarantineVersion()).NotTo(Equal(before))
 	})
 
-	It("is bounded; the oldest go first, the same ones on every replica", func() {
+	It("is bounded, and drops the oldest records, the same ones on every replica", func() {
 		m := New(1000)
 		for f := range uint64(maxQuarantined + 2) {
 			apply(m, time.Hour+time.Duration(f/4)*time.Millisecond, &rpc.Quarantine{Fingerprint: f})
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps a control replica's log and snapshots in plain files
-// below one data folder. A write is acknowledged only after the file, and
-// where a name is new the folder, is synced. A failed sync is final: what the
-// kernel holds after it is unknown, so the store refuses everything from then on.
+// Package store keeps a replica's log and snapshots in plain files in a data
+// folder. A write is acknowledged only after the file is synced and, if its name
+// is new, the folder as well. A failed sync is permanent: what the kernel holds
+// after it is unknown, so the store refuses all further writes.
 package store
 
 import (
@@ -22,31 +22,33 @@
 // Store is an open data folder.
 //
 // Invariants: exactly one log file is in use, the one with the highest number;
-// it holds the hard state and every entry after the newest snapshot; a file
-// gets its final name only when it is complete and synced.
+// it holds the hard state and every entry after the newest snapshot; a file gets
+// its final name only when it is complete and synced.
 type Store struct {
 	disk     Disk
 	log      File
 	logName  string
 	sequence uint64
-	broken   error
-	// behind is true if a crash came between a snapshot and its log file.
-	behind bool
+	writeErr error
+	// logBehindSnapshot is true if the log file was opened with entries that the
+	// snapshot covers: a crash came after the snapshot was stored and before its
+	// log file was.
+	logBehindSnapshot bool
 
-	hard    *rpc.HardState
-	entries []*rpc.LogEntry
-	snap    *rpc.SnapshotFile
+	hardState *rpc.HardState
+	entries   []*rpc.LogEntry
+	snapshot  *rpc.SnapshotFile
 
-	bytes int64
-	torn  int64
-	syncs int64
+	logBytes       int64
+	truncatedBytes int64
+	syncs          int64
 }
 
-// Open reads what the folder holds. An empty folder is an empty store.
+// Open loads the content of the data folder. An empty folder is an empty store.
 func Open(disk Disk) (*Store, error) {
 	s := &Store{
-		disk: disk,
-		hard: &rpc.HardState{},
+		disk:      disk,
+		hardState: &rpc.HardState{},
 	}
 	names, err := disk.Names()
 	if err != nil {
@@ -58,12 +60,12 @@
 	if err := s.loadLog(names); err != nil {
 		return nil, err
 	}
-	if err := s.removeOld(names); err != nil {
+	if err := s.removeStaleFiles(names); err != nil {
 		return nil, err
 	}
-	if s.log == nil || s.behind {
-		// Entries that continue the snapshot must not follow, in one file,
-		// entries that end before it: that would look like a gap.
+	if s.log == nil || s.logBehindSnapshot {
+		// Entries that continue the snapshot must not be appended to a log file
+		// whose entries end before the snapshot: that would look like a gap.
 		err = s.rotate()
 	}
 	return s, err
@@ -71,12 +73,12 @@
 
 // Empty reports whether nothing was ever stored.
 func (s *Store) Empty() bool {
-	return s.snap == nil && len(s.entries) == 0 && s.hard.GetTerm() == 0
+	return s.snapshot == nil && len(s.entries) == 0 && s.hardState.GetTerm() == 0
 }
 
-// HardState returns the hard state as stored.
+// HardState returns the stored hard state.
 func (s *Store) HardState() *rpc.HardState {
-	return s.hard
+	return s.hardState
 }
 
 // Entries returns the entries after the snapshot.
@@ -84,36 +86,38 @@
 	return s.entries
 }
 
-// Snapshot returns the newest snapshot, or nil.
+// Snapshot returns the newest snapshot, or nil if there is none.
 func (s *Store) Snapshot() *rpc.SnapshotFile {
-	return s.snap
+	return s.snapshot
 }
 
-// Latest returns the newest snapshot's parts; the first is nil if there is none.
+// Latest returns the metadata and the state of the newest snapshot; the metadata
+// is nil if there is none.
 func (s *Store) Latest() (*rpc.SnapshotMeta, []byte) {
-	return s.snap.GetMeta(), s.snap.GetState()
+	return s.snapshot.GetMeta(), s.snapshot.GetState()
 }
 
-// TornBytes returns how much was cut off the log's end when it was opened.
+// TornBytes returns the size of the incomplete record that was removed from the
+// end of the log when the store was opened.
 func (s *Store) TornBytes() int64 {
-	return s.torn
+	return s.truncatedBytes
 }
 
 // LogBytes returns the size of the log file in use.
 func (s *Store) LogBytes() int64 {
-	return s.bytes
+	return s.logBytes
 }
 
-// Syncs returns how many times a file was synced.
+// Syncs returns the number of file syncs.
 func (s *Store) Syncs() int64 {
 	return s.syncs
 }
 
-// Save makes the hard state, if not nil, and entries durable with one sync.
-// Entries replace what is stored from the first one's index on.
+// Save makes the hard state, if not nil, and the entries durable with one sync.
+// The entries replace the stored ones from the index of the first one on.
 func (s *Store) Save(hard *rpc.HardState, entries []*rpc.LogEntry) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeErr != nil {
+		return s.writeErr
 	}
 	record := &rpc.WalRecord{
 		HardState: hard,
@@ -122,33 +126,33 @@
 	if err := s.writeRecord(s.log, record); err != nil {
 		return s.fail(err)
 	}
-	s.remember(record)
+	s.applyRecord(record)
 	return nil
 }
 
-// SaveSnapshot makes a snapshot durable and begins a new log file with the
+// SaveSnapshot makes a snapshot durable and starts a new log file with the
 // entries that follow it.
 func (s *Store) SaveSnapshot(file *rpc.SnapshotFile) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeErr != nil {
+		return s.writeErr
 	}
 	name := fmt.Sprintf("%s%020d", snapPrefix, file.GetMeta().GetIndex())
-	if err := s.writeWhole(name, file); err != nil {
+	if err := s.writeFile(name, file); err != nil {
 		return s.fail(err)
 	}
-	s.snap = file
+	s.snapshot = file
 	s.entries = entriesAfter(s.entries, file.GetMeta())
 	return s.rotate()
 }
 
-// Close closes the log file.
 func (s *Store) Close() error {
-	s.broken = errors.New("the store is closed")
+	s.writeErr = errors.New("the store is closed")
 	return s.log.Close()
 }
 
-// entriesAfter returns the entries that continue the snapshot; none if the
-// entry at its index is of another term, since then all conflict with it.
+// entriesAfter returns the entries that follow the snapshot. It returns none if
+// the entry at the snapshot's index is of another term, since then all of them
+// conflict with the snapshot.
 func entriesAfter(entries []*rpc.LogEntry, meta *rpc.SnapshotMeta) []*rpc.LogEntry {
 	for i, e := range entries {
 		if e.GetIndex() == meta.GetIndex() {
@@ -164,14 +168,15 @@
 	return nil
 }
 
-// rotate begins a log file that holds the present state, then drops the old.
+// rotate starts a log file that holds the current state, and then removes the
+// previous one.
 func (s *Store) rotate() error {
 	old := s.logName
 	s.sequence++
 	name := fmt.Sprintf("%s%020d", logPrefix, s.sequence)
-	s.bytes = prefixSize
-	err := s.writeWhole(name, &rpc.WalRecord{
-		HardState: s.hard,
+	s.logBytes = prefixSize
+	err := s.writeFile(name, &rpc.WalRecord{
+		HardState: s.hardState,
 		Entries:   s.entries,
 	})
 	if err != nil {
@@ -190,17 +195,17 @@
 	if err != nil {
 		return s.fail(err)
 	}
-	return s.removeSnapshotsBut(s.snap)
+	return s.removeOtherSnapshots(s.snapshot)
 }
 
-func (s *Store) removeSnapshotsBut(keep *rpc.SnapshotFile) error {
+func (s *Store) removeOtherSnapshots(keep *rpc.SnapshotFile) error {
 	names, err := s.disk.Names()
 	if err != nil {
 		return s.fail(err)
 	}
-	kept := fmt.Sprintf("%s%020d", snapPrefix, keep.GetMeta().GetIndex())
+	keepName := fmt.Sprintf("%s%020d", snapPrefix, keep.GetMeta().GetIndex())
 	for _, name := range names {
-		if strings.HasPrefix(name, snapPrefix) && name != kept {
+		if strings.HasPrefix(name, snapPrefix) && name != keepName {
 			if err := s.disk.Remove(name); err != nil {
 				return s.fail(err)
 			}
@@ -209,8 +214,9 @@
 	return nil
 }
 
-// writeWhole writes a file of one record under a temporary name and renames it.
-func (s *Store) writeWhole(name string, m proto.Message) error {
+// writeFile writes a file of one record under a temporary name, and renames it
+// when it is complete and synced.
+func (s *Store) writeFile(name string, m proto.Message) error {
 	f, err := s.disk.Create(name + tmpSuffix)
 	if err != nil {
 		return errors.Wrap(err, "create "+name)
@@ -242,7 +248,7 @@
 	if err != nil {
 		return errors.Wrap(err, "write")
 	}
-	s.bytes += int64(n)
+	s.logBytes += int64(n)
 	s.syncs++
 	if err := f.Sync(); err != nil {
 		return errors.Wrap(err, "sync")
@@ -250,10 +256,10 @@
 	return nil
 }
 
-// remember applies a record to what is held in memory.
-func (s *Store) remember(r *rpc.WalRecord) {
+// applyRecord applies a record to the state in memory.
+func (s *Store) applyRecord(r *rpc.WalRecord) {
 	if r.GetHardState() != nil {
-		s.hard = r.GetHardState()
+		s.hardState = r.GetHardState()
 	}
 	if len(r.GetEntries()) == 0 {
 		return
@@ -266,6 +272,6 @@
 }
 
 func (s *Store) fail(err error) error {
-	s.broken = errors.Wrap(err, "storage failed for good")
-	return s.broken
+	s.writeErr = errors.Wrap(err, "storage failed permanently")
+	return s.writeErr
 }
