--- a/pkg/bundle/set.go
+++ b/pkg/bundle/set.go
@@ -10,26 +10,26 @@
 // Set is the bundles in force at one revision, indexed for requests. It is
 // never changed once built; a newer revision is a new Set.
 type Set struct {
-	revision  uint64
-	bundles   []*Bundle
-	models    map[string]Model
-	pipelines map[string]Pipeline
-	services  map[string]Service
-	accounts  map[string]Account
-	byKey     map[string]string
+	revision         uint64
+	bundles          []*Bundle
+	models           map[string]Model
+	pipelines        map[string]Pipeline
+	services         map[string]Service
+	accounts         map[string]Account
+	accountNameByKey map[string]string
 }
 
 // NewSet indexes bundles as revision, and checks what several of them touch
 // together. The error is a *check.Problems.
 func NewSet(revision uint64, bundles []*Bundle) (*Set, error) {
 	s := &Set{
-		revision:  revision,
-		bundles:   append([]*Bundle(nil), bundles...),
-		models:    map[string]Model{},
-		pipelines: map[string]Pipeline{},
-		services:  map[string]Service{},
-		accounts:  map[string]Account{},
-		byKey:     map[string]string{},
+		revision:         revision,
+		bundles:          append([]*Bundle(nil), bundles...),
+		models:           map[string]Model{},
+		pipelines:        map[string]Pipeline{},
+		services:         map[string]Service{},
+		accounts:         map[string]Account{},
+		accountNameByKey: map[string]string{},
 	}
 	sort.Slice(s.bundles, func(i, j int) bool {
 		return s.bundles[i].Name < s.bundles[j].Name
@@ -78,10 +78,10 @@
 	}
 	s.accounts[a.Name] = a
 	for _, k := range a.KeySHA256 {
-		if owner, taken := s.byKey[k]; taken && owner != a.Name {
+		if owner, taken := s.accountNameByKey[k]; taken && owner != a.Name {
 			p.Add(b.Name+".account."+a.Name, "a key of its own", "client account %q has this key", owner)
 		}
-		s.byKey[k] = a.Name
+		s.accountNameByKey[k] = a.Name
 	}
 }
 
@@ -150,7 +150,7 @@
 
 // AccountByKey returns the client account that holds the key.
 func (s *Set) AccountByKey(key string) (Account, bool) {
-	name, ok := s.byKey[KeyDigest(key)]
+	name, ok := s.accountNameByKey[KeyDigest(key)]
 	if !ok {
 		return Account{}, false
 	}
--- a/pkg/config/common.go
+++ b/pkg/config/common.go
@@ -68,14 +68,14 @@
 	}
 	seen := map[string]bool{}
 	for i, s := range t.Signers {
-		at := key("signer", i)
-		p.Name(at+"name", s.Name)
-		p.Unique(at+"name", s.Name, seen)
+		prefix := keyPrefix("signer", i)
+		p.Name(prefix+"name", s.Name)
+		p.Unique(prefix+"name", s.Name, seen)
 		if _, err := bundle.NewSigner(s.Name, s.PublicKey, s.Bundles); err != nil {
-			p.Add(at+"public_key", "what `larchwinch key new` prints", "%v", err)
+			p.Add(prefix+"public_key", "what `larchwinch key new` prints", "%v", err)
 		}
 		if len(s.Bundles) == 0 {
-			p.Add(at+"bundles", `names of bundles, or "*"`, "missing")
+			p.Add(prefix+"bundles", `names of bundles, or "*"`, "missing")
 		}
 	}
 }
@@ -93,8 +93,8 @@
 	return bundle.NewTrust(signers, t.RequiredSignatures), nil
 }
 
-// checkKeys notes problems with the files of mutual TLS, if any are named.
-func checkKeys(f keys.Files, p *check.Problems) {
+// checkTLSFiles notes problems with the files of mutual TLS, if any are named.
+func checkTLSFiles(f keys.Files, p *check.Problems) {
 	if !f.Set() {
 		return
 	}
@@ -103,7 +103,7 @@
 	}
 }
 
-func read(file string, v any, p *check.Problems) bool {
+func decodeFile(file string, v any, p *check.Problems) bool {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		p.Add("(file)", "a file that can be read", "%v", err)
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -25,7 +25,7 @@
 	return string(text)
 }
 
-func write(text string) string {
+func writeSettings(text string) string {
 	file := filepath.Join(GinkgoT().TempDir(), "settings.toml")
 	Expect(os.WriteFile(file, []byte(text), 0o600)).To(Succeed())
 	return file
@@ -53,25 +53,25 @@
 
 var _ = Describe("settings", func() {
 	cases := []struct {
-		name string
-		from string
-		to   string
-		says []string
+		name       string
+		from       string
+		to         string
+		wantErrors []string
 	}{
-		{name: "unknown key", from: "host = ", to: "hostt = ", says: []string{"hostt: unknown key", `host: "" is no name`}},
-		{name: "wrong unit", from: "log = ", to: "drain_timeout = \"5 minutes\"\nlog = ", says: []string{"no duration", "250ms"}},
-		{name: "bad address", from: `caller_address = "127.0.2.1:8080"`, to: `caller_address = "entry-1:8080"`, says: []string{`caller_address: "entry-1:8080" is no address`, "an IP number and a port"}},
-		{name: "no control", from: `control = [`, to: `control = []` + "\nx = [", says: []string{"control: missing", "x: unknown key"}},
-		{name: "no policy", from: "log = ", to: "routing_policy = \"best\"\nlog = ", says: []string{`"best" is no policy`, "expected-finish"}},
-		{name: "half a file", from: "host = ", to: "host = [", says: []string{"(syntax)"}},
-		{name: "bad key", from: "public_key = \"", to: "public_key = \"x", says: []string{"signer.0.public_key", "larchwinch key new"}},
+		{name: "unknown key", from: "host = ", to: "hostt = ", wantErrors: []string{"hostt: unknown key", `host: "" is no name`}},
+		{name: "wrong unit", from: "log = ", to: "drain_timeout = \"5 minutes\"\nlog = ", wantErrors: []string{"no duration", "250ms"}},
+		{name: "bad address", from: `caller_address = "127.0.2.1:8080"`, to: `caller_address = "entry-1:8080"`, wantErrors: []string{`caller_address: "entry-1:8080" is no address`, "an IP number and a port"}},
+		{name: "no control", from: `control = [`, to: `control = []` + "\nx = [", wantErrors: []string{"control: missing", "x: unknown key"}},
+		{name: "no policy", from: "log = ", to: "routing_policy = \"best\"\nlog = ", wantErrors: []string{`"best" is no policy`, "expected-finish"}},
+		{name: "half a file", from: "host = ", to: "host = [", wantErrors: []string{"(syntax)"}},
+		{name: "bad key", from: "public_key = \"", to: "public_key = \"x", wantErrors: []string{"signer.0.public_key", "larchwinch key new"}},
 	}
 	for _, c := range cases {
 		It("say what is wrong, all of it: "+c.name, func() {
 			text := strings.Replace(readExample("local/entry-1.toml"), c.from, c.to, 1)
-			_, err := config.ReadEntry(write(text))
+			_, err := config.ReadEntry(writeSettings(text))
 			Expect(err).To(HaveOccurred())
-			for _, s := range c.says {
+			for _, s := range c.wantErrors {
 				Expect(err.Error()).To(ContainSubstring(s))
 			}
 		})
@@ -79,32 +79,32 @@
 
 	It("of a control host refuse a host list by name", func() {
 		text := strings.Replace(readExample("local/control-1.toml"), "http://127.0.4.1:6000", "http://list:6000", 1)
-		_, err := config.ReadControl(write(text))
+		_, err := config.ReadControl(writeSettings(text))
 		Expect(err).To(MatchError(ContainSubstring("host_list")))
 	})
 
 	It("of a control host name each wrong replica and operator", func() {
 		text := strings.Replace(readExample("local/control-1.toml"), "id = 2\n", "id = 1\n", 1)
 		text = strings.Replace(text, `roles = ["read"]`, `roles = ["write"]`, 1)
-		_, err := config.ReadControl(write(text))
+		_, err := config.ReadControl(writeSettings(text))
 		Expect(err).To(MatchError(And(ContainSubstring("replica.1.id"), ContainSubstring(`"write" is no role`))))
 	})
 })
 
 var _ = Describe("bundles", func() {
 	cases := []struct {
-		name string
-		from string
-		to   string
-		says string
+		name      string
+		from      string
+		to        string
+		wantError string
 	}{
-		{name: "duplicate name", from: `name = "kesklinn"`, to: `name = "haabersti"`, says: `account.1.name: "haabersti" stands twice`},
-		{name: "unknown model", from: `model = "koit"` + "\npriority = 9", to: `model = "koot"` + "\npriority = 9", says: `no model "koot"`},
-		{name: "priority", from: "priority = 9", to: "priority = 12", says: "pipeline.0.priority: 12 is out of range; allowed: 0 to 9"},
-		{name: "more tokens than the context", from: "max_tokens = 256", to: "max_tokens = 9000", says: "more than the model's context"},
-		{name: "layers", from: "layers = 24", to: "layers = 0", says: "model.0.layers"},
-		{name: "wrong type", from: "layers = 24", to: `layers = "many"`, says: "line 9"},
-		{name: "first version with a parent", from: `parent = ""`, to: `parent = "x"`, says: "version 1 names a parent"},
+		{name: "duplicate name", from: `name = "kesklinn"`, to: `name = "haabersti"`, wantError: `account.1.name: "haabersti" stands twice`},
+		{name: "unknown model", from: `model = "koit"` + "\npriority = 9", to: `model = "koot"` + "\npriority = 9", wantError: `no model "koot"`},
+		{name: "priority", from: "priority = 9", to: "priority = 12", wantError: "pipeline.0.priority: 12 is out of range; allowed: 0 to 9"},
+		{name: "more tokens than the context", from: "max_tokens = 256", to: "max_tokens = 9000", wantError: "more than the model's context"},
+		{name: "layers", from: "layers = 24", to: "layers = 0", wantError: "model.0.layers"},
+		{name: "wrong type", from: "layers = 24", to: `layers = "many"`, wantError: "line 9"},
+		{name: "first version with a parent", from: `parent = ""`, to: `parent = "x"`, wantError: "version 1 names a parent"},
 	}
 	for _, c := range cases {
 		It("say what is wrong: "+c.name, func() {
@@ -113,7 +113,7 @@
 			if err == nil {
 				_, err = bundle.NewSet(1, []*bundle.Bundle{b})
 			}
-			Expect(err).To(MatchError(ContainSubstring(c.says)))
+			Expect(err).To(MatchError(ContainSubstring(c.wantError)))
 		})
 	}
 })
--- a/pkg/config/control.go
+++ b/pkg/config/control.go
@@ -48,7 +48,7 @@
 func ReadControl(file string) (*Control, error) {
 	p := check.New(file)
 	c := &Control{}
-	if !read(file, c, p) {
+	if !decodeFile(file, c, p) {
 		return nil, p.Err()
 	}
 	c.check(p)
@@ -58,7 +58,7 @@
 func (c *Control) check(p *check.Problems) {
 	c.Place.check(p)
 	c.Trust.check(p)
-	checkKeys(c.TLS, p)
+	checkTLSFiles(c.TLS, p)
 	p.Address("rpc_address", c.RPCAddress)
 	p.Address("admin_address", c.AdminAddress)
 	if c.Data == "" {
@@ -74,12 +74,12 @@
 	ids := map[uint64]bool{}
 	addresses := map[string]bool{}
 	for i, r := range c.Replicas {
-		at := key("replica", i)
-		p.Address(at+"address", r.Address)
-		p.Address(at+"admin_address", r.AdminAddress)
-		p.Unique(at+"address", r.Address, addresses)
+		prefix := keyPrefix("replica", i)
+		p.Address(prefix+"address", r.Address)
+		p.Address(prefix+"admin_address", r.AdminAddress)
+		p.Unique(prefix+"address", r.Address, addresses)
 		if r.ID == 0 || ids[r.ID] {
-			p.Add(at+"id", "1 or more, each once", "%d is missing or stands twice", r.ID)
+			p.Add(prefix+"id", "1 or more, each once", "%d is missing or stands twice", r.ID)
 		}
 		ids[r.ID] = true
 	}
@@ -91,13 +91,13 @@
 func (c *Control) checkOperators(p *check.Problems) {
 	seen := map[string]bool{}
 	for i, o := range c.Operators {
-		at := key("operator", i)
-		p.Name(at+"name", o.Name)
-		p.Unique(at+"name", o.Name, seen)
-		p.SHA256(at+"key_sha256", o.KeySHA256)
+		prefix := keyPrefix("operator", i)
+		p.Name(prefix+"name", o.Name)
+		p.Unique(prefix+"name", o.Name, seen)
+		p.SHA256(prefix+"key_sha256", o.KeySHA256)
 		for _, r := range o.Roles {
 			if r != RoleRead && r != RoleSubmit {
-				p.Add(at+"roles", "read, submit", "%q is no role", r)
+				p.Add(prefix+"roles", "read, submit", "%q is no role", r)
 			}
 		}
 	}
--- a/pkg/config/entry.go
+++ b/pkg/config/entry.go
@@ -44,7 +44,7 @@
 		Queue:       defaultQueue,
 		Policy:      Policies[0],
 	}
-	if !read(file, c, p) {
+	if !decodeFile(file, c, p) {
 		return nil, p.Err()
 	}
 	c.check(p)
@@ -54,7 +54,7 @@
 func (c *Entry) check(p *check.Problems) {
 	c.Place.check(p)
 	c.Trust.check(p)
-	checkKeys(c.TLS, p)
+	checkTLSFiles(c.TLS, p)
 	p.Address("caller_address", c.CallerAddress)
 	p.Address("rpc_address", c.RPCAddress)
 	checkAddresses("control", c.Control, p)
@@ -98,6 +98,6 @@
 	}
 }
 
-func key(list string, i int) string {
+func keyPrefix(list string, i int) string {
 	return fmt.Sprintf("%s.%d.", list, i)
 }
--- a/pkg/config/fleet.go
+++ b/pkg/config/fleet.go
@@ -56,16 +56,16 @@
 }
 
 const (
-	maxPort       = 65535
-	controlOffset = 0
-	maxLosses     = 4
+	maxPort           = 65535
+	controlPortOffset = 0
+	maxLosses         = 4
 )
 
 // ReadFleet reads and checks the settings of a host.
 func ReadFleet(file string) (*Fleet, error) {
 	p := check.New(file)
 	c := &Fleet{}
-	if !read(file, c, p) {
+	if !decodeFile(file, c, p) {
 		return nil, p.Err()
 	}
 	c.check(p)
@@ -93,7 +93,7 @@
 		}
 	}
 	for i, s := range c.Seeds {
-		p.Address(key("seeds", i), s)
+		p.Address(keyPrefix("seeds", i), s)
 	}
 	if len(c.Seeds) == 0 {
 		p.Add("seeds", "at least one address of a control host", "missing")
@@ -125,7 +125,7 @@
 // ControlPort is the port of the system's own calls to control hosts; it is
 // the same on every host.
 func (c *Fleet) ControlPort() string {
-	return strconv.Itoa(c.InternalPort + controlOffset)
+	return strconv.Itoa(c.InternalPort + controlPortOffset)
 }
 
 // SeedIPs returns the IP numbers of the seeds.
--- a/pkg/config/fleet_test.go
+++ b/pkg/config/fleet_test.go
@@ -39,7 +39,7 @@
 
 func readFleet(from, to string) (*config.Fleet, error) {
 	Expect(fleetSettings).To(ContainSubstring(from))
-	return config.ReadFleet(write(strings.Replace(fleetSettings, from, to, 1)))
+	return config.ReadFleet(writeSettings(strings.Replace(fleetSettings, from, to, 1)))
 }
 
 var _ = Describe("settings of a fleet's host", func() {
@@ -102,19 +102,19 @@
 
 	It("may not be negative, and every one that is wrong is named", func() {
 		cases := []struct {
-			from string
-			to   string
-			says string
+			from      string
+			to        string
+			wantError string
 		}{
-			{from: "memory_mb = 184", to: "memory_mb = -1", says: "memory_mb: -1 is negative"},
-			{from: "repeat_ratio = 0.2", to: "repeat_ratio = -0.2", says: "bounds.repeat_ratio: -0.2 is negative"},
-			{from: "repeat_extra = 784", to: "repeat_extra = -7.5", says: "bounds.repeat_extra: -7.5 is negative"},
-			{from: "losses = 2", to: "losses = 9", says: "bounds.losses"},
-			{from: `heartbeat = "1200ms"`, to: `heartbeat = "0ms"`, says: "bounds.heartbeat"},
+			{from: "memory_mb = 184", to: "memory_mb = -1", wantError: "memory_mb: -1 is negative"},
+			{from: "repeat_ratio = 0.2", to: "repeat_ratio = -0.2", wantError: "bounds.repeat_ratio: -0.2 is negative"},
+			{from: "repeat_extra = 784", to: "repeat_extra = -7.5", wantError: "bounds.repeat_extra: -7.5 is negative"},
+			{from: "losses = 2", to: "losses = 9", wantError: "bounds.losses"},
+			{from: `heartbeat = "1200ms"`, to: `heartbeat = "0ms"`, wantError: "bounds.heartbeat"},
 		}
 		for _, c := range cases {
 			_, err := readFleet(c.from, c.to)
-			Expect(err).To(MatchError(ContainSubstring(c.says)))
+			Expect(err).To(MatchError(ContainSubstring(c.wantError)))
 		}
 	})
 
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -19,22 +19,22 @@
 type Directory struct {
 	svc timer.Service
 
-	mu        sync.Mutex
-	epoch     uint64
-	version   uint64
-	endpoints map[string]*Endpoint
-	entries   map[string]entryRow
-	entriesAt uint64    // version of the entry hosts
-	epochAt   time.Time // when epoch was first seen
+	mu             sync.Mutex
+	epoch          uint64
+	version        uint64
+	endpoints      map[string]*Endpoint
+	entries        map[string]entryHost
+	entriesVersion uint64    // version of the entry hosts
+	epochSeenAt    time.Time // when epoch was first seen
 
 	// index holds the endpoints that take new work, as of change indexed.
-	index   map[kind][]*Endpoint
-	indexed uint64
-	changes atomic.Uint64
+	index          map[indexKey][]*Endpoint
+	indexedChanges uint64
+	changes        atomic.Uint64
 }
 
-// entryRow is an entry host as the leader of an epoch named it.
-type entryRow struct {
+// entryHost is an entry host as the leader of an epoch named it.
+type entryHost struct {
 	info  *rpc.EntryHost
 	epoch uint64
 }
@@ -48,7 +48,7 @@
 	return &Directory{
 		svc:       svc,
 		endpoints: map[string]*Endpoint{},
-		entries:   map[string]entryRow{},
+		entries:   map[string]entryHost{},
 	}
 }
 
@@ -57,7 +57,7 @@
 func (d *Directory) Known() (epoch, version, entries uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.epoch, d.version, d.entriesAt
+	return d.epoch, d.version, d.entriesVersion
 }
 
 // Take joins a reply of the control hosts to the view. A whole table of a new
@@ -65,12 +65,12 @@
 func (d *Directory) Take(r *rpc.BeatReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.takeEntries(r)
+	d.applyEntries(r)
 	if r.GetEpoch() == 0 {
 		return
 	}
 	if d.epoch != r.GetEpoch() {
-		d.epochAt = d.svc.Now()
+		d.epochSeenAt = d.svc.Now()
 	}
 	d.epoch = r.GetEpoch()
 	d.version = r.GetVersion()
@@ -82,14 +82,14 @@
 		}
 		e.update(info, d.epoch)
 	}
-	d.forget()
+	d.removeStale()
 	d.changes.Add(1)
 }
 
-func (d *Directory) takeEntries(r *rpc.BeatReply) {
-	d.entriesAt = r.GetEntriesVersion()
+func (d *Directory) applyEntries(r *rpc.BeatReply) {
+	d.entriesVersion = r.GetEntriesVersion()
 	for _, e := range r.GetEntries() {
-		d.entries[e.GetHost()] = entryRow{
+		d.entries[e.GetHost()] = entryHost{
 			info:  e,
 			epoch: r.GetEpoch(),
 		}
@@ -99,17 +99,17 @@
 	}
 }
 
-// forget drops what is dead, and what a leader that has had the time to learn
+// removeStale drops what is dead, and what a leader that has had the time to learn
 // of it never named.
-func (d *Directory) forget() {
-	settled := d.svc.Now().Sub(d.epochAt) > settleTime
+func (d *Directory) removeStale() {
+	settled := d.svc.Now().Sub(d.epochSeenAt) > settleTime
 	for address, e := range d.endpoints {
-		if e.gone() || (settled && e.unnamed(d.epoch)) {
+		if e.gone() || (settled && e.notReportedIn(d.epoch)) {
 			delete(d.endpoints, address)
 		}
 	}
-	for host, row := range d.entries {
-		if settled && row.epoch != d.epoch && row.epoch != 0 {
+	for host, entry := range d.entries {
+		if settled && entry.epoch != d.epoch && entry.epoch != 0 {
 			delete(d.entries, host)
 		}
 	}
@@ -120,8 +120,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := make([]*rpc.EntryHost, 0, len(d.entries))
-	for _, row := range d.entries {
-		list = append(list, row.info)
+	for _, entry := range d.entries {
+		list = append(list, entry.info)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].GetHost() < list[j].GetHost() })
 	return list
@@ -144,7 +144,7 @@
 // Stages returns the engines that hold layers of a model's version and take
 // new work, sorted by address. The caller must not change the list.
 func (d *Directory) Stages(model, version string) []*Endpoint {
-	return d.usable(kind{
+	return d.usable(indexKey{
 		model:   model,
 		version: version,
 	})
@@ -153,25 +153,25 @@
 // Service returns the endpoints of a plain service that take new work, sorted
 // by address. The caller must not change the list.
 func (d *Directory) Service(name string) []*Endpoint {
-	return d.usable(kind{
+	return d.usable(indexKey{
 		service: name,
 	})
 }
 
-// kind is what endpoints are looked up by.
-type kind struct {
+// indexKey is what endpoints are looked up by.
+type indexKey struct {
 	service string
 	model   string
 	version string
 }
 
-func kindOf(i *rpc.Endpoint) kind {
+func indexKeyOf(i *rpc.Endpoint) indexKey {
 	if i.GetService() != "" {
-		return kind{
+		return indexKey{
 			service: i.GetService(),
 		}
 	}
-	return kind{
+	return indexKey{
 		model:   i.GetModel(),
 		version: i.GetModelVersion(),
 	}
@@ -179,16 +179,16 @@
 
 // usable looks through all endpoints only once after each change: every
 // request asks, and changes are few.
-func (d *Directory) usable(k kind) []*Endpoint {
+func (d *Directory) usable(k indexKey) []*Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if changes := d.changes.Load(); changes != d.indexed {
-		d.index = map[kind][]*Endpoint{}
-		d.indexed = changes
+	if changes := d.changes.Load(); changes != d.indexedChanges {
+		d.index = map[indexKey][]*Endpoint{}
+		d.indexedChanges = changes
 		for _, e := range d.endpoints {
 			info := e.Info()
-			if takesWork(info.GetState()) && !e.Leaving() {
-				d.index[kindOf(info)] = append(d.index[kindOf(info)], e)
+			if acceptsWork(info.GetState()) && !e.Leaving() {
+				d.index[indexKeyOf(info)] = append(d.index[indexKeyOf(info)], e)
 			}
 		}
 		for _, list := range d.index {
@@ -198,6 +198,6 @@
 	return d.index[k]
 }
 
-func takesWork(s rpc.EndpointState) bool {
+func acceptsWork(s rpc.EndpointState) bool {
 	return s == rpc.EndpointState_ENDPOINT_LIVE || s == rpc.EndpointState_ENDPOINT_SUSPECT
 }
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "directory")
 }
 
-func named(epoch uint64, state rpc.EndpointState, addresses ...string) *rpc.BeatReply {
+func replyWith(epoch uint64, state rpc.EndpointState, addresses ...string) *rpc.BeatReply {
 	r := &rpc.BeatReply{
 		Epoch: epoch,
 	}
@@ -40,12 +40,12 @@
 	It("isn't emptied by a new leader that has not learnt yet, but follows one that has", func() {
 		svc := timer.NewManual(time.Unix(1000, 0))
 		d := directory.New(svc)
-		d.Take(named(1, live, "a", "b"))
-		d.Take(named(2, rpc.EndpointState_ENDPOINT_JOINING, "a"))
+		d.Take(replyWith(1, live, "a", "b"))
+		d.Take(replyWith(2, rpc.EndpointState_ENDPOINT_JOINING, "a"))
 		Expect(d.Service("s")).To(HaveLen(2), "what was live stays so")
 		Expect(d.Hosts()).To(Equal(2))
 		svc.Advance(time.Minute)
-		d.Take(named(2, live, "a"))
+		d.Take(replyWith(2, live, "a"))
 		Expect(d.Service("s")).To(HaveLen(1))
 		Expect(d.Hosts()).To(Equal(1))
 	})
@@ -53,7 +53,7 @@
 	It("estimates load by the newest report, corrected by what was done since", func() {
 		svc := timer.NewManual(time.Unix(1000, 0))
 		d := directory.New(svc)
-		d.Take(named(1, live, "a"))
+		d.Take(replyWith(1, live, "a"))
 		e := d.Endpoint("a")
 		e.Opened(10, time.Millisecond)
 		Expect(e.Sessions(3)).To(Equal(10))
@@ -67,7 +67,7 @@
 	It("avoids what failed, for longer each time, until it answers or returns anew", func() {
 		svc := timer.NewManual(time.Unix(1000, 0))
 		d := directory.New(svc)
-		d.Take(named(1, live, "a"))
+		d.Take(replyWith(1, live, "a"))
 		e := d.Endpoint("a")
 		e.Failed()
 		Expect(e.Avoided()).To(BeTrue())
--- a/pkg/directory/endpoint.go
+++ b/pkg/directory/endpoint.go
@@ -14,39 +14,39 @@
 	svc     timer.Service
 	changes *atomic.Uint64 // the directory's
 
-	mu       sync.Mutex
-	info     *rpc.Endpoint
-	epoch    uint64 // of the leader that named it last
-	inflight int
-	reported int       // sessions, by the newest report
-	since    int       // sessions this host opened less those it closed since
-	reportAt time.Time // zero if there was no report
-	rtt      time.Duration
-	fails    int
-	avoid    time.Time // until when this host would rather not use it
-	joined   time.Time
-	leaving  bool // by its own word to this host, in this life
-}
-
-// reportLife is for how long a load report says something.
-const reportLife = 2 * time.Second
+	mu               sync.Mutex
+	info             *rpc.Endpoint
+	epoch            uint64 // of the leader that named it last
+	inflight         int
+	reportedSessions int       // sessions, by the newest report
+	sessionDelta     int       // sessions this host opened less those it closed since
+	reportedAt       time.Time // zero if there was no report
+	rtt              time.Duration
+	failures         int
+	avoidUntil       time.Time // until when this host would rather not use it
+	joinedAt         time.Time
+	leaving          bool // by its own word to this host, in this life
+}
+
+// reportMaxAge is for how long a load report says something.
+const reportMaxAge = 2 * time.Second
 
 // An endpoint that failed is avoided for avoidFirst, doubled with each further
 // failure up to avoidMost.
 const (
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 8 * time.Second
+	initialAvoidance = 500 * time.Millisecond
+	maxAvoidance     = 8 * time.Second
 )
 
-// rttShare is the weight of a new round-trip time in the average.
-const rttShare = 0.2
+// rttWeight is the weight of a new round-trip time in the average.
+const rttWeight = 0.2
 
 func newEndpoint(svc timer.Service, info *rpc.Endpoint, changes *atomic.Uint64) *Endpoint {
 	return &Endpoint{
-		svc:     svc,
-		changes: changes,
-		info:    info,
-		joined:  svc.Now(),
+		svc:      svc,
+		changes:  changes,
+		info:     info,
+		joinedAt: svc.Now(),
 	}
 }
 
@@ -56,21 +56,21 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.epoch = epoch
-	if info.GetState() == rpc.EndpointState_ENDPOINT_JOINING && takesWork(e.info.GetState()) {
+	if info.GetState() == rpc.EndpointState_ENDPOINT_JOINING && acceptsWork(e.info.GetState()) {
 		return
 	}
 	if info.GetIncarnation() > e.info.GetIncarnation() {
-		e.joined = e.svc.Now()
-		e.fails = 0
-		e.avoid = time.Time{}
-		e.reportAt = time.Time{}
+		e.joinedAt = e.svc.Now()
+		e.failures = 0
+		e.avoidUntil = time.Time{}
+		e.reportedAt = time.Time{}
 		e.leaving = false
 	}
 	e.info = info
 }
 
-// unnamed reports whether the leader of an epoch never named the endpoint.
-func (e *Endpoint) unnamed(epoch uint64) bool {
+// notReportedIn reports whether the leader of an epoch never named the endpoint.
+func (e *Endpoint) notReportedIn(epoch uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.epoch != epoch && e.inflight == 0
@@ -115,16 +115,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inflight++
-	e.reported = sessions
-	e.since = 0
-	e.reportAt = e.svc.Now()
-	e.fails = 0
-	e.avoid = time.Time{}
+	e.reportedSessions = sessions
+	e.sessionDelta = 0
+	e.reportedAt = e.svc.Now()
+	e.failures = 0
+	e.avoidUntil = time.Time{}
 	if e.rtt == 0 {
 		e.rtt = rtt
 		return
 	}
-	e.rtt += time.Duration(rttShare * float64(rtt-e.rtt))
+	e.rtt += time.Duration(rttWeight * float64(rtt-e.rtt))
 }
 
 // Closed notes that this host closed a session.
@@ -132,7 +132,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inflight--
-	e.since--
+	e.sessionDelta--
 }
 
 // Full notes that the endpoint refused a session since every slot is taken.
@@ -140,25 +140,25 @@
 func (e *Endpoint) Full() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reported = int(e.info.GetSlots())
-	e.since = 0
-	e.reportAt = e.svc.Now()
+	e.reportedSessions = int(e.info.GetSlots())
+	e.sessionDelta = 0
+	e.reportedAt = e.svc.Now()
 }
 
 // Failed notes that the endpoint failed a request of this host.
 func (e *Endpoint) Failed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	d := avoidFirst << min(e.fails, 4)
-	e.fails++
-	e.avoid = e.svc.Now().Add(min(d, avoidMost))
+	avoidance := initialAvoidance << min(e.failures, 4)
+	e.failures++
+	e.avoidUntil = e.svc.Now().Add(min(avoidance, maxAvoidance))
 }
 
 // Avoided reports whether this host saw the endpoint fail a short while ago.
 func (e *Endpoint) Avoided() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.svc.Now().Before(e.avoid)
+	return e.svc.Now().Before(e.avoidUntil)
 }
 
 // Inflight returns how many sessions this host has open.
@@ -179,7 +179,7 @@
 func (e *Endpoint) Age() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.svc.Now().Sub(e.joined)
+	return e.svc.Now().Sub(e.joinedAt)
 }
 
 // Sessions estimates how many sessions all hosts have open: the newest report,
@@ -188,8 +188,8 @@
 func (e *Endpoint) Sessions(hosts int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.svc.Now().Sub(e.reportAt) < reportLife {
-		return max(e.inflight, e.reported+e.since)
+	if e.svc.Now().Sub(e.reportedAt) < reportMaxAge {
+		return max(e.inflight, e.reportedSessions+e.sessionDelta)
 	}
 	return e.inflight * max(1, hosts)
 }
--- a/pkg/eventlog/eventlog.go
+++ b/pkg/eventlog/eventlog.go
@@ -74,20 +74,20 @@
 }
 
 const (
-	// queueLines is how many lines may wait for a reader that is slow.
-	queueLines = 512
-	// maxValue bounds the bytes of one value.
-	maxValue = 400
-	// routineShare is the part of the budget that lines about success may use,
+	// queueSize is how many lines may wait for a reader that is slow.
+	queueSize = 512
+	// maxValueBytes bounds the bytes of one value.
+	maxValueBytes = 400
+	// successDivisor is the part of the budget that lines about success may use,
 	// so that those about failures are the last to go.
-	routineShare = 2 // one half
+	successDivisor = 2 // one half
 )
 
 // Field is one name and value of a line.
 type Field struct {
-	name string
-	text string
-	num  bool
+	name    string
+	text    string
+	numeric bool
 }
 
 // Str returns a field that holds text.
@@ -101,9 +101,9 @@
 // Int returns a field that holds a whole number.
 func Int(name string, value int64) Field {
 	return Field{
-		name: name,
-		text: strconv.FormatInt(value, 10),
-		num:  true,
+		name:    name,
+		text:    strconv.FormatInt(value, 10),
+		numeric: true,
 	}
 }
 
@@ -128,10 +128,10 @@
 	queue  chan []byte
 	budget int // lines a second
 
-	mu      sync.Mutex
-	second  int64
-	used    int
-	dropped atomic.Int64
+	mu             sync.Mutex
+	currentSecond  int64
+	usedThisSecond int
+	dropped        atomic.Int64
 }
 
 // New returns a log that writes at most budget lines a second to out, once
@@ -141,7 +141,7 @@
 		out:    out,
 		svc:    svc,
 		host:   host,
-		queue:  make(chan []byte, queueLines),
+		queue:  make(chan []byte, queueSize),
 		budget: budget,
 	}
 }
@@ -191,7 +191,7 @@
 	if l == nil {
 		return
 	}
-	if !l.allowed(e, l.svc.Now()) {
+	if !l.withinBudget(e, l.svc.Now()) {
 		l.dropped.Add(1)
 		return
 	}
@@ -202,21 +202,21 @@
 	}
 }
 
-func (l *Log) allowed(e Event, now time.Time) bool {
+func (l *Log) withinBudget(e Event, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := now.Unix(); s != l.second {
-		l.second = s
-		l.used = 0
+	if s := now.Unix(); s != l.currentSecond {
+		l.currentSecond = s
+		l.usedThisSecond = 0
 	}
 	limit := l.budget
 	if e == RequestServed {
-		limit /= routineShare
+		limit /= successDivisor
 	}
-	if l.used >= limit {
+	if l.usedThisSecond >= limit {
 		return false
 	}
-	l.used++
+	l.usedThisSecond++
 	return true
 }
 
@@ -232,7 +232,7 @@
 		b = append(b, ',')
 		b = appendString(b, f.name)
 		b = append(b, ':')
-		if f.num {
+		if f.numeric {
 			b = append(b, f.text...)
 			continue
 		}
@@ -245,8 +245,8 @@
 
 // appendString appends s as a JSON string, cut to maxValue bytes.
 func appendString(b []byte, s string) []byte {
-	if len(s) > maxValue {
-		s = s[:maxValue]
+	if len(s) > maxValueBytes {
+		s = s[:maxValueBytes]
 	}
 	b = append(b, '"')
 	for _, r := range s {
--- a/pkg/eventlog/eventlog_test.go
+++ b/pkg/eventlog/eventlog_test.go
@@ -21,18 +21,18 @@
 	RunSpecs(t, "eventlog")
 }
 
-// stuck is an output whose reader has stopped reading.
-type stuck struct {
+// blockedWriter is an output whose reader has stopped reading.
+type blockedWriter struct {
 	release chan struct{}
 }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// reference is the page's list of events.
-func reference() string {
+// eventTable is the page's list of events.
+func eventTable() string {
 	var b strings.Builder
 	for _, e := range Events {
 		fmt.Fprintf(&b, "| %s |\n", e)
@@ -77,10 +77,10 @@
 
 	It("never waits for a reader that stopped reading", func() {
 		release := make(chan struct{})
-		l := New(stuck{release: release}, timer.NewManual(time.Unix(0, 0)), "h", 1_000_000)
+		l := New(blockedWriter{release: release}, timer.NewManual(time.Unix(0, 0)), "h", 1_000_000)
 		g := group.New(context.Background())
 		g.Go(l.Run)
-		for range 10 * queueLines {
+		for range 10 * queueSize {
 			l.Event(RequestFailed)
 		}
 		Expect(l.Dropped()).To(BeNumerically(">", 0))
@@ -95,6 +95,6 @@
 		for _, e := range Events {
 			Expect(string(text)).To(ContainSubstring("| "+string(e)+" |"), "docs/operate/logs.md lacks an event")
 		}
-		Expect(strings.Count(string(text), "\n| ")).To(Equal(len(Events)+1), "docs/operate/logs.md lists an event that isn't one:\n"+reference())
+		Expect(strings.Count(string(text), "\n| ")).To(Equal(len(Events)+1), "docs/operate/logs.md lists an event that isn't one:\n"+eventTable())
 	})
 })
--- a/pkg/fleet/configuration.go
+++ b/pkg/fleet/configuration.go
@@ -146,10 +146,10 @@
 
 // CacheTokens returns how many tokens' KV cache, times layers, fit beside held
 // layers.
-func (e *Engine) CacheTokens(kind string, held int) float64 {
-	left := e.Kinds[kind].MB - float64(held)*e.LayerMB
-	if left <= 0 || e.CacheBytes <= 0 {
+func (e *Engine) CacheTokens(kind string, heldLayers int) float64 {
+	freeMB := e.Kinds[kind].MB - float64(heldLayers)*e.LayerMB
+	if freeMB <= 0 || e.CacheBytes <= 0 {
 		return 0
 	}
-	return left * 1e6 / e.CacheBytes
+	return freeMB * 1e6 / e.CacheBytes
 }
--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -21,15 +21,15 @@
 	buf := make([]byte, 0, 128)
 	for i := range list {
 		if list[i].Usable() {
-			buf = list[i].appendNews(buf[:0])
+			buf = list[i].appendState(buf[:0])
 			sum += xxhash.Sum64(buf)
 		}
 	}
 	return sum
 }
 
-// appendNews appends what others must be told of an endpoint.
-func (e *Endpoint) appendNews(b []byte) []byte {
+// appendState appends what others must be told of an endpoint.
+func (e *Endpoint) appendState(b []byte) []byte {
 	for _, s := range [...]string{e.ID, e.Service, e.Address, e.Domain, e.Kind, e.Model} {
 		b = append(b, s...)
 		b = append(b, 0)
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -26,7 +26,7 @@
 	x := NewIndex(cfg)
 
 	It("are found by host and longest prefix", func() {
-		for _, one := range []struct {
+		for _, c := range []struct {
 			host, path, name string
 		}{
 			{"h.example", "/a/x", "short"},
@@ -38,10 +38,10 @@
 			{"h.example", "/a", ""},
 		} {
 			name := ""
-			if r := x.Route(one.host, one.path); r != nil {
+			if r := x.Route(c.host, c.path); r != nil {
 				name = r.Name
 			}
-			Expect(name).To(Equal(one.name), one.host+one.path)
+			Expect(name).To(Equal(c.name), c.host+c.path)
 		}
 	})
 
@@ -60,9 +60,9 @@
 		packed, err := Pack(text)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(packed)).To(BeNumerically("<", len(text)/10))
-		back, err := Unpack(packed)
+		unpacked, err := Unpack(packed)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back).To(Equal(text))
+		Expect(unpacked).To(Equal(text))
 		_, err = Unpack(packed[:len(packed)/2])
 		Expect(err).To(HaveOccurred())
 	})
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -8,19 +8,19 @@
 var _ = Describe("an incarnation's name", func() {
 	It("gives back the endpoint's own id and when it started, whatever the id", func() {
 		cases := []struct {
-			own  string
-			born int64
+			ownID     string
+			startedAt int64
 		}{
 			{"i-1", 0}, {"i-1", 1700000000123}, {"a@b", 0}, {"a@7", 0}, {"a@7", 9}, {"", 5}, {"x@", 3},
 		}
 		seen := map[string]bool{}
 		for _, c := range cases {
-			name := IncarnationID(c.own, c.born)
-			Expect(seen[name]).To(BeFalse(), name)
-			seen[name] = true
-			own, born := SplitIncarnation(name)
-			Expect(own).To(Equal(c.own))
-			Expect(born).To(Equal(c.born))
+			incarnation := IncarnationID(c.ownID, c.startedAt)
+			Expect(seen[incarnation]).To(BeFalse(), incarnation)
+			seen[incarnation] = true
+			ownID, startedAt := SplitIncarnation(incarnation)
+			Expect(ownID).To(Equal(c.ownID))
+			Expect(startedAt).To(Equal(c.startedAt))
 		}
 	})
 })
--- a/pkg/fleet/index.go
+++ b/pkg/fleet/index.go
@@ -9,7 +9,7 @@
 // doesn't change once it is built.
 type Index struct {
 	cfg      *Configuration
-	routes   map[place]*Route
+	routes   map[routeKey]*Route
 	services map[string]*Service
 	accounts map[string]*Account // by key
 }
@@ -18,13 +18,13 @@
 func NewIndex(cfg *Configuration) *Index {
 	x := &Index{
 		cfg:      cfg,
-		routes:   make(map[place]*Route, len(cfg.Routes)),
+		routes:   make(map[routeKey]*Route, len(cfg.Routes)),
 		services: make(map[string]*Service, len(cfg.Services)),
 		accounts: map[string]*Account{},
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
-		x.routes[place{host: strings.ToLower(r.Host), prefix: r.Prefix}] = r
+		x.routes[routeKey{host: strings.ToLower(r.Host), prefix: r.Prefix}] = r
 	}
 	for i := range cfg.Services {
 		x.services[cfg.Services[i].Name] = &cfg.Services[i]
@@ -63,7 +63,7 @@
 		if i < 0 {
 			return nil
 		}
-		if r := x.routes[place{host: host, prefix: path[:i+1]}]; r != nil {
+		if r := x.routes[routeKey{host: host, prefix: path[:i+1]}]; r != nil {
 			return r
 		}
 	}
@@ -91,10 +91,10 @@
 	for _, s := range r.Split {
 		sum += s.Weight
 	}
-	at := point * float64(sum)
+	remaining := point * float64(sum)
 	for _, s := range r.Split {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/pkg/fleet/pack.go
+++ b/pkg/fleet/pack.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// maxUnpacked bounds a configuration as the operator sent it.
-const maxUnpacked = 64 << 20
+// maxUnpackedBytes bounds a configuration as the operator sent it.
+const maxUnpackedBytes = 64 << 20
 
 // Pack makes a configuration as the operator sent it smaller, for the log and
 // for every entry host: a text of many routes shrinks more than tenfold.
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
-	content, err := io.ReadAll(io.LimitReader(r, maxUnpacked))
+	content, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
--- a/pkg/fleet/patch.go
+++ b/pkg/fleet/patch.go
@@ -8,9 +8,9 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// patchWindow is the farthest back that a patch may point, in bytes: into the
+// maxPatchWindow is the farthest back that a patch may point, in bytes: into the
 // whole of a configuration of 4 MB, the largest that operators send, twice over.
-const patchWindow = 8 << 20
+const maxPatchWindow = 8 << 20
 
 // Patch returns what a host that holds base needs to make next: base is the
 // dictionary that next is compressed with. One changed route in 1,640 takes some
@@ -20,7 +20,7 @@
 		zstd.WithEncoderDictRaw(0, base),
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithEncoderConcurrency(1),
-		zstd.WithWindowSize(windowFor(len(base)+len(next))),
+		zstd.WithWindowSize(windowSize(len(base)+len(next))),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		return nil, errors.Wrap(err, "patch")
@@ -32,10 +32,10 @@
 	return out, nil
 }
 
-// windowFor returns the power of two that covers n bytes.
-func windowFor(n int) int {
+// windowSize returns the power of two that covers n bytes.
+func windowSize(n int) int {
 	w := zstd.MinWindowSize
-	for w < n && w < patchWindow {
+	for w < n && w < maxPatchWindow {
 		w *= 2
 	}
 	return w
@@ -47,7 +47,7 @@
 		zstd.WithDecoderDictRaw(0, base),
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(maxUnpacked))
+		zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "apply a patch")
 	}
@@ -75,11 +75,11 @@
 // Invariant: versions rise along past; patches are all of the newest one.
 type History struct {
 	mu      sync.Mutex
-	past    []past
+	entries []historyEntry
 	patches map[uint64][]byte // by the version that they patch
 }
 
-type past struct {
+type historyEntry struct {
 	version uint64
 	content []byte
 }
@@ -102,12 +102,12 @@
 	if err != nil {
 		return err
 	}
-	h.past = append(h.past, past{
+	h.entries = append(h.entries, historyEntry{
 		version: version,
 		content: content,
 	})
-	if len(h.past) > historySize {
-		h.past = append([]past(nil), h.past[1:]...)
+	if len(h.entries) > historySize {
+		h.entries = append([]historyEntry(nil), h.entries[1:]...)
 	}
 	h.patches = map[uint64][]byte{}
 	return nil
@@ -115,10 +115,10 @@
 
 // newest returns the newest version; 0 if there is none.
 func (h *History) newest() uint64 {
-	if len(h.past) == 0 {
+	if len(h.entries) == 0 {
 		return 0
 	}
-	return h.past[len(h.past)-1].version
+	return h.entries[len(h.entries)-1].version
 }
 
 // Since returns the patch from one version to another, which must be the newest,
@@ -129,8 +129,8 @@
 	if version != h.newest() {
 		return nil, 0, nil
 	}
-	next := h.past[len(h.past)-1].content
-	for _, p := range h.past {
+	next := h.entries[len(h.entries)-1].content
+	for _, p := range h.entries {
 		if p.version != base || base == version {
 			continue
 		}
--- a/pkg/fleet/patch_test.go
+++ b/pkg/fleet/patch_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// routes is a configuration of n routes, as large as one of an operator.
-func routes(n int, version int) []byte {
+// configurationText is a configuration of n routes, as large as one of an operator.
+func configurationText(n int, version int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
 	for i := range n {
@@ -23,8 +23,8 @@
 
 var _ = Describe("a patch", func() {
 	It("gives the next configuration, and is small where little changed", func() {
-		base := routes(1640, 1)
-		next := bytes.Replace(routes(1640, 2), []byte(`"Weight":90`), []byte(`"Weight":80`), 1)
+		base := configurationText(1640, 1)
+		next := bytes.Replace(configurationText(1640, 2), []byte(`"Weight":90`), []byte(`"Weight":80`), 1)
 		patch, err := Patch(base, next)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(patch)).To(BeNumerically("<", 1000))
@@ -52,10 +52,10 @@
 	})
 
 	It("of another base is no good, which the digest tells", func() {
-		base, next := routes(200, 1), routes(200, 2)
+		base, next := configurationText(200, 1), configurationText(200, 2)
 		patch, err := Patch(base, next)
 		Expect(err).NotTo(HaveOccurred())
-		got, err := Patched(routes(190, 7), patch)
+		got, err := Patched(configurationText(190, 7), patch)
 		Expect(err != nil || ContentDigest(got) != ContentDigest(next)).To(BeTrue())
 		_, err = Patched(base, patch[:len(patch)/2])
 		Expect(err).To(HaveOccurred())
@@ -63,8 +63,8 @@
 })
 
 var _ = Describe("the history of configurations", func() {
-	note := func(h *History, version int) {
-		packed, err := Pack(routes(20, version))
+	add := func(h *History, version int) {
+		packed, err := Pack(configurationText(20, version))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(h.Note(uint64(version), packed)).To(Succeed())
 	}
@@ -72,7 +72,7 @@
 	It("patches from the versions that it holds to the newest, and from no others", func() {
 		h := NewHistory()
 		for v := 1; v <= historySize+2; v++ {
-			note(h, 10*v)
+			add(h, 10*v)
 		}
 		newest := uint64(10 * (historySize + 2))
 		cases := []struct {
@@ -94,9 +94,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(patch != nil).To(Equal(c.held), fmt.Sprint(c))
 			if c.held {
-				got, err := Patched(routes(20, int(c.base)), patch)
+				got, err := Patched(configurationText(20, int(c.base)), patch)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(got).To(Equal(routes(20, int(c.version))))
+				Expect(got).To(Equal(configurationText(20, int(c.version))))
 				Expect(ContentDigest(got)).To(Equal(digest))
 			}
 		}
@@ -104,8 +104,8 @@
 
 	It("keeps nothing that is older than what it holds", func() {
 		h := NewHistory()
-		note(h, 5)
-		note(h, 4)
+		add(h, 5)
+		add(h, 4)
 		patch, _, err := h.Since(4, 5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(patch).To(BeNil())
@@ -115,7 +115,7 @@
 })
 
 func BenchmarkPatch(b *testing.B) {
-	base, next := routes(1640, 1), routes(1640, 2)
+	base, next := configurationText(1640, 1), configurationText(1640, 2)
 	patch, err := Patch(base, next)
 	if err != nil {
 		b.Fatal(err)
--- a/pkg/fleet/validate.go
+++ b/pkg/fleet/validate.go
@@ -24,26 +24,26 @@
 	return c.validateAccounts()
 }
 
-type place struct {
+type routeKey struct {
 	host   string
 	prefix string
 }
 
 func (c *Configuration) validateRoutes(services map[string]bool) error {
-	places := map[place]string{}
+	seen := map[routeKey]string{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if err := r.validate(services); err != nil {
 			return err
 		}
-		p := place{
+		key := routeKey{
 			host:   strings.ToLower(r.Host),
 			prefix: r.Prefix,
 		}
-		if other, taken := places[p]; taken {
+		if other, taken := seen[key]; taken {
 			return errors.Errorf("routes %q and %q share host and prefix", other, r.Name)
 		}
-		places[p] = r.Name
+		seen[key] = r.Name
 	}
 	return nil
 }
@@ -73,17 +73,17 @@
 
 func (c *Configuration) validateAccounts() error {
 	names := map[string]bool{}
-	holders := map[string]string{}
+	owners := map[string]string{}
 	for _, a := range c.Accounts {
 		if a.Name == "" || names[a.Name] {
 			return errors.Errorf("client account %q has no name or stands twice", a.Name)
 		}
 		names[a.Name] = true
 		for _, k := range a.Keys {
-			if other, taken := holders[k]; taken && other != a.Name {
+			if other, taken := owners[k]; taken && other != a.Name {
 				return errors.Errorf("client accounts %q and %q share a key", other, a.Name)
 			}
-			holders[k] = a.Name
+			owners[k] = a.Name
 		}
 	}
 	return nil
--- a/pkg/keys/keys.go
+++ b/pkg/keys/keys.go
@@ -38,12 +38,12 @@
 	files Files
 	svc   timer.Service
 
-	mu      sync.Mutex
-	checked time.Time
-	stamp   [3]time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
-	err     error
+	mu        sync.Mutex
+	checkedAt time.Time
+	modTimes  [3]time.Time
+	cert      *tls.Certificate
+	pool      *x509.CertPool
+	err       error
 }
 
 // New reads the files.
@@ -52,7 +52,7 @@
 		files: files,
 		svc:   svc,
 	}
-	if err := p.read(); err != nil {
+	if err := p.load(); err != nil {
 		return nil, err
 	}
 	return p, nil
@@ -65,7 +65,7 @@
 	return p.err
 }
 
-func (p *Pair) read() error {
+func (p *Pair) load() error {
 	cert, err := tls.LoadX509KeyPair(p.files.Certificate, p.files.Key)
 	if err != nil {
 		return errors.Wrap(err, "certificate")
@@ -88,18 +88,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.svc.Now()
-	if now.Sub(p.checked) < checkInterval {
+	if now.Sub(p.checkedAt) < checkInterval {
 		return p.cert, p.pool
 	}
-	p.checked = now
-	if stamp := p.stamps(); stamp != p.stamp {
-		p.stamp = stamp
-		p.err = p.read()
+	p.checkedAt = now
+	if stamp := p.fileModTimes(); stamp != p.modTimes {
+		p.modTimes = stamp
+		p.err = p.load()
 	}
 	return p.cert, p.pool
 }
 
-func (p *Pair) stamps() [3]time.Time {
+func (p *Pair) fileModTimes() [3]time.Time {
 	var s [3]time.Time
 	for i, name := range []string{p.files.Certificate, p.files.Key, p.files.Authority} {
 		if info, err := os.Stat(name); err == nil {
@@ -125,8 +125,8 @@
 	}
 }
 
-// client returns the settings of a connection to the IP number or name host.
-func (p *Pair) client(host string) *tls.Config {
+// clientConfig returns the settings of a connection to the IP number or name host.
+func (p *Pair) clientConfig(host string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -148,13 +148,13 @@
 		return errors.New("the other side showed no certificate")
 	}
 	_, pool := p.current()
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, cert := range c.PeerCertificates[1:] {
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
 	_, err := c.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots:         pool,
-		Intermediates: between,
+		Intermediates: intermediates,
 		DNSName:       host,
 		CurrentTime:   p.svc.Now(),
 	})
@@ -182,7 +182,7 @@
 		if err != nil {
 			return nil, err
 		}
-		secure := tls.Client(conn, p.client(host))
+		secure := tls.Client(conn, p.clientConfig(host))
 		if err := secure.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
 			return nil, err
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -27,26 +27,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// freshness is how old a report may be to count: a watcher that is well
+// reportMaxAge is how old a report may be to count: a watcher that is well
 // reports every five seconds, and may miss one.
-const freshness = 12 * time.Second
+const reportMaxAge = 12 * time.Second
 
-// forgetAfter is how long a dead endpoint that isn't listed is remembered.
-const forgetAfter = 10 * time.Minute
+// deadRetention is how long a dead endpoint that isn't listed is remembered.
+const deadRetention = 10 * time.Minute
 
 type report struct {
 	at        time.Time
 	reachable bool
 }
 
-type row struct {
-	info    *rpc.Endpoint
-	listed  bool
-	leaving bool // by the list
-	self    bool // leaving, by its own word
-	reports map[string]report
-	version uint64
-	since   time.Time
+type entry struct {
+	info          *rpc.Endpoint
+	listed        bool
+	listedLeaving bool // by the list
+	selfLeaving   bool // leaving, by its own word
+	reports       map[string]report
+	version       uint64
+	changedAt     time.Time
 }
 
 // Table is the endpoints as the leader knows them. It isn't safe for use by
@@ -56,14 +56,14 @@
 // a row's version is the table's when it last changed; an endpoint that was
 // Leaving stays so until it returns with a new incarnation.
 type Table struct {
-	rows    map[string]*row
+	entries map[string]*entry
 	version uint64
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		rows: map[string]*row{},
+		entries: map[string]*entry{},
 	}
 }
 
@@ -78,17 +78,17 @@
 	if len(list.Hosts) == 0 {
 		return
 	}
-	for _, r := range t.rows {
-		r.listed = false
+	for _, e := range t.entries {
+		e.listed = false
 	}
 	for _, h := range list.Hosts {
-		r := t.row(h.Address)
-		r.listed = true
-		r.leaving = h.Leaving
-		if r.info.GetService() != h.Service || r.info.GetDomain() != h.Domain {
-			r.info.Service = h.Service
-			r.info.Domain = h.Domain
-			t.changed(r, now)
+		e := t.entryFor(h.Address)
+		e.listed = true
+		e.listedLeaving = h.Leaving
+		if e.info.GetService() != h.Service || e.info.GetDomain() != h.Domain {
+			e.info.Service = h.Service
+			e.info.Domain = h.Domain
+			t.markChanged(e, now)
 		}
 	}
 	t.Judge(now)
@@ -96,78 +96,78 @@
 
 // Report takes what one watcher saw.
 func (t *Table) Report(now time.Time, watcher string, reports []*rpc.EndpointReport) {
-	for _, p := range reports {
-		r, ok := t.rows[p.GetAddress()]
+	for _, r := range reports {
+		e, ok := t.entries[r.GetAddress()]
 		if !ok {
 			continue
 		}
-		r.reports[watcher] = report{
+		e.reports[watcher] = report{
 			at:        now,
-			reachable: p.GetReachable(),
+			reachable: r.GetReachable(),
 		}
-		if p.GetInfo() != nil {
-			t.learn(now, r, p.GetInfo())
+		if r.GetInfo() != nil {
+			t.update(now, e, r.GetInfo())
 		}
 	}
 }
 
-// learn takes what an endpoint said of itself.
-func (t *Table) learn(now time.Time, r *row, info *rpc.Endpoint) {
-	if info.GetIncarnation() < r.info.GetIncarnation() {
+// update takes what an endpoint said of itself.
+func (t *Table) update(now time.Time, e *entry, info *rpc.Endpoint) {
+	if info.GetIncarnation() < e.info.GetIncarnation() {
 		return // an older life's report came late
 	}
-	if info.GetIncarnation() > r.info.GetIncarnation() {
-		r.self = false
+	if info.GetIncarnation() > e.info.GetIncarnation() {
+		e.selfLeaving = false
 	}
-	r.self = r.self || info.GetState() == rpc.EndpointState_ENDPOINT_LEAVING
+	e.selfLeaving = e.selfLeaving || info.GetState() == rpc.EndpointState_ENDPOINT_LEAVING
 	next := proto.Clone(info).(*rpc.Endpoint)
-	next.Address = r.info.GetAddress()
-	next.Service = r.info.GetService()
-	next.Domain = r.info.GetDomain()
-	next.State = r.info.GetState()
-	if !proto.Equal(next, r.info) {
-		r.info = next
-		t.changed(r, now)
+	next.Address = e.info.GetAddress()
+	next.Service = e.info.GetService()
+	next.Domain = e.info.GetDomain()
+	next.State = e.info.GetState()
+	if !proto.Equal(next, e.info) {
+		e.info = next
+		t.markChanged(e, now)
 	}
 }
 
 // Judge applies the rules to every endpoint.
 func (t *Table) Judge(now time.Time) {
 	trusted := t.trustedWatchers(now)
-	for address, r := range t.rows {
-		state := judge(r, now, trusted)
-		if state != r.info.GetState() {
-			r.info = proto.Clone(r.info).(*rpc.Endpoint)
-			r.info.State = state
-			t.changed(r, now)
+	for address, e := range t.entries {
+		state := evaluate(e, now, trusted)
+		if state != e.info.GetState() {
+			e.info = proto.Clone(e.info).(*rpc.Endpoint)
+			e.info.State = state
+			t.markChanged(e, now)
 		}
-		if state == rpc.EndpointState_ENDPOINT_DEAD && !r.listed && now.Sub(r.since) > forgetAfter {
-			delete(t.rows, address)
+		if state == rpc.EndpointState_ENDPOINT_DEAD && !e.listed && now.Sub(e.changedAt) > deadRetention {
+			delete(t.entries, address)
 		}
 	}
 }
 
-func judge(r *row, now time.Time, trusted map[string]bool) rpc.EndpointState {
-	yes, no := 0, 0
-	for watcher, p := range r.reports {
+func evaluate(e *entry, now time.Time, trusted map[string]bool) rpc.EndpointState {
+	reachedBy, missedBy := 0, 0
+	for watcher, r := range e.reports {
 		switch {
-		case now.Sub(p.at) > freshness || !trusted[watcher]:
-		case p.reachable:
-			yes++
+		case now.Sub(r.at) > reportMaxAge || !trusted[watcher]:
+		case r.reachable:
+			reachedBy++
 		default:
-			no++
+			missedBy++
 		}
 	}
 	switch {
-	case no > 0 && yes == 0 && (no >= 2 || !r.listed):
+	case missedBy > 0 && reachedBy == 0 && (missedBy >= 2 || !e.listed):
 		return rpc.EndpointState_ENDPOINT_DEAD
-	case r.leaving || r.self:
+	case e.listedLeaving || e.selfLeaving:
 		return rpc.EndpointState_ENDPOINT_LEAVING
-	case yes+no == 0 && r.info.GetState() == rpc.EndpointState_ENDPOINT_UNSPECIFIED:
+	case reachedBy+missedBy == 0 && e.info.GetState() == rpc.EndpointState_ENDPOINT_UNSPECIFIED:
 		return rpc.EndpointState_ENDPOINT_JOINING
-	case yes+no == 0:
-		return r.info.GetState()
-	case no == 0:
+	case reachedBy+missedBy == 0:
+		return e.info.GetState()
+	case missedBy == 0:
 		return rpc.EndpointState_ENDPOINT_LIVE
 	default:
 		return rpc.EndpointState_ENDPOINT_SUSPECT
@@ -176,21 +176,21 @@
 
 // trustedWatchers returns the watchers that aren't cut off themselves.
 func (t *Table) trustedWatchers(now time.Time) map[string]bool {
-	seen := map[string]int{}
+	total := map[string]int{}
 	reached := map[string]int{}
-	for _, r := range t.rows {
-		for watcher, p := range r.reports {
-			if now.Sub(p.at) > freshness {
+	for _, e := range t.entries {
+		for watcher, r := range e.reports {
+			if now.Sub(r.at) > reportMaxAge {
 				continue
 			}
-			seen[watcher]++
-			if p.reachable {
+			total[watcher]++
+			if r.reachable {
 				reached[watcher]++
 			}
 		}
 	}
 	trusted := map[string]bool{}
-	for watcher, n := range seen {
+	for watcher, n := range total {
 		trusted[watcher] = n == 1 || reached[watcher]*2 >= n
 	}
 	return trusted
@@ -199,9 +199,9 @@
 // Since returns what changed after version, sorted by address.
 func (t *Table) Since(version uint64) []*rpc.Endpoint {
 	var list []*rpc.Endpoint
-	for _, r := range t.rows {
-		if r.version > version {
-			list = append(list, r.info)
+	for _, e := range t.entries {
+		if e.version > version {
+			list = append(list, e.info)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].GetAddress() < list[j].GetAddress() })
@@ -210,30 +210,30 @@
 
 // Addresses returns every endpoint's address, sorted.
 func (t *Table) Addresses() []string {
-	list := make([]string, 0, len(t.rows))
-	for a := range t.rows {
+	list := make([]string, 0, len(t.entries))
+	for a := range t.entries {
 		list = append(list, a)
 	}
 	sort.Strings(list)
 	return list
 }
 
-func (t *Table) row(address string) *row {
-	r, ok := t.rows[address]
+func (t *Table) entryFor(address string) *entry {
+	e, ok := t.entries[address]
 	if !ok {
-		r = &row{
+		e = &entry{
 			info: &rpc.Endpoint{
 				Address: address,
 			},
 			reports: map[string]report{},
 		}
-		t.rows[address] = r
+		t.entries[address] = e
 	}
-	return r
+	return e
 }
 
-func (t *Table) changed(r *row, now time.Time) {
+func (t *Table) markChanged(e *entry, now time.Time) {
 	t.version++
-	r.version = t.version
-	r.since = now
+	e.version = t.version
+	e.changedAt = now
 }
--- a/pkg/membership/watch.go
+++ b/pkg/membership/watch.go
@@ -15,7 +15,7 @@
 // WatchersPerEndpoint all of them watch.
 func Watchers(endpoint string, hosts []string) []string {
 	chosen := make([]string, 0, WatchersPerEndpoint)
-	for _, i := range watchers(xxhash.Sum64String(endpoint), hashes(hosts)) {
+	for _, i := range selectWatchers(xxhash.Sum64String(endpoint), hashes(hosts)) {
 		chosen = append(chosen, hosts[i])
 	}
 	return chosen
@@ -26,7 +26,7 @@
 	watch := make(map[string][]string, len(hosts))
 	hashed := hashes(hosts)
 	for _, e := range endpoints {
-		for _, i := range watchers(xxhash.Sum64String(e), hashed) {
+		for _, i := range selectWatchers(xxhash.Sum64String(e), hashed) {
 			watch[hosts[i]] = append(watch[hosts[i]], e)
 		}
 	}
@@ -41,8 +41,8 @@
 	return h
 }
 
-// watchers returns the places of the hosts with the highest scores.
-func watchers(endpoint uint64, hosts []uint64) []int {
+// selectWatchers returns the places of the hosts with the highest scores.
+func selectWatchers(endpoint uint64, hosts []uint64) []int {
 	chosen := make([]int, 0, WatchersPerEndpoint+1)
 	scores := make([]uint64, 0, WatchersPerEndpoint+1)
 	for i, h := range hosts {
--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -14,9 +14,9 @@
 	"github.com/go-faster/errors"
 )
 
-// around is how far before and after a request the lines of the endpoints and
+// contextWindow is how far before and after a request the lines of the endpoints and
 // hosts that it touched belong to its story.
-const around = 5 * time.Second
+const contextWindow = 5 * time.Second
 
 // maxLine bounds one line of a log.
 const maxLine = 64 << 10
@@ -57,7 +57,7 @@
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, maxLine), maxLine)
 	for s.Scan() {
-		if l, ok := parse(s.Bytes()); ok {
+		if l, ok := parseLine(s.Bytes()); ok {
 			list = append(list, l)
 		}
 	}
@@ -67,24 +67,24 @@
 	return list, nil
 }
 
-func parse(text []byte) (Line, bool) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+func parseLine(text []byte) (Line, bool) {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	l := Line{
 		Fields: map[string]any{},
-		raw:    string(text[at:]),
+		raw:    string(text[start:]),
 	}
-	if json.Unmarshal(text[at:], &l.Fields) != nil {
+	if json.Unmarshal(text[start:], &l.Fields) != nil {
 		return Line{}, false
 	}
-	stamp, _ := l.Fields["time"].(string)
-	when, err := time.Parse(time.RFC3339Nano, stamp)
+	timeText, _ := l.Fields["time"].(string)
+	at, err := time.Parse(time.RFC3339Nano, timeText)
 	if err != nil {
 		return Line{}, false
 	}
-	l.Time = when
+	l.Time = at
 	l.Host, _ = l.Fields["host"].(string)
 	l.Event, _ = l.Fields["event"].(string)
 	return l, l.Event != ""
@@ -104,13 +104,13 @@
 		return nil
 	}
 	sortByTime(own)
-	from := began(&own[0]).Add(-around)
-	to := own[len(own)-1].Time.Add(around)
-	touched := touches(own)
+	from := arrivalTime(&own[0]).Add(-contextWindow)
+	to := own[len(own)-1].Time.Add(contextWindow)
+	related := scopeOf(own)
 	out := own
 	for _, l := range lines {
 		_, ofRequest := l.Fields["request"]
-		if ofRequest || l.Time.Before(from) || l.Time.After(to) || !touched.by(&l) {
+		if ofRequest || l.Time.Before(from) || l.Time.After(to) || !related.covers(&l) {
 			continue
 		}
 		out = append(out, l)
@@ -119,8 +119,8 @@
 	return out
 }
 
-// began returns when a request came, by the time it had taken.
-func began(l *Line) time.Time {
+// arrivalTime returns when a request came, by the time it had taken.
+func arrivalTime(l *Line) time.Time {
 	for _, name := range []string{"took_ms", "after_ms"} {
 		if ms, ok := l.Fields[name].(float64); ok {
 			return l.Time.Add(-time.Duration(ms) * time.Millisecond)
@@ -133,14 +133,14 @@
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Time.Before(list[j].Time) })
 }
 
-// touch is what a request touched: hosts, and text that names endpoints.
-type touch struct {
+// scope is what a request touched: hosts, and text that names endpoints.
+type scope struct {
 	hosts map[string]bool
 	text  string
 }
 
-func touches(own []Line) touch {
-	t := touch{
+func scopeOf(own []Line) scope {
+	t := scope{
 		hosts: map[string]bool{},
 	}
 	var b strings.Builder
@@ -158,7 +158,7 @@
 	"started": true, "stopping": true, "stopped": true,
 }
 
-func (t touch) by(l *Line) bool {
+func (t scope) covers(l *Line) bool {
 	if hostEvents[l.Event] {
 		return t.hosts[l.Host]
 	}
