--- a/pkg/fleet/configuration.go
+++ b/pkg/fleet/configuration.go
@@ -1,11 +1,12 @@
-// Package fleet is the model of a deployment whose operator sends whole
-// configurations and whose endpoints announce themselves: routes, services,
-// engines, client accounts and endpoints.
+// Package fleet is the data model of a deployment whose operator submits full
+// configurations and whose endpoints register themselves by heartbeats: routes,
+// services, engines, client accounts and endpoints.
 package fleet
 
 import "time"
 
-// RouteKind says what may be done with a request of a route.
+// RouteKind says whether a route's requests may run more than once, or are
+// answered by a stream.
 type RouteKind int
 
 // The kinds of route. The zero RouteKind is Unsafe, the strictest.
@@ -14,13 +15,13 @@
 	Unsafe RouteKind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Stream requests are answered by a series of events.
+	// Stream requests are answered by a stream of events.
 	Stream
 )
 
 var routeKindNames = [...]string{"unsafe", "safe", "stream"}
 
-// String returns the kind's name.
+// String implements fmt.Stringer.
 func (k RouteKind) String() string {
 	return routeKindNames[k]
 }
@@ -34,66 +35,65 @@
 	Limits   Limits
 }
 
-// Route sends the requests of one host and path prefix to services.
+// Route sends the requests for one host name and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration
-	// Goal is the time within which an answer, or a stream's first event, is
-	// worth the most.
+	// Goal is the target latency of an answer, or of a stream's first event.
 	Goal time.Duration
-	// GapGoal is the longest pause between events that keeps a stream in time.
+	// GapGoal is the target for the longest pause between a stream's events.
 	GapGoal  time.Duration
 	Priority int
 	Split    []Share
-	// MaxAttempts is the most endpoints that may run one request.
+	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// Anonymous requests carry no key.
+	// Anonymous says that requests need no client account's key.
 	Anonymous bool
-	// Resumable streams may be continued at another endpoint.
+	// Resumable says that a stream may be continued at another endpoint.
 	Resumable bool
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service's weighted share of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of like endpoints.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// Engine is nil for an ordinary service.
+	// Engine is nil unless the endpoints are model engines.
 	Engine *Engine
 }
 
-// Engine is what a service of model engines tells of itself. Times are those
-// of an accelerator with pace 1.
+// Engine describes a service of model engines. Times are those of an
+// accelerator with Pace 1.
 type Engine struct {
 	Model    string
 	Slots    int
 	Layers   int
 	LayerMB  float64
-	StepTime time.Duration // a step through all layers
-	// PerSequence is added to a step for each sequence that writes.
+	StepTime time.Duration // a decode step through all layers
+	// PerSequence is added to a step for each sequence that is decoding.
 	PerSequence time.Duration
 	// PerContext is added to a step for each 1,000 tokens of context.
 	PerContext    time.Duration
-	ReadPerSecond float64 // prompt tokens
+	ReadPerSecond float64 // prompt tokens prefilled per second
 	CacheBytes    float64 // KV cache of a token in one layer
-	ActivationB   float64 // bytes passed on for a token
-	PipeMbps      float64 // between failure domains, shared
+	ActivationB   float64 // bytes sent to the next stage for a token
+	PipeMbps      float64 // bandwidth of an inter-domain link, shared by all requests
 	LoadTime      time.Duration
-	// LoadsAtOnce is how many loads the weights' store serves at full speed; more
-	// take longer, each of them. 0 if that isn't known.
+	// LoadsAtOnce is how many concurrent loads the weight store serves at full
+	// speed; beyond that every load takes longer. 0 if unknown.
 	LoadsAtOnce int
-	Prompt      int                          // mean tokens
-	Answer      int                          // mean tokens
+	Prompt      int                          // mean length in tokens
+	Answer      int                          // mean length in tokens
 	Delays      map[DomainPair]time.Duration `json:"-"`
 	Kinds       map[string]Kind
 }
@@ -107,7 +107,8 @@
 // Kind is one kind of accelerator.
 type Kind struct {
 	MB float64
-	// Pace multiplies steps and context, ReadFactor the time of reading.
+	// Pace multiplies the time of decode steps, with what sequences and context
+	// add to them; ReadFactor multiplies the time of prefill.
 	Pace       float64
 	ReadFactor float64
 }
@@ -119,7 +120,7 @@
 	Priority int
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of a caller's request.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -136,7 +137,8 @@
 	return e.Delays[DomainPair{A: b, B: a}]
 }
 
-// MaxLayers returns how many layers fit into an accelerator's memory at all.
+// MaxLayers returns how many layers fit into an accelerator's memory if it holds
+// no KV cache.
 func (e *Engine) MaxLayers(kind string) int {
 	if e.LayerMB <= 0 {
 		return 0
@@ -144,8 +146,8 @@
 	return int(e.Kinds[kind].MB / e.LayerMB)
 }
 
-// CacheTokens returns how many tokens' KV cache, times layers, fit beside held
-// layers.
+// CacheTokens returns how much KV cache fits beside heldLayers layers, in tokens
+// times layers.
 func (e *Engine) CacheTokens(kind string, heldLayers int) float64 {
 	freeMB := e.Kinds[kind].MB - float64(heldLayers)*e.LayerMB
 	if freeMB <= 0 || e.CacheBytes <= 0 {
--- a/pkg/fleet/digest.go
+++ b/pkg/fleet/digest.go
@@ -6,16 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// LoadKey is how loads name an endpoint: four bytes of its id's hash. Of 3,200
-// endpoints two share a key once in 800 sets; their loads are then told as one,
-// which only makes both look busier.
+// LoadKey identifies an endpoint in load reports by four bytes of its id's hash.
+// Among 3,200 endpoints the chance that two share a key is about 1 in 800; their
+// loads are then reported as one, which only makes both look busier.
 func LoadKey(id string) uint32 {
 	return uint32(xxhash.Sum64String(id))
 }
 
-// EndpointsDigest is a number that two sets of endpoints share if a host which
-// holds one needs nothing of the other: it covers the usable endpoints and what
-// heartbeats and answers tell of them, but not when. The order doesn't matter.
+// EndpointsDigest returns a digest by which hosts compare their sets of
+// endpoints: it is equal if a host that holds one set needs nothing from the
+// other. It covers the usable endpoints and what their heartbeats and answers
+// report, but not when they did. The order of the list doesn't matter.
 func EndpointsDigest(list []Endpoint) uint64 {
 	sum := uint64(0)
 	buf := make([]byte, 0, 128)
@@ -28,7 +29,7 @@
 	return sum
 }
 
-// appendState appends what others must be told of an endpoint.
+// appendState appends the fields of an endpoint that other hosts must know.
 func (e *Endpoint) appendState(b []byte) []byte {
 	for _, s := range [...]string{e.ID, e.Service, e.Address, e.Domain, e.Kind, e.Model} {
 		b = append(b, s...)
@@ -43,8 +44,8 @@
 	return strconv.AppendFloat(b, e.Slowdown, 'g', -1, 64)
 }
 
-// AddressesDigest is a number that two lists of addresses share if they are the
-// same; an empty list has 0.
+// AddressesDigest returns a digest that is equal for equal lists of addresses;
+// 0 for an empty list.
 func AddressesDigest(list []string) uint64 {
 	if len(list) == 0 {
 		return 0
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -2,38 +2,41 @@
 
 import "time"
 
-// Endpoint is the newest that is known of one incarnation of an endpoint.
+// Endpoint is the newest known state of one incarnation of an endpoint.
 type Endpoint struct {
-	// ID is the incarnation's (IncarnationID).
+	// ID is the incarnation's id (see IncarnationID).
 	ID string
-	// StartedAt is when it started by its own clock, as a Unix time in ms; 0: it doesn't tell.
+	// StartedAt is when it started by its own clock, as a Unix time in ms; 0 if
+	// it doesn't report that.
 	StartedAt int64
 	Service   string
 	Address   string
 	Domain    string
 	Slots     int
-	// Leaving endpoints take no new work; Gone ones have ended.
+	// Leaving endpoints take no new work; Gone ones have deregistered or were
+	// replaced.
 	Leaving bool
 	Gone    bool
-	// Sequence is the number of the heartbeat that told it; a lower one is late.
+	// Sequence is the number of the newest heartbeat; one with a lower number
+	// arrived late.
 	Sequence uint64
-	// Kind is the accelerator's; empty for ordinary services.
+	// Kind is the accelerator's kind; empty for services without an Engine.
 	Kind  string
 	Model string
-	// Layers is what the endpoint holds.
+	// Layers are the layers that the endpoint holds.
 	Layers Range
-	// Orders is how many orders it has taken, as far as known.
+	// Orders is how many orders it is known to have accepted.
 	Orders uint64
-	// Loading says that an order is under way.
+	// Loading says that an order is in progress.
 	Loading bool
-	// LastHeartbeat is when a control host last had a heartbeat.
+	// LastHeartbeat is when a control host last received a heartbeat.
 	LastHeartbeat time.Time
 	// Silent endpoints have missed heartbeats.
 	Silent bool
-	// Recalled says that only a control host's own disk told of it: no heartbeat
-	// came since that host was started.
+	// Recalled says that the endpoint was read from a control host's disk, and
+	// that no heartbeat has come since that host started.
 	Recalled bool
-	// Slowdown is how many times as slow as its kind the endpoint said it was.
+	// Slowdown is how many times as slow as its kind the endpoint reports to be.
 	Slowdown float64
 }
 
@@ -42,18 +45,18 @@
 	return !e.Leaving && !e.Gone
 }
 
-// Range is layers From up to but without To.
+// Range is the layers from From up to but not including To.
 type Range struct {
 	From int
 	To   int
 }
 
-// Len returns how many layers the range has.
+// Len returns the number of layers.
 func (r Range) Len() int {
 	return r.To - r.From
 }
 
-// Stage is one endpoint's share of a path.
+// Stage is one endpoint on a path, with the consecutive layers that it runs.
 type Stage struct {
 	ID      string
 	Address string
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -45,7 +45,7 @@
 		}
 	})
 
-	It("share their requests by weight", func() {
+	It("distribute their requests by weight", func() {
 		r := &Route{Split: []Share{{Service: "a", Weight: 90}, {Service: "z", Weight: 0}, {Service: "b", Weight: 10}}}
 		Expect(r.Pick(0)).To(Equal("a"))
 		Expect(r.Pick(0.899)).To(Equal("a"))
@@ -55,7 +55,7 @@
 })
 
 var _ = Describe("a packed configuration", func() {
-	It("unpacks to the same bytes, and is a tenth where routes are many", func() {
+	It("unpacks to the same bytes, and is less than a tenth of the size with many routes", func() {
 		text := []byte(strings.Repeat(`{"name":"r","host":"h.example","path_prefix":"/x/","timeout_ms":20000},`, 1480))
 		packed, err := Pack(text)
 		Expect(err).NotTo(HaveOccurred())
@@ -69,7 +69,7 @@
 })
 
 var _ = Describe("an endpoint on the wire", func() {
-	It("comes back as it was, with its age", func() {
+	It("decodes to what was encoded, with its age", func() {
 		now := time.Unix(1000, 0)
 		e := Endpoint{ID: "i", Service: "s", Address: "a:1", Domain: "d", Slots: 3, Leaving: true, Sequence: 9, Kind: "k",
 			Model: "m", Layers: Range{From: 2, To: 5}, Loading: true, Silent: true, Slowdown: 2.5, LastHeartbeat: now.Add(-time.Second)}
--- a/pkg/fleet/incarnation.go
+++ b/pkg/fleet/incarnation.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// startSeparator parts an endpoint's own id from when the incarnation started.
+// startSeparator separates an endpoint's own id from its start time.
 const startSeparator = "@"
 
-// IncarnationID names one start of an endpoint: its own id, and where it tells when it
-// started (a Unix time in milliseconds; 0: it doesn't), that too. An endpoint may start
-// again under its id and then knows nothing of before, so whatever is known by
-// incarnation begins anew with it: layers, orders, loads, failures, that it left.
+// IncarnationID returns the id of one incarnation of an endpoint: the endpoint's own
+// id and, if it reports one, its start time (a Unix time in milliseconds; 0 if
+// not). An endpoint that restarts under the same id has lost all state, so
+// everything that is kept by incarnation starts afresh with it: layers, orders, loads,
+// failures, and that it left.
 func IncarnationID(id string, startedAt int64) string {
 	if _, suffix := SplitIncarnation(id); startedAt == 0 && suffix == 0 {
 		return id
@@ -19,8 +20,8 @@
 	return id + startSeparator + strconv.FormatInt(startedAt, 10)
 }
 
-// SplitIncarnation returns an endpoint's own id, and when the incarnation started; 0 if
-// it didn't tell.
+// SplitIncarnation returns an endpoint's own id and the incarnation's start time; 0
+// if that isn't known.
 func SplitIncarnation(incarnation string) (id string, startedAt int64) {
 	at := strings.LastIndex(incarnation, startSeparator)
 	if at < 0 {
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -5,8 +5,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("an incarnation's name", func() {
-	It("gives back the endpoint's own id and when it started, whatever the id", func() {
+var _ = Describe("an incarnation's id", func() {
+	It("splits into the endpoint's own id and start time, whatever the id", func() {
 		cases := []struct {
 			ownID     string
 			startedAt int64
--- a/pkg/fleet/index.go
+++ b/pkg/fleet/index.go
@@ -5,8 +5,7 @@
 	"strings"
 )
 
-// Index answers the questions that each request asks of a configuration. It
-// doesn't change once it is built.
+// Index looks up what a request needs from a configuration. It is immutable.
 type Index struct {
 	cfg      *Configuration
 	routes   map[routeKey]*Route
@@ -42,7 +41,7 @@
 	return x.cfg.Version
 }
 
-// Limits returns what callers may send.
+// Limits returns the bounds of a caller's request.
 func (x *Index) Limits() Limits {
 	return x.cfg.Limits
 }
@@ -52,7 +51,8 @@
 	return len(x.cfg.Accounts) > 0
 }
 
-// Route returns the route of host with the longest prefix of path, or nil.
+// Route returns the route of host, with or without a port, that has the longest
+// prefix of path; nil if there is none.
 func (x *Index) Route(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -85,7 +85,8 @@
 	return x.accounts[key]
 }
 
-// Pick returns the share on which point falls; point is in [0, 1).
+// Pick returns the service that point selects by the weights of Split; point is
+// in [0, 1).
 func (r *Route) Pick(point float64) string {
 	sum := 0
 	for _, s := range r.Split {
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Notice is what an endpoint says of itself in an answer, whatever the answer is to.
+// Notice is what an endpoint reports of itself with any answer.
 type Notice struct {
-	// Leaving says that it takes no new work, for good.
+	// Leaving says that it takes no new work any more.
 	Leaving bool
-	// Backoff is for how long it wants nothing from this host; 0: it asks for none.
+	// Backoff is for how long this host is to send it nothing; 0 if it asks for
+	// no backoff.
 	Backoff time.Duration
-	// Limit is how much it takes from all hosts together.
+	// Limit is its rate limit, for all hosts together.
 	Limit Limit
 }
 
-// LimitStatus is what an answer says of a limit.
+// LimitStatus says whether an answer reports a rate limit.
 type LimitStatus int
 
-// The words.
+// The values of LimitStatus.
 const (
-	// LimitUnknown: there was no answer, or its word can't be read.
+	// LimitUnknown: there was no answer, or its limit can't be parsed.
 	LimitUnknown LimitStatus = iota
-	// LimitNone: an answer that names no limit.
+	// LimitNone: the answer reports no limit.
 	LimitNone
-	// LimitSet: an answer that names one.
+	// LimitSet: the answer reports a limit.
 	LimitSet
 )
 
-// Limit is the limit that an answer names, or doesn't.
+// Limit is the rate limit that an endpoint reports with an answer, if any.
 type Limit struct {
 	Status    LimitStatus
-	PerSecond float64 // requests, if it is named; 0 or more
+	PerSecond float64 // requests, with LimitSet; 0 or more
 }
 
-// RejectedError is the error of an order that an endpoint didn't take.
+// RejectedError is the error of an order that an endpoint rejected.
 type RejectedError struct {
 	Status int
 	Text   string
--- a/pkg/fleet/pack.go
+++ b/pkg/fleet/pack.go
@@ -11,8 +11,8 @@
 // maxUnpackedBytes bounds a configuration as the operator sent it.
 const maxUnpackedBytes = 64 << 20
 
-// Pack makes a configuration as the operator sent it smaller, for the log and
-// for every entry host: a text of many routes shrinks more than tenfold.
+// Pack compresses a configuration as the operator sent it, for the replicated
+// log and for sending it to every entry host.
 func Pack(content []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -28,7 +28,7 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns what Pack was given.
+// Unpack returns the content that Pack compressed.
 func Unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/pkg/fleet/patch.go
+++ b/pkg/fleet/patch.go
@@ -8,13 +8,12 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// maxPatchWindow is the farthest back that a patch may point, in bytes: into the
-// whole of a configuration of 4 MB, the largest that operators send, twice over.
+// maxPatchWindow bounds how far back a patch may refer, in bytes. It covers base
+// and new content of 4 MB each, the largest configurations that operators send.
 const maxPatchWindow = 8 << 20
 
-// Patch returns what a host that holds base needs to make next: base is the
-// dictionary that next is compressed with. One changed route in 1,640 takes some
-// hundred bytes instead of 18 KB.
+// Patch returns next compressed with base as the dictionary, so that a host that
+// holds base needs only a few bytes for a small change.
 func Patch(base, next []byte) ([]byte, error) {
 	w, err := zstd.NewWriter(nil,
 		zstd.WithEncoderDictRaw(0, base),
@@ -32,7 +31,8 @@
 	return out, nil
 }
 
-// windowSize returns the power of two that covers n bytes.
+// windowSize returns the smallest window that covers n bytes, a power of two of
+// at most maxPatchWindow.
 func windowSize(n int) int {
 	w := zstd.MinWindowSize
 	for w < n && w < maxPatchWindow {
@@ -41,7 +41,8 @@
 	return w
 }
 
-// Patched returns what Patch was given as next.
+// Patched applies a patch to the base that it was made from and returns the new
+// content.
 func Patched(base, patch []byte) ([]byte, error) {
 	r, err := zstd.NewReader(nil,
 		zstd.WithDecoderDictRaw(0, base),
@@ -59,24 +60,25 @@
 	return out, nil
 }
 
-// ContentDigest is a number by which a host sees that a patch gave the content
-// that it was made of.
+// ContentDigest returns the digest by which a host verifies the result of
+// applying a patch.
 func ContentDigest(content []byte) uint64 {
 	return xxhash.Sum64(content)
 }
 
-// historySize is how many configurations a control host can patch from: a host
-// that is sent one every 0.5 s at least is rarely more than three changes behind.
+// historySize is how many configurations a control host keeps, the newest
+// included. A host is sent the newest at least every 0.5 s, and so is rarely more
+// than three changes behind.
 const historySize = 6
 
-// History is the newest configurations that a control host has seen, from which
-// it makes patches. It is safe for use by several goroutines.
+// History holds the newest configurations that a control host has seen, from
+// which it makes patches. It is safe for concurrent use.
 //
-// Invariant: versions rise along past; patches are all of the newest one.
+// Invariant: versions rise along entries; all patches lead to the newest one.
 type History struct {
 	mu      sync.Mutex
 	entries []historyEntry
-	patches map[uint64][]byte // by the version that they patch
+	patches map[uint64][]byte // by the version of their base
 }
 
 type historyEntry struct {
@@ -84,14 +86,15 @@
 	content []byte
 }
 
-// NewHistory returns a history that holds nothing.
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{
 		patches: map[uint64][]byte{},
 	}
 }
 
-// Note takes a configuration, as packed by Pack, unless it isn't newer.
+// Note adds a configuration, as compressed by Pack. One that isn't newer than
+// the newest is ignored.
 func (h *History) Note(version uint64, packed []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,8 +124,8 @@
 	return h.entries[len(h.entries)-1].version
 }
 
-// Since returns the patch from one version to another, which must be the newest,
-// and the digest of what it gives; no patch if either isn't held.
+// Since returns the patch from base to version and the digest of its result. The
+// patch is nil unless version is the newest and base is an older one that is held.
 func (h *History) Since(base, version uint64) (patch []byte, digest uint64, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/fleet/patch_test.go
+++ b/pkg/fleet/patch_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// configurationText is a configuration of n routes, as large as one of an operator.
+// configurationText returns a configuration of n routes, each of about the size
+// of an operator's.
 func configurationText(n int, version int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -22,7 +23,7 @@
 }
 
 var _ = Describe("a patch", func() {
-	It("gives the next configuration, and is small where little changed", func() {
+	It("yields the next configuration, and is small for a small change", func() {
 		base := configurationText(1640, 1)
 		next := bytes.Replace(configurationText(1640, 2), []byte(`"Weight":90`), []byte(`"Weight":80`), 1)
 		patch, err := Patch(base, next)
@@ -33,7 +34,7 @@
 		Expect(bytes.Equal(got, next)).To(BeTrue())
 	})
 
-	It("gives what it was made of, whatever that is", func() {
+	It("yields the content that it was made for, whatever base and content are", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			base := rapid.SliceOf(rapid.Byte()).Draw(t, "base")
 			next := rapid.SliceOf(rapid.Byte()).Draw(t, "next")
@@ -51,7 +52,7 @@
 		})
 	})
 
-	It("of another base is no good, which the digest tells", func() {
+	It("fails, or yields another digest, if it is applied to another base", func() {
 		base, next := configurationText(200, 1), configurationText(200, 2)
 		patch, err := Patch(base, next)
 		Expect(err).NotTo(HaveOccurred())
@@ -69,7 +70,7 @@
 		Expect(h.Note(uint64(version), packed)).To(Succeed())
 	}
 
-	It("patches from the versions that it holds to the newest, and from no others", func() {
+	It("patches from the versions that it holds to the newest only", func() {
 		h := NewHistory()
 		for v := 1; v <= historySize+2; v++ {
 			add(h, 10*v)
@@ -102,7 +103,7 @@
 		}
 	})
 
-	It("keeps nothing that is older than what it holds", func() {
+	It("ignores a configuration that is older than the newest", func() {
 		h := NewHistory()
 		add(h, 5)
 		add(h, 4)
@@ -132,7 +133,7 @@
 			_, _ = Patched(base, patch)
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("full", func(b *testing.B) {
 		packed, _ := Pack(next)
 		b.ReportMetric(float64(len(packed)), "packed")
 		b.ReportMetric(float64(len(patch)), "patch")
--- a/pkg/fleet/validate.go
+++ b/pkg/fleet/validate.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Validate returns the first reason why a configuration can't be put in force.
+// Validate returns the first reason why a configuration is invalid.
 func (c *Configuration) Validate() error {
 	if c.Version == 0 {
 		return errors.New("version is missing or 0")
--- a/pkg/fleet/wire.go
+++ b/pkg/fleet/wire.go
@@ -6,7 +6,7 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// ToWire returns an endpoint as it is sent at now.
+// ToWire encodes an endpoint; the age of its heartbeat is relative to now.
 func (e *Endpoint) ToWire(now time.Time) *rpc.Announcement {
 	return &rpc.Announcement{
 		Id:         e.ID,
@@ -29,7 +29,7 @@
 	}
 }
 
-// EndpointFromWire returns an endpoint as it was received at now.
+// EndpointFromWire decodes an endpoint that was received at now.
 func EndpointFromWire(a *rpc.Announcement, now time.Time) Endpoint {
 	return Endpoint{
 		ID:       a.GetId(),
@@ -54,7 +54,7 @@
 	}
 }
 
-// EndpointsToWire returns a list of endpoints as it is sent at now.
+// EndpointsToWire encodes endpoints that are sent at now.
 func EndpointsToWire(list []Endpoint, now time.Time) []*rpc.Announcement {
 	out := make([]*rpc.Announcement, 0, len(list))
 	for i := range list {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// EndpointsFromWire returns a list of endpoints as it was received at now.
+// EndpointsFromWire decodes endpoints that were received at now.
 func EndpointsFromWire(list []*rpc.Announcement, now time.Time) []Endpoint {
 	out := make([]Endpoint, 0, len(list))
 	for _, a := range list {
