--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory is an entry host's view of the endpoints: what the
-// control hosts say of them, joined with what this host's own requests see.
+// Package directory holds an entry host's view of the endpoints: what the
+// control hosts report, combined with what this host's own requests observe.
 package directory
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Directory holds every endpoint that this host knows.
+// Directory holds every endpoint that this host knows. It is safe for concurrent
+// use.
 //
 // Invariant: an *Endpoint stays the same object for as long as its address is
-// known, so that requests in flight and new ones share what is learnt.
+// known, so that requests in flight and new ones share its state.
 type Directory struct {
 	svc timer.Service
 
@@ -25,22 +26,22 @@
 	endpoints      map[string]*Endpoint
 	entries        map[string]entryHost
 	entriesVersion uint64    // version of the entry hosts
-	epochSeenAt    time.Time // when epoch was first seen
+	epochSeenAt    time.Time // when the present epoch was first seen
 
-	// index holds the endpoints that take new work, as of change indexed.
+	// index holds the endpoints that take new work, as of indexedChanges.
 	index          map[indexKey][]*Endpoint
 	indexedChanges uint64
 	changes        atomic.Uint64
 }
 
-// entryHost is an entry host as the leader of an epoch named it.
+// entryHost is an entry host as the leader of an epoch reported it.
 type entryHost struct {
 	info  *rpc.EntryHost
 	epoch uint64
 }
 
-// settleTime is how long a new leader is given to learn what there is, before
-// what it doesn't name is forgotten.
+// settleTime is how long after a change of leader endpoints and entry hosts are
+// kept that the new leader doesn't report.
 const settleTime = 30 * time.Second
 
 // New returns an empty directory.
@@ -52,16 +53,16 @@
 	}
 }
 
-// Known returns up to which version of which epoch this host holds the tables
-// of endpoints and of entry hosts.
+// Known returns the epoch and the versions of the tables of endpoints and of
+// entry hosts that this host holds.
 func (d *Directory) Known() (epoch, version, entries uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.epoch, d.version, d.entriesVersion
 }
 
-// Take joins a reply of the control hosts to the view. A whole table of a new
-// leader doesn't remove what it lacks: that leader may not have learnt it yet.
+// Take applies a reply of the control hosts. What a new leader's full table lacks
+// isn't removed at once, as that leader may not have received it yet.
 func (d *Directory) Take(r *rpc.BeatReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,8 +100,8 @@
 	}
 }
 
-// removeStale drops what is dead, and what a leader that has had the time to learn
-// of it never named.
+// removeStale removes what is dead, and what the present leader hasn't reported
+// within settleTime. It is called with d.mu held.
 func (d *Directory) removeStale() {
 	settled := d.svc.Now().Sub(d.epochSeenAt) > settleTime
 	for address, e := range d.endpoints {
@@ -115,7 +116,7 @@
 	}
 }
 
-// Entries returns the entry hosts, sorted.
+// Entries returns the entry hosts, sorted by name.
 func (d *Directory) Entries() []*rpc.EntryHost {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,7 +128,7 @@
 	return list
 }
 
-// Hosts returns how many entry hosts there are.
+// Hosts returns the number of entry hosts.
 func (d *Directory) Hosts() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +159,8 @@
 	})
 }
 
-// indexKey is what endpoints are looked up by.
+// indexKey is the key by which endpoints are looked up: a service, or a model
+// with its version.
 type indexKey struct {
 	service string
 	model   string
@@ -177,8 +179,8 @@
 	}
 }
 
-// usable looks through all endpoints only once after each change: every
-// request asks, and changes are few.
+// usable returns the endpoints of a key that take new work, sorted by address. The
+// index is rebuilt only after a change, as lookups are far more frequent.
 func (d *Directory) usable(k indexKey) []*Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -37,12 +37,12 @@
 var _ = Describe("Directory", func() {
 	const live = rpc.EndpointState_ENDPOINT_LIVE
 
-	It("isn't emptied by a new leader that has not learnt yet, but follows one that has", func() {
+	It("keeps what a new leader doesn't report, but only until that leader has settled", func() {
 		svc := timer.NewManual(time.Unix(1000, 0))
 		d := directory.New(svc)
 		d.Take(replyWith(1, live, "a", "b"))
 		d.Take(replyWith(2, rpc.EndpointState_ENDPOINT_JOINING, "a"))
-		Expect(d.Service("s")).To(HaveLen(2), "what was live stays so")
+		Expect(d.Service("s")).To(HaveLen(2), "a live endpoint stays usable")
 		Expect(d.Hosts()).To(Equal(2))
 		svc.Advance(time.Minute)
 		d.Take(replyWith(2, live, "a"))
@@ -50,7 +50,7 @@
 		Expect(d.Hosts()).To(Equal(1))
 	})
 
-	It("estimates load by the newest report, corrected by what was done since", func() {
+	It("estimates load by the newest report, corrected by this host's sessions since", func() {
 		svc := timer.NewManual(time.Unix(1000, 0))
 		d := directory.New(svc)
 		d.Take(replyWith(1, live, "a"))
@@ -61,10 +61,10 @@
 		e.Closed()
 		Expect(e.Sessions(3)).To(Equal(11))
 		svc.Advance(time.Minute)
-		Expect(e.Sessions(3)).To(Equal(3), "a stale report says nothing: others do as this host does")
+		Expect(e.Sessions(3)).To(Equal(3), "without a recent report, each host counts as this one")
 	})
 
-	It("avoids what failed, for longer each time, until it answers or returns anew", func() {
+	It("avoids an endpoint that failed, for longer each time, until it answers", func() {
 		svc := timer.NewManual(time.Unix(1000, 0))
 		d := directory.New(svc)
 		d.Take(replyWith(1, live, "a"))
--- a/pkg/directory/endpoint.go
+++ b/pkg/directory/endpoint.go
@@ -9,36 +9,37 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Endpoint is one endpoint with what this host's own requests learnt of it.
+// Endpoint is one endpoint with what this host's own requests observed of it. It
+// is safe for concurrent use.
 type Endpoint struct {
 	svc     timer.Service
 	changes *atomic.Uint64 // the directory's
 
 	mu               sync.Mutex
 	info             *rpc.Endpoint
-	epoch            uint64 // of the leader that named it last
+	epoch            uint64 // of the leader that reported it last
 	inflight         int
-	reportedSessions int       // sessions, by the newest report
-	sessionDelta     int       // sessions this host opened less those it closed since
+	reportedSessions int       // sessions of all hosts, by the newest load report
+	sessionDelta     int       // sessions that this host opened since the report, less those it closed
 	reportedAt       time.Time // zero if there was no report
 	rtt              time.Duration
 	failures         int
-	avoidUntil       time.Time // until when this host would rather not use it
+	avoidUntil       time.Time // until when this host prefers other endpoints
 	joinedAt         time.Time
-	leaving          bool // by its own word to this host, in this life
+	leaving          bool // reported to this host by the present incarnation
 }
 
-// reportMaxAge is for how long a load report says something.
+// reportMaxAge is for how long a load report is used.
 const reportMaxAge = 2 * time.Second
 
-// An endpoint that failed is avoided for avoidFirst, doubled with each further
-// failure up to avoidMost.
+// An endpoint that failed is avoided for initialAvoidance, doubled with each
+// further failure up to maxAvoidance.
 const (
 	initialAvoidance = 500 * time.Millisecond
 	maxAvoidance     = 8 * time.Second
 )
 
-// rttWeight is the weight of a new round-trip time in the average.
+// rttWeight is the weight of a new round-trip time in the moving average.
 const rttWeight = 0.2
 
 func newEndpoint(svc timer.Service, info *rpc.Endpoint, changes *atomic.Uint64) *Endpoint {
@@ -50,8 +51,9 @@
 	}
 }
 
-// update takes what a control host says. A new leader that hasn't learnt yet
-// whether the endpoint answers doesn't make a live one unusable.
+// update applies a control host's report. The state Joining of a new leader, which
+// hasn't received yet whether the endpoint answers, doesn't replace one that takes
+// work.
 func (e *Endpoint) update(info *rpc.Endpoint, epoch uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,39 +71,43 @@
 	e.info = info
 }
 
-// notReportedIn reports whether the leader of an epoch never named the endpoint.
+// notReportedIn reports whether the leader of an epoch hasn't reported the
+// endpoint and this host has no session open on it.
 func (e *Endpoint) notReportedIn(epoch uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.epoch != epoch && e.inflight == 0
 }
 
+// gone reports whether the endpoint is dead and this host has no session open on
+// it.
 func (e *Endpoint) gone() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.info.GetState() == rpc.EndpointState_ENDPOINT_DEAD && e.inflight == 0
 }
 
-// Address returns the endpoint's IP number and port.
+// Address returns the endpoint's IP address and port.
 func (e *Endpoint) Address() string {
 	return e.Info().GetAddress()
 }
 
-// Info returns what the control hosts say. The caller must not change it.
+// Info returns what the control hosts report. The caller must not change it.
 func (e *Endpoint) Info() *rpc.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.info
 }
 
-// Leaving reports whether the endpoint leaves on plan and takes no new work.
+// Leaving reports whether the endpoint is leaving as planned, by the control hosts
+// or by its own report to this host, and takes no new work.
 func (e *Endpoint) Leaving() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leaving || e.info.GetState() == rpc.EndpointState_ENDPOINT_LEAVING
 }
 
-// SetLeaving notes that the endpoint itself said so.
+// SetLeaving records that the endpoint reported to this host that it is leaving.
 func (e *Endpoint) SetLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,8 +115,8 @@
 	e.changes.Add(1)
 }
 
-// Opened notes that this host opened a session, what load the answer reported
-// and how long the answer took.
+// Opened records that this host opened a session, the load that the answer
+// reported and its round-trip time.
 func (e *Endpoint) Opened(sessions int, rtt time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,7 +133,7 @@
 	e.rtt += time.Duration(rttWeight * float64(rtt-e.rtt))
 }
 
-// Closed notes that this host closed a session.
+// Closed records that this host closed a session.
 func (e *Endpoint) Closed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,8 +141,8 @@
 	e.sessionDelta--
 }
 
-// Full notes that the endpoint refused a session since every slot is taken.
-// That is no failure: it is as loaded as can be, and alive.
+// Full records that the endpoint refused a session because every slot is taken.
+// That isn't a failure: the endpoint answers, at its highest load.
 func (e *Endpoint) Full() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,7 +151,7 @@
 	e.reportedAt = e.svc.Now()
 }
 
-// Failed notes that the endpoint failed a request of this host.
+// Failed records that the endpoint failed a request of this host.
 func (e *Endpoint) Failed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,7 +160,8 @@
 	e.avoidUntil = e.svc.Now().Add(min(avoidance, maxAvoidance))
 }
 
-// Avoided reports whether this host saw the endpoint fail a short while ago.
+// Avoided reports whether this host prefers other endpoints since this one failed
+// recently.
 func (e *Endpoint) Avoided() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,16 +182,16 @@
 	return e.rtt
 }
 
-// Age returns for how long the endpoint's present life has been known.
+// Age returns for how long the endpoint's present incarnation has been known.
 func (e *Endpoint) Age() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.svc.Now().Sub(e.joinedAt)
 }
 
-// Sessions estimates how many sessions all hosts have open: the newest report,
-// corrected by what this host did since. A report that is too old says
-// nothing, and then the other hosts are taken to do as this one does.
+// Sessions estimates how many sessions all hosts have open: the newest load
+// report, corrected by the sessions that this host opened and closed since. Without
+// a recent report it assumes that each of hosts has as many open as this one.
 func (e *Endpoint) Sessions(hosts int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/keys/keys.go
+++ b/pkg/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys is mutual TLS between the system's own processes: both sides
-// show a certificate of the same authority that names their IP number.
+// Package keys implements mutual TLS between the system's own processes: both
+// sides present a certificate of the same authority for their IP address.
 package keys
 
 import (
@@ -23,17 +23,17 @@
 	Authority   string `toml:"authority"`
 }
 
-// Set reports whether settings name any file.
+// Set reports whether any file is set.
 func (f Files) Set() bool {
 	return f.Certificate != "" || f.Key != "" || f.Authority != ""
 }
 
-// checkInterval is how often, at most, the files are looked at for changes.
+// checkInterval is the shortest time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Pair is a certificate with its key and the authority's certificates. It
-// follows the files: new ones are in force for the next connection, without a
-// restart. Files that can't be read leave the old ones in force.
+// Pair is a certificate with its key and the authority's certificates. When the
+// files change, the next connection uses them, without a restart. If they can't be
+// read, the old ones stay in use. It is safe for concurrent use.
 type Pair struct {
 	files Files
 	svc   timer.Service
@@ -58,7 +58,7 @@
 	return p, nil
 }
 
-// Err returns why changed files could not be read, if they could not.
+// Err returns the error of the last read of changed files, or nil.
 func (p *Pair) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,14 +76,15 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return errors.Errorf("authority: %s holds no certificate", p.files.Authority)
+		return errors.Errorf("authority: %s contains no certificate", p.files.Authority)
 	}
 	p.cert = &cert
 	p.pool = pool
 	return nil
 }
 
-// current returns what is in force, reading the files anew if they changed.
+// current returns the certificate and the authorities in use, after reading the
+// files again if they changed.
 func (p *Pair) current() (*tls.Certificate, *x509.CertPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +110,7 @@
 	return s
 }
 
-// Server returns the settings of a listener.
+// Server returns the TLS configuration of a listener.
 func (p *Pair) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -125,7 +126,8 @@
 	}
 }
 
-// clientConfig returns the settings of a connection to the IP number or name host.
+// clientConfig returns the TLS configuration of a connection to host, an IP
+// address or a name.
 func (p *Pair) clientConfig(host string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -133,9 +135,9 @@
 			cert, _ := p.current()
 			return cert, nil
 		},
-		// The library can't follow a changing authority; verify does all that
-		// it would do. The host is passed on here since a connection's state
-		// holds no server name when that is an IP number.
+		// crypto/tls can't reload RootCAs, so verify does the checks that it would
+		// do. It needs host, as ConnectionState holds no server name if that is an
+		// IP address.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(c tls.ConnectionState) error {
 			return p.verify(c, host)
@@ -145,7 +147,7 @@
 
 func (p *Pair) verify(c tls.ConnectionState, host string) error {
 	if len(c.PeerCertificates) == 0 {
-		return errors.New("the other side showed no certificate")
+		return errors.New("the peer presented no certificate")
 	}
 	_, pool := p.current()
 	intermediates := x509.NewCertPool()
@@ -161,13 +163,14 @@
 	return err
 }
 
-// Transport makes an HTTP transport speak TLS to whomever it is asked to call
-// by plain HTTP, so that callers need not know whether keys are set.
+// Transport sends plain HTTP requests over TLS, so that callers need not know
+// whether TLS is configured.
 type Transport struct {
 	base *http.Transport
 }
 
-// NewTransport returns a transport over base.
+// NewTransport returns a Transport that sends its requests through base, whose
+// DialTLSContext it sets.
 func NewTransport(base *http.Transport, p *Pair) *Transport {
 	dial := base.DialContext
 	if dial == nil {
@@ -201,7 +204,7 @@
 	return t.base.RoundTrip(secure)
 }
 
-// Listener wraps a listener in TLS.
+// Listener returns l with TLS.
 func Listener(l net.Listener, p *Pair) net.Listener {
 	return tls.NewListener(l, p.Server())
 }
--- a/pkg/keys/keys_test.go
+++ b/pkg/keys/keys_test.go
@@ -29,7 +29,7 @@
 	RunSpecs(t, "keys")
 }
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -57,7 +57,8 @@
 	}
 }
 
-// issue writes a certificate for an IP number, good until the given time.
+// issue writes a certificate for an IP address, valid until the given time, its
+// key and the authority's certificate to files.
 func (a authority) issue(files keys.Files, ip string, until time.Time) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -95,7 +96,7 @@
 	}
 }
 
-// withServer runs f against a server with the keys in files.
+// withServer calls f with the address of a server that uses files.
 func withServer(files keys.Files, f func(address string)) {
 	p, err := keys.New(files, timer.NewSystem())
 	Expect(err).NotTo(HaveOccurred())
@@ -114,7 +115,7 @@
 	f(l.Addr().String())
 }
 
-// call makes one call on a connection of its own.
+// call sends one request on a new connection.
 func call(p *keys.Pair, address string) error {
 	client := &http.Client{
 		Transport: keys.NewTransport(&http.Transport{DisableKeepAlives: true}, p),
@@ -130,7 +131,7 @@
 var _ = Describe("mutual TLS", func() {
 	later := time.Now().Add(time.Hour)
 
-	It("lets in those of the same authority only, each under its own address", func() {
+	It("accepts clients with a valid certificate of the same authority only", func() {
 		ours, foreign := newAuthority(), newAuthority()
 		server := newFiles()
 		ours.issue(server, "127.0.0.1", later)
@@ -142,7 +143,7 @@
 			{name: "the same authority", issue: func(f keys.Files) { ours.issue(f, "127.0.0.1", later) }, good: true},
 			{name: "expired", issue: func(f keys.Files) { ours.issue(f, "127.0.0.1", time.Now().Add(-time.Minute)) }},
 			{name: "foreign", issue: func(f keys.Files) { foreign.issue(f, "127.0.0.1", later) }},
-			{name: "foreign, but trusting ours", issue: func(f keys.Files) {
+			{name: "foreign, but trusts ours", issue: func(f keys.Files) {
 				foreign.issue(f, "127.0.0.1", later)
 				write(f.Authority, "CERTIFICATE", ours.cert.Raw)
 			}},
@@ -163,7 +164,7 @@
 		})
 	})
 
-	It("refuses a server that shows another's address, or an expired certificate", func() {
+	It("rejects a server whose certificate is for another address or expired", func() {
 		ours := newAuthority()
 		client := newFiles()
 		ours.issue(client, "127.0.0.1", later)
@@ -179,7 +180,7 @@
 		}
 	})
 
-	It("takes new files into force without a restart, and keeps the old if they are bad", func() {
+	It("uses changed files without a restart, and keeps the old ones if they are invalid", func() {
 		ours := newAuthority()
 		server, client := newFiles(), newFiles()
 		ours.issue(server, "127.0.0.1", later)
@@ -200,13 +201,13 @@
 		})
 	})
 
-	It("says which file is wrong", func() {
+	It("names the file that can't be read", func() {
 		_, err := keys.New(newFiles(), timer.NewSystem())
 		Expect(err).To(MatchError(ContainSubstring("cert.pem")))
 	})
 })
 
-// touch makes sure that a file's time differs from before.
+// touch gives a file a modification time that differs from the one before.
 func touch(file string) {
 	at := time.Now().Add(3 * time.Second)
 	Expect(os.Chtimes(file, at, at)).To(Succeed())
@@ -216,6 +217,6 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		defer close(done)
-		_ = server.Serve(l) // it ends by Close
+		_ = server.Serve(l) // returns when the server is closed
 	})
 }
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// BenchmarkJudge gives the leader's time for applying the rules once to n
-// endpoints with three watchers each.
+// BenchmarkJudge measures one evaluation by the leader of n endpoints with three
+// watchers each.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkAssign gives the leader's time for choosing all watchers.
+// BenchmarkAssign measures one assignment of all watchers.
 func BenchmarkAssign(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -1,21 +1,22 @@
 // Package membership decides which endpoints are live, leaving, suspect or
-// dead, from the platform's lagging list, the reports of a few watchers an
-// endpoint, and what endpoints say of themselves. It holds no clock and calls
-// nobody.
+// dead, from the platform's host list, which lags, the probe reports of a few
+// watchers for each endpoint, and what endpoints report of themselves. It has no
+// clock and makes no calls.
 //
-// The rules, in the order in which they are tried:
+// The first rule that applies decides. Only reports of trusted watchers count,
+// and only while they are no older than reportMaxAge:
 //
-//  1. Fresh trusted watchers and none reaches it: Dead if there are at least
-//     two, or if the list lacks it as well.
-//  2. Leaving in the list, or said by the endpoint itself: Leaving.
-//  3. No fresh report from a trusted watcher: as before, or Joining if it was
-//     never reached. Silence proves nothing.
-//  4. Every fresh trusted watcher reaches it: Live, listed or not; a flapping
-//     list can't remove what answers.
-//  5. They disagree, or the one that reports can't reach it: Suspect.
+//  1. There are reports, and no watcher reaches the endpoint: Dead if at least
+//     two watchers report, or if the host list lacks the endpoint as well.
+//  2. The host list or the endpoint itself says that it is leaving: Leaving.
+//  3. There is no report: the state stays as it was, or becomes Joining if the
+//     endpoint had none yet. Missing reports prove nothing.
+//  4. Every watcher that reports reaches it: Live, listed or not, so that a host
+//     list that flaps can't remove an endpoint that answers.
+//  5. The watchers disagree, or the only one can't reach it: Suspect.
 //
-// A watcher that reaches fewer than half of what it watches, and watches more
-// than one, is cut off itself and isn't trusted.
+// A watcher of more than one endpoint that reaches fewer than half of them is
+// taken to be cut off itself and isn't trusted.
 package membership
 
 import (
@@ -27,11 +28,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// reportMaxAge is how old a report may be to count: a watcher that is well
-// reports every five seconds, and may miss one.
+// reportMaxAge is how old a report may be to count. Watchers report every five
+// seconds, so that one report may be missed.
 const reportMaxAge = 12 * time.Second
 
-// deadRetention is how long a dead endpoint that isn't listed is remembered.
+// deadRetention is how long a dead endpoint that isn't listed is kept.
 const deadRetention = 10 * time.Minute
 
 type report struct {
@@ -42,18 +43,18 @@
 type entry struct {
 	info          *rpc.Endpoint
 	listed        bool
-	listedLeaving bool // by the list
-	selfLeaving   bool // leaving, by its own word
-	reports       map[string]report
+	listedLeaving bool              // leaving, by the host list
+	selfLeaving   bool              // leaving, as the endpoint itself reported
+	reports       map[string]report // by watcher
 	version       uint64
 	changedAt     time.Time
 }
 
-// Table is the endpoints as the leader knows them. It isn't safe for use by
-// several goroutines.
+// Table is the endpoints as the leader knows them. It isn't safe for concurrent
+// use.
 //
-// Invariants: version rises with every change that entry hosts must learn;
-// a row's version is the table's when it last changed; an endpoint that was
+// Invariants: version rises with every change that entry hosts must receive; an
+// entry's version is the table's as of its last change; an endpoint that was
 // Leaving stays so until it returns with a new incarnation.
 type Table struct {
 	entries map[string]*entry
@@ -67,13 +68,13 @@
 	}
 }
 
-// Version returns the table's version.
+// Version returns the version, which rises with every change.
 func (t *Table) Version() uint64 {
 	return t.version
 }
 
-// List takes the platform's list. An empty list is taken for a fault of the
-// platform, and changes nothing.
+// List applies the platform's host list. An empty list is taken for a fault of
+// the platform and ignored.
 func (t *Table) List(now time.Time, list api.HostList) {
 	if len(list.Hosts) == 0 {
 		return
@@ -94,7 +95,8 @@
 	t.Judge(now)
 }
 
-// Report takes what one watcher saw.
+// Report applies the probe results of one watcher. Addresses that the table
+// doesn't hold are ignored.
 func (t *Table) Report(now time.Time, watcher string, reports []*rpc.EndpointReport) {
 	for _, r := range reports {
 		e, ok := t.entries[r.GetAddress()]
@@ -111,10 +113,10 @@
 	}
 }
 
-// update takes what an endpoint said of itself.
+// update applies what an endpoint reported of itself.
 func (t *Table) update(now time.Time, e *entry, info *rpc.Endpoint) {
 	if info.GetIncarnation() < e.info.GetIncarnation() {
-		return // an older life's report came late
+		return // a late report of an older incarnation
 	}
 	if info.GetIncarnation() > e.info.GetIncarnation() {
 		e.selfLeaving = false
@@ -131,7 +133,8 @@
 	}
 }
 
-// Judge applies the rules to every endpoint.
+// Judge recomputes the state of every endpoint and removes dead ones after
+// deadRetention.
 func (t *Table) Judge(now time.Time) {
 	trusted := t.trustedWatchers(now)
 	for address, e := range t.entries {
@@ -147,6 +150,7 @@
 	}
 }
 
+// evaluate returns an endpoint's state by the package's rules.
 func evaluate(e *entry, now time.Time, trusted map[string]bool) rpc.EndpointState {
 	reachedBy, missedBy := 0, 0
 	for watcher, r := range e.reports {
@@ -174,7 +178,8 @@
 	}
 }
 
-// trustedWatchers returns the watchers that aren't cut off themselves.
+// trustedWatchers returns for each watcher with recent reports whether it is
+// trusted.
 func (t *Table) trustedWatchers(now time.Time) map[string]bool {
 	total := map[string]int{}
 	reached := map[string]int{}
@@ -196,7 +201,7 @@
 	return trusted
 }
 
-// Since returns what changed after version, sorted by address.
+// Since returns the endpoints that changed after version, sorted by address.
 func (t *Table) Since(version uint64) []*rpc.Endpoint {
 	var list []*rpc.Endpoint
 	for _, e := range t.entries {
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -34,7 +34,7 @@
 	f(x)
 }
 
-// list gives the table a list of all endpoints but those in without.
+// list applies a host list of all endpoints but those in without.
 func (x *fixture) list(without map[string]bool) {
 	list := api.HostList{}
 	for i := range 4 {
@@ -47,7 +47,8 @@
 	x.table.List(x.now, list)
 }
 
-// report has a watcher see all endpoints, those in lost as unreachable.
+// report applies a watcher's reports of all endpoints, with those in lost as
+// unreachable.
 func (x *fixture) report(watcher string, incarnation uint64, lost ...string) {
 	var reports []*rpc.EndpointReport
 	for i := range 4 {
@@ -93,7 +94,7 @@
 var _ = Describe("Table", func() {
 	all := []string{"e0", "e1", "e2", "e3"}
 
-	It("takes an endpoint for live once a watcher has reached it", func() {
+	It("makes an endpoint live once a watcher has reached it", func() {
 		withTable(func(x *fixture) {
 			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_JOINING))
 			x.report("w1", 1)
@@ -101,15 +102,15 @@
 		})
 	})
 
-	It("tells lost endpoints from watchers that are cut off", func() {
+	It("distinguishes unreachable endpoints from watchers that are cut off", func() {
 		cases := []struct {
 			name string
 			lost map[string][]string
 			want rpc.EndpointState
 			live int
 		}{
-			{name: "one watcher loses one", lost: map[string][]string{"w1": {"e0"}}, want: rpc.EndpointState_ENDPOINT_SUSPECT, live: 3},
-			{name: "all watchers lose one", lost: map[string][]string{"w1": {"e0"}, "w2": {"e0"}, "w3": {"e0"}}, want: rpc.EndpointState_ENDPOINT_DEAD, live: 3},
+			{name: "one watcher can't reach one endpoint", lost: map[string][]string{"w1": {"e0"}}, want: rpc.EndpointState_ENDPOINT_SUSPECT, live: 3},
+			{name: "no watcher can reach one endpoint", lost: map[string][]string{"w1": {"e0"}, "w2": {"e0"}, "w3": {"e0"}}, want: rpc.EndpointState_ENDPOINT_DEAD, live: 3},
 			{name: "a watcher that is cut off", lost: map[string][]string{"w1": all}, want: rpc.EndpointState_ENDPOINT_LIVE, live: 4},
 			{name: "all watchers are cut off", lost: map[string][]string{"w1": all, "w2": all, "w3": all}, want: rpc.EndpointState_ENDPOINT_LIVE, live: 4},
 		}
@@ -127,7 +128,7 @@
 		}
 	})
 
-	It("isn't emptied by a list that flaps, nor by silence", func() {
+	It("keeps live endpoints when the host list flaps or reports stop", func() {
 		withTable(func(x *fixture) {
 			x.report("w1", 1)
 			x.table.List(x.now, api.HostList{})
@@ -140,7 +141,7 @@
 		})
 	})
 
-	It("keeps an endpoint leaving until it returns in a new life", func() {
+	It("keeps an endpoint leaving until it returns as a new incarnation", func() {
 		withTable(func(x *fixture) {
 			x.report("w1", 1)
 			x.table.Report(x.now, "w1", []*rpc.EndpointReport{{
@@ -150,15 +151,15 @@
 			x.table.Judge(x.now)
 			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LEAVING))
 			x.report("w2", 1)
-			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LEAVING), "a late report of the same life")
+			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LEAVING), "a late report of the same incarnation")
 			x.report("w2", 2)
 			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LIVE))
 			x.report("w1", 1)
-			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LIVE), "a late report of the older life")
+			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LIVE), "a late report of the older incarnation")
 		})
 	})
 
-	It("gives a host only what changed", func() {
+	It("returns only what changed since a version", func() {
 		withTable(func(x *fixture) {
 			x.report("w1", 1)
 			known := x.table.Version()
@@ -170,7 +171,7 @@
 })
 
 var _ = Describe("Watchers", func() {
-	It("spread the probing, and move little when a host goes", func() {
+	It("are spread over the hosts, and stay when another host leaves", func() {
 		var hosts, endpoints []string
 		for i := range 45 {
 			hosts = append(hosts, fmt.Sprint("h", i))
--- a/pkg/membership/watch.go
+++ b/pkg/membership/watch.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WatchersPerEndpoint is how many hosts probe each endpoint: one more than
-// are needed to tell a dead endpoint from a watcher that is cut off.
+// WatchersPerEndpoint is how many hosts probe each endpoint: one more than is
+// needed to distinguish a dead endpoint from a watcher that is cut off.
 const WatchersPerEndpoint = 3
 
-// Watchers chooses who probes an endpoint, by rendezvous hashing, so that a
-// host that comes or goes moves only its own share. With fewer hosts than
-// WatchersPerEndpoint all of them watch.
+// Watchers selects the hosts that probe an endpoint by rendezvous hashing, so
+// that a host that joins or leaves moves only its own share. With fewer hosts than
+// WatchersPerEndpoint all of them probe it.
 func Watchers(endpoint string, hosts []string) []string {
 	chosen := make([]string, 0, WatchersPerEndpoint)
 	for _, i := range selectWatchers(xxhash.Sum64String(endpoint), hashes(hosts)) {
@@ -21,7 +21,7 @@
 	return chosen
 }
 
-// Assign returns, for each host, the endpoints it is to probe.
+// Assign returns the endpoints that each host probes.
 func Assign(endpoints, hosts []string) map[string][]string {
 	watch := make(map[string][]string, len(hosts))
 	hashed := hashes(hosts)
@@ -41,7 +41,7 @@
 	return h
 }
 
-// selectWatchers returns the places of the hosts with the highest scores.
+// selectWatchers returns the indexes of the hosts with the highest scores.
 func selectWatchers(endpoint uint64, hosts []uint64) []int {
 	chosen := make([]int, 0, WatchersPerEndpoint+1)
 	scores := make([]uint64, 0, WatchersPerEndpoint+1)
@@ -60,8 +60,8 @@
 	return chosen
 }
 
-// score mixes two hashes. The constants are those of the finalizer of
-// MurmurHash3, which spreads every bit of its input over its output.
+// score mixes two hashes with the finalizer of MurmurHash3, in which every input
+// bit affects every output bit.
 func score(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 33
