--- a/pkg/eventlog/eventlog.go
+++ b/pkg/eventlog/eventlog.go
@@ -1,7 +1,7 @@
-// Package eventlog writes one JSON line on standard output for each decision
-// that touches a request or changes what the process believes. The list of
-// events is closed. Writing is bounded and never waits: what exceeds the
-// budget or finds the queue full is left out and counted.
+// Package eventlog writes one JSON line to standard output for each decision
+// about a request and for each change of the process's local state. The list of
+// events is closed. Writing is rate-limited and never blocks: lines that exceed
+// the budget or find the queue full are dropped and counted.
 package eventlog
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Event names one kind of line.
+// Event is the name of one kind of line.
 type Event string
 
-// The events.
+// The events. Their values are what operators search for.
 const (
 	Started          Event = "started"
 	Stopping         Event = "stopping"
@@ -62,7 +62,7 @@
 	Unexpected       Event = "unexpected"
 )
 
-// Events is the closed list, in the order of the documentation.
+// Events lists all events in the order of the documentation.
 var Events = []Event{
 	Started, Stopping, Stopped, Reloaded,
 	RequestRefused, RequestFailed, RequestServed, RequestLeft, AttemptFailed, StreamRepathed, StreamResumed, StreamStalled,
@@ -74,13 +74,13 @@
 }
 
 const (
-	// queueSize is how many lines may wait for a reader that is slow.
+	// queueSize is how many lines may wait for a slow reader.
 	queueSize = 512
 	// maxValueBytes bounds the bytes of one value.
 	maxValueBytes = 400
-	// successDivisor is the part of the budget that lines about success may use,
-	// so that those about failures are the last to go.
-	successDivisor = 2 // one half
+	// successDivisor divides the budget for lines about success: they are dropped
+	// once half of it is used, so that lines about failures are dropped last.
+	successDivisor = 2
 )
 
 // Field is one name and value of a line.
@@ -98,7 +98,7 @@
 	}
 }
 
-// Int returns a field that holds a whole number.
+// Int returns a field that holds an integer.
 func Int(name string, value int64) Field {
 	return Field{
 		name:    name,
@@ -107,7 +107,7 @@
 	}
 }
 
-// Ms returns a field that holds a time in milliseconds; its name ends in _ms.
+// Ms returns a field that holds a duration in milliseconds; its name ends in _ms.
 func Ms(name string, d time.Duration) Field {
 	return Int(name, d.Milliseconds())
 }
@@ -120,7 +120,7 @@
 	return Str("error", err.Error())
 }
 
-// Log writes lines. A nil Log writes nothing.
+// Log writes lines. It is safe for concurrent use. A nil Log writes nothing.
 type Log struct {
 	out    io.Writer
 	svc    timer.Service
@@ -134,8 +134,8 @@
 	dropped        atomic.Int64
 }
 
-// New returns a log that writes at most budget lines a second to out, once
-// Run is called.
+// New returns a log that writes at most budget lines per second to out while Run
+// runs.
 func New(out io.Writer, svc timer.Service, host string, budget int) *Log {
 	return &Log{
 		out:    out,
@@ -146,7 +146,7 @@
 	}
 }
 
-// Run writes what is queued until ctx ends, and then what is left.
+// Run writes queued lines until ctx is done, and then those that are left.
 func (l *Log) Run(ctx context.Context) {
 	for {
 		select {
@@ -171,14 +171,13 @@
 }
 
 func (l *Log) write(line []byte) {
-	// Nothing can be told if standard output is gone; the count of dropped
-	// lines shows it.
+	// There is nowhere to report a failed write but the count of dropped lines.
 	if _, err := l.out.Write(line); err != nil {
 		l.dropped.Add(1)
 	}
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns how many lines were dropped.
 func (l *Log) Dropped() int64 {
 	if l == nil {
 		return 0
@@ -186,7 +185,7 @@
 	return l.dropped.Load()
 }
 
-// Event writes a line of e with fields.
+// Event queues a line of e with fields. It never blocks.
 func (l *Log) Event(e Event, fields ...Field) {
 	if l == nil {
 		return
@@ -202,6 +201,7 @@
 	}
 }
 
+// withinBudget reports whether a line may be written at now, and counts it if so.
 func (l *Log) withinBudget(e Event, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -243,7 +243,7 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendString appends s as a JSON string, cut to maxValue bytes.
+// appendString appends s as a JSON string, truncated to maxValueBytes bytes.
 func appendString(b []byte, s string) []byte {
 	if len(s) > maxValueBytes {
 		s = s[:maxValueBytes]
--- a/pkg/eventlog/eventlog_test.go
+++ b/pkg/eventlog/eventlog_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "eventlog")
 }
 
-// blockedWriter is an output whose reader has stopped reading.
+// blockedWriter blocks until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 }
@@ -31,7 +31,7 @@
 	return len(p), nil
 }
 
-// eventTable is the page's list of events.
+// eventTable returns the table of events that the documentation should have.
 func eventTable() string {
 	var b strings.Builder
 	for _, e := range Events {
@@ -41,7 +41,7 @@
 }
 
 var _ = Describe("the log", func() {
-	It("writes one JSON object a line, whatever the values hold", func() {
+	It("writes one valid JSON object per line for any values", func() {
 		out := &bytes.Buffer{}
 		l := New(out, timer.NewManual(time.Unix(0, 0)), "h\"1", 10)
 		l.Event(RequestRefused, Str("why", "a \"b\"\n\x01 \\ \xff é"), Int("n", -3), Ms("after_ms", time.Second), Err(nil))
@@ -55,7 +55,7 @@
 		Expect(line["why"]).To(ContainSubstring("\n"))
 	})
 
-	It("keeps to its budget, counts what it leaves out, and leaves out successes first", func() {
+	It("keeps to its budget, counts dropped lines, and drops successes first", func() {
 		out := &bytes.Buffer{}
 		clock := timer.NewManual(time.Unix(0, 0))
 		l := New(out, clock, "h", 10)
@@ -75,7 +75,7 @@
 		Expect(strings.Count(out.String(), "request_failed")).To(Equal(6))
 	})
 
-	It("never waits for a reader that stopped reading", func() {
+	It("doesn't block when its reader stops reading", func() {
 		release := make(chan struct{})
 		l := New(blockedWriter{release: release}, timer.NewManual(time.Unix(0, 0)), "h", 1_000_000)
 		g := group.New(context.Background())
@@ -88,7 +88,7 @@
 		g.Stop()
 	})
 
-	It("has the events that the page lists", func() {
+	It("has the events that the documentation lists", func() {
 		const file = "../../docs/operate/logs.md"
 		text, err := os.ReadFile(file)
 		Expect(err).NotTo(HaveOccurred())
--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -1,5 +1,5 @@
-// Package story puts together, from the log lines of many hosts, what became
-// of one request and what was known of the endpoints and hosts it touched.
+// Package story assembles the timeline of one request from the event logs of many
+// hosts: its own lines, and those about the endpoints and hosts involved.
 package story
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/go-faster/errors"
 )
 
-// contextWindow is how far before and after a request the lines of the endpoints and
-// hosts that it touched belong to its story.
+// contextWindow is how long before and after a request the lines of the endpoints
+// and hosts involved are included.
 const contextWindow = 5 * time.Second
 
 // maxLine bounds one line of a log.
@@ -43,15 +43,15 @@
 	for _, n := range names {
 		value, err := json.Marshal(l.Fields[n])
 		if err != nil {
-			continue // it was decoded from JSON
+			continue // can't happen, as the value was decoded from JSON
 		}
 		parts = append(parts, n+"="+strings.Trim(string(value), `"`))
 	}
 	return strings.Join(parts, " ")
 }
 
-// Read returns the lines of a log. What isn't a line of ours is passed over; a
-// collector may have put something before the object.
+// Read returns the lines of a log. Lines that aren't events are skipped; a log
+// collector may have put a prefix before the JSON object.
 func Read(r io.Reader) ([]Line, error) {
 	var list []Line
 	s := bufio.NewScanner(r)
@@ -90,9 +90,9 @@
 	return l, l.Event != ""
 }
 
-// Of returns the story of a request, in order of time: its own lines, and
-// those about the endpoints it touched and the hosts that carried it from
-// shortly before to shortly after it.
+// Of returns the timeline of a request, sorted by time: its own lines, and those
+// about the endpoints and hosts involved, from contextWindow before it arrived to
+// contextWindow after its last line. It is nil if no line names the request.
 func Of(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
@@ -119,7 +119,8 @@
 	return out
 }
 
-// arrivalTime returns when a request came, by the time it had taken.
+// arrivalTime returns when a request arrived, computed from the elapsed time that
+// one of its lines gives; the line's own time if it gives none.
 func arrivalTime(l *Line) time.Time {
 	for _, name := range []string{"took_ms", "after_ms"} {
 		if ms, ok := l.Fields[name].(float64); ok {
@@ -133,7 +134,8 @@
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Time.Before(list[j].Time) })
 }
 
-// scope is what a request touched: hosts, and text that names endpoints.
+// scope is what a request involved: the hosts that wrote its lines, and the text of
+// these lines, which names endpoints.
 type scope struct {
 	hosts map[string]bool
 	text  string
@@ -152,12 +154,13 @@
 	return t
 }
 
-// hostEvents are the events of a host that bear on every request it carries.
+// hostEvents are the events of a host that affect all of its requests.
 var hostEvents = map[string]bool{
 	"control_lost": true, "control_regained": true, "configuration_in_force": true, "ready_changed": true,
 	"started": true, "stopping": true, "stopped": true,
 }
 
+// covers reports whether a line that isn't of a request belongs to the timeline.
 func (t scope) covers(l *Line) bool {
 	if hostEvents[l.Event] {
 		return t.hosts[l.Host]
--- a/pkg/story/story_test.go
+++ b/pkg/story/story_test.go
@@ -24,8 +24,8 @@
 {"time":"2026-01-01T00:00:01.000Z","host":"h1","event":"control_lost","address":"10.0.0.7:1"}
 `
 
-var _ = Describe("a request's story", func() {
-	It("has its lines over all hosts, and those of what it touched, in order", func() {
+var _ = Describe("a request's timeline", func() {
+	It("has its lines from all hosts, and those of the endpoints and hosts involved, in order", func() {
 		lines, err := Read(strings.NewReader(logs))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lines).To(HaveLen(8))
