--- a/pkg/bundle/bundle.go
+++ b/pkg/bundle/bundle.go
@@ -1,6 +1,6 @@
-// Package bundle is the model of what operators declare: models, adapters,
+// Package bundle is the data model of what operators declare: models, adapters,
 // pipelines, services and client accounts, as versions of named bundles.
-// It knows nothing of processes, storage or the network.
+// It depends on no process, storage or network.
 package bundle
 
 import (
@@ -11,7 +11,7 @@
 // Bundle is one version of a named bundle as its TOML text declares it.
 //
 // Invariant: a Bundle returned by Parse has passed every check that needs no
-// other bundle; CheckSet makes those that do.
+// other bundle; NewSet does those that do.
 type Bundle struct {
 	Name      string     `toml:"name"`
 	Version   uint64     `toml:"version"`
@@ -23,7 +23,7 @@
 	Accounts  []Account  `toml:"account"`
 }
 
-// Model is a language model whose layers are spread over endpoints.
+// Model is a language model whose layers are distributed over endpoints.
 type Model struct {
 	Name          string `toml:"name"`
 	Version       string `toml:"version"`
@@ -39,7 +39,8 @@
 	SizeMB int    `toml:"size_mb"`
 }
 
-// Pipeline is a named way of using a model, which callers ask for by name.
+// Pipeline is a model with an adapter, priority and token limit, which callers
+// request by its name.
 type Pipeline struct {
 	Name      string `toml:"name"`
 	Model     string `toml:"model"`
@@ -49,7 +50,7 @@
 	Once      bool   `toml:"once"`
 }
 
-// Service is a plain service beside the model engines.
+// Service is a service whose endpoints aren't model engines.
 type Service struct {
 	Name        string   `toml:"name"`
 	BodyLimitKB int      `toml:"body_limit_kb"`
@@ -66,19 +67,20 @@
 	Concurrent        int      `toml:"concurrent"`
 }
 
-// Priorities run from 0, batch work, to 9, which goes first.
+// Priorities range from 0, for batch work, to 9, which is served first.
 const (
 	MinPriority = 0
 	MaxPriority = 9
 )
 
-// Digest returns the digest by which a version is known: SHA-256 of its text.
+// Digest returns the digest that identifies a version: the SHA-256 of its text.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// KeyDigest returns the form in which a key of an account or operator is kept.
+// KeyDigest returns the digest under which the key of a client account or an
+// operator is stored.
 func KeyDigest(key string) string {
 	return Digest([]byte(key))
 }
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -18,8 +18,8 @@
 	maxBodyKB            = 64 * 1024
 )
 
-// Parse reads and checks a bundle's text. The error is a *check.Problems that
-// holds every problem; file is the name under which they are reported.
+// Parse decodes and validates a bundle's text. The error is a *check.Problems with
+// every problem; file is the name under which they are reported.
 func Parse(file string, text []byte) (*Bundle, error) {
 	p := check.New(file)
 	b := &Bundle{}
--- a/pkg/bundle/set.go
+++ b/pkg/bundle/set.go
@@ -7,8 +7,8 @@
 	"github.com/larchwinch/larchwinch/pkg/check"
 )
 
-// Set is the bundles in force at one revision, indexed for requests. It is
-// never changed once built; a newer revision is a new Set.
+// Set is the active bundles of one revision, indexed for requests. It is
+// immutable; a newer revision is a new Set.
 type Set struct {
 	revision         uint64
 	bundles          []*Bundle
@@ -19,8 +19,9 @@
 	accountNameByKey map[string]string
 }
 
-// NewSet indexes bundles as revision, and checks what several of them touch
-// together. The error is a *check.Problems.
+// NewSet returns the indexed bundles of a revision after validating the references
+// between bundles and that names and keys are unique across them. The error is a
+// *check.Problems.
 func NewSet(revision uint64, bundles []*Bundle) (*Set, error) {
 	s := &Set{
 		revision:         revision,
@@ -104,7 +105,7 @@
 	}
 }
 
-// Revision returns the revision, which rises with every accepted version.
+// Revision returns the revision, which rises with every accepted bundle version.
 func (s *Set) Revision() uint64 {
 	return s.revision
 }
@@ -136,7 +137,7 @@
 	return names
 }
 
-// Service returns the plain service of that name.
+// Service returns the service of that name.
 func (s *Set) Service(name string) (Service, bool) {
 	v, ok := s.services[name]
 	return v, ok
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -9,24 +9,25 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// signContext parts these signatures from any other use of the same key.
+// signContext is signed before a bundle's text, so that a signature can't be taken
+// for one of another use of the same key.
 const signContext = "larchwinch bundle v1\n"
 
-// Signer is an operator whose signature counts for some bundles.
+// Signer is an operator whose signature is accepted for some bundles.
 type Signer struct {
 	name    string
 	key     ed25519.PublicKey
 	bundles map[string]bool
 }
 
-// AnyBundle as a scope lets a signer sign every bundle.
+// AnyBundle as a bundle's name allows a signer to sign every bundle.
 const AnyBundle = "*"
 
-// NewSigner returns a signer for the named bundles. key is base64.
+// NewSigner returns a signer for the named bundles. key is a base64 public key.
 func NewSigner(name, key string, bundles []string) (Signer, error) {
 	raw, err := base64.StdEncoding.DecodeString(key)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
-		return Signer{}, errors.Errorf("%q is no Ed25519 public key in base64", key)
+		return Signer{}, errors.Errorf("%q is not an Ed25519 public key in base64", key)
 	}
 	scope := map[string]bool{}
 	for _, b := range bundles {
@@ -39,13 +40,13 @@
 	}, nil
 }
 
-// Trust decides whether a version carries enough signatures.
+// Trust decides whether a bundle version has enough valid signatures.
 type Trust struct {
 	signers  map[string]Signer
 	required int
 }
 
-// NewTrust returns a Trust that wants required valid signatures.
+// NewTrust returns a Trust that requires the given number of valid signatures.
 func NewTrust(signers []Signer, required int) *Trust {
 	t := &Trust{
 		signers:  map[string]Signer{},
@@ -69,7 +70,8 @@
 	return errors.Errorf("bundle %q has %d valid signatures of operators who may sign it, and needs %d", e.Bundle, e.Valid, e.Required).Error()
 }
 
-// Verify returns a *SignatureError unless enough signers who may sign v did.
+// Verify returns a *SignatureError unless enough signers who may sign v have
+// signed it.
 func (t *Trust) Verify(v *rpc.BundleVersion) error {
 	valid := map[string]bool{}
 	for _, sig := range v.GetSignatures() {
@@ -103,7 +105,7 @@
 func Sign(signer, key string, content []byte) (*rpc.Signature, error) {
 	raw, err := base64.StdEncoding.DecodeString(key)
 	if err != nil || len(raw) != ed25519.PrivateKeySize {
-		return nil, errors.New("the key is no Ed25519 private key in base64")
+		return nil, errors.New("the key is not an Ed25519 private key in base64")
 	}
 	return &rpc.Signature{
 		Signer: signer,
@@ -111,7 +113,7 @@
 	}, nil
 }
 
-// NewKeyPair returns a new signing key as base64, public part first.
+// NewKeyPair returns a new signing key pair, both keys in base64.
 func NewKeyPair() (public, private string, err error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
--- a/pkg/config/common.go
+++ b/pkg/config/common.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings of each program. A settings
-// file is checked whole; every problem is reported at once.
+// Package config reads and validates the settings of each program. All problems
+// of a settings file are reported at once.
 package config
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Duration is a length of time, written with a unit as in "250ms" or "10s".
+// Duration is a time.Duration in a settings file, such as "250ms" or "10s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return errors.Errorf("%q is no duration; allowed: a number with ms, s, m or h, such as 250ms", text)
+		return errors.Errorf("%q is not a duration; allowed: a number with ms, s, m or h, such as 250ms", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Or returns the duration, or the default def if none is set.
+// Or returns the duration, or def if it is 0.
 func (d Duration) Or(def time.Duration) time.Duration {
 	if d == 0 {
 		return def
@@ -34,14 +34,14 @@
 	return time.Duration(d)
 }
 
-// Signer is an operator whose signature under a bundle counts.
+// Signer is an operator whose signatures of the named bundles are accepted.
 type Signer struct {
 	Name      string   `toml:"name"`
 	PublicKey string   `toml:"public_key"`
 	Bundles   []string `toml:"bundles"`
 }
 
-// Place is who and where a process is; every settings file begins with it.
+// Place is the settings that control and entry hosts share.
 type Place struct {
 	Host    string `toml:"host"`
 	Domain  string `toml:"domain"`
@@ -55,7 +55,7 @@
 	p.Address("metrics_address", l.Metrics)
 }
 
-// Trust is whose signatures count, and how many a bundle needs.
+// Trust says whose signatures are accepted, and how many a bundle needs.
 type Trust struct {
 	RequiredSignatures int      `toml:"required_signatures"`
 	Signers            []Signer `toml:"signer"`
@@ -80,7 +80,7 @@
 	}
 }
 
-// Build returns the checked Trust.
+// Build returns the bundle.Trust that these settings describe.
 func (t Trust) Build() (*bundle.Trust, error) {
 	signers := make([]bundle.Signer, 0, len(t.Signers))
 	for _, s := range t.Signers {
@@ -93,7 +93,7 @@
 	return bundle.NewTrust(signers, t.RequiredSignatures), nil
 }
 
-// checkTLSFiles notes problems with the files of mutual TLS, if any are named.
+// checkTLSFiles adds problems with the files of mutual TLS, if any are set.
 func checkTLSFiles(f keys.Files, p *check.Problems) {
 	if !f.Set() {
 		return
@@ -103,6 +103,8 @@
 	}
 }
 
+// decodeFile reads a settings file into v. It reports whether v can be checked
+// further.
 func decodeFile(file string, v any, p *check.Problems) bool {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("the examples", func() {
-	It("are good", func() {
+	It("are valid", func() {
 		for _, n := range []string{"1", "2", "3"} {
 			_, err := config.ReadEntry(filepath.Join(examples, "local", "entry-"+n+".toml"))
 			Expect(err).NotTo(HaveOccurred())
@@ -59,15 +59,15 @@
 		wantErrors []string
 	}{
 		{name: "unknown key", from: "host = ", to: "hostt = ", wantErrors: []string{"hostt: unknown key", `host: "" is no name`}},
-		{name: "wrong unit", from: "log = ", to: "drain_timeout = \"5 minutes\"\nlog = ", wantErrors: []string{"no duration", "250ms"}},
+		{name: "wrong unit", from: "log = ", to: "drain_timeout = \"5 minutes\"\nlog = ", wantErrors: []string{"is not a duration", "250ms"}},
 		{name: "bad address", from: `caller_address = "127.0.2.1:8080"`, to: `caller_address = "entry-1:8080"`, wantErrors: []string{`caller_address: "entry-1:8080" is no address`, "an IP number and a port"}},
 		{name: "no control", from: `control = [`, to: `control = []` + "\nx = [", wantErrors: []string{"control: missing", "x: unknown key"}},
-		{name: "no policy", from: "log = ", to: "routing_policy = \"best\"\nlog = ", wantErrors: []string{`"best" is no policy`, "expected-finish"}},
-		{name: "half a file", from: "host = ", to: "host = [", wantErrors: []string{"(syntax)"}},
+		{name: "no policy", from: "log = ", to: "routing_policy = \"best\"\nlog = ", wantErrors: []string{`"best" is not a routing policy`, "expected-finish"}},
+		{name: "syntax error", from: "host = ", to: "host = [", wantErrors: []string{"(syntax)"}},
 		{name: "bad key", from: "public_key = \"", to: "public_key = \"x", wantErrors: []string{"signer.0.public_key", "larchwinch key new"}},
 	}
 	for _, c := range cases {
-		It("say what is wrong, all of it: "+c.name, func() {
+		It("report every problem: "+c.name, func() {
 			text := strings.Replace(readExample("local/entry-1.toml"), c.from, c.to, 1)
 			_, err := config.ReadEntry(writeSettings(text))
 			Expect(err).To(HaveOccurred())
@@ -77,17 +77,17 @@
 		})
 	}
 
-	It("of a control host refuse a host list by name", func() {
+	It("of a control host reject a host list whose host isn't an IP number", func() {
 		text := strings.Replace(readExample("local/control-1.toml"), "http://127.0.4.1:6000", "http://list:6000", 1)
 		_, err := config.ReadControl(writeSettings(text))
 		Expect(err).To(MatchError(ContainSubstring("host_list")))
 	})
 
-	It("of a control host name each wrong replica and operator", func() {
+	It("of a control host report each invalid replica and operator", func() {
 		text := strings.Replace(readExample("local/control-1.toml"), "id = 2\n", "id = 1\n", 1)
 		text = strings.Replace(text, `roles = ["read"]`, `roles = ["write"]`, 1)
 		_, err := config.ReadControl(writeSettings(text))
-		Expect(err).To(MatchError(And(ContainSubstring("replica.1.id"), ContainSubstring(`"write" is no role`))))
+		Expect(err).To(MatchError(And(ContainSubstring("replica.1.id"), ContainSubstring(`"write" is not a role`))))
 	})
 })
 
@@ -107,7 +107,7 @@
 		{name: "first version with a parent", from: `parent = ""`, to: `parent = "x"`, wantError: "version 1 names a parent"},
 	}
 	for _, c := range cases {
-		It("say what is wrong: "+c.name, func() {
+		It("report the problem: "+c.name, func() {
 			text := strings.Replace(readExample("mesipuu.toml"), c.from, c.to, 1)
 			b, err := bundle.Parse("mesipuu.toml", []byte(text))
 			if err == nil {
--- a/pkg/config/control.go
+++ b/pkg/config/control.go
@@ -5,7 +5,7 @@
 	"github.com/larchwinch/larchwinch/pkg/keys"
 )
 
-// Control is the settings of a control replica.
+// Control is the settings of a control host's replica.
 type Control struct {
 	Place
 	Trust
@@ -28,7 +28,7 @@
 	AdminAddress string `toml:"admin_address"`
 }
 
-// Operator is a person or program that may use the administration API.
+// Operator is a person or program that is allowed to use the administration API.
 type Operator struct {
 	Name      string   `toml:"name"`
 	KeySHA256 string   `toml:"key_sha256"`
@@ -44,7 +44,7 @@
 
 const maxReplicas = 9
 
-// ReadControl reads and checks a control replica's settings.
+// ReadControl reads and validates a control replica's settings.
 func ReadControl(file string) (*Control, error) {
 	p := check.New(file)
 	c := &Control{}
@@ -62,7 +62,7 @@
 	p.Address("rpc_address", c.RPCAddress)
 	p.Address("admin_address", c.AdminAddress)
 	if c.Data == "" {
-		p.Add("data", "a folder on a disk", "missing")
+		p.Add("data", "a directory on disk", "missing")
 	}
 	checkURL("host_list", c.HostList, p)
 	c.checkReplicas(p)
@@ -79,12 +79,12 @@
 		p.Address(prefix+"admin_address", r.AdminAddress)
 		p.Unique(prefix+"address", r.Address, addresses)
 		if r.ID == 0 || ids[r.ID] {
-			p.Add(prefix+"id", "1 or more, each once", "%d is missing or stands twice", r.ID)
+			p.Add(prefix+"id", "1 or more, each only once", "%d is missing or a duplicate", r.ID)
 		}
 		ids[r.ID] = true
 	}
 	if !ids[c.ID] {
-		p.Add("id", "the id of one of the replicas", "%d is none of them", c.ID)
+		p.Add("id", "the id of one of the replicas", "no replica has id %d", c.ID)
 	}
 }
 
@@ -97,7 +97,7 @@
 		p.SHA256(prefix+"key_sha256", o.KeySHA256)
 		for _, r := range o.Roles {
 			if r != RoleRead && r != RoleSubmit {
-				p.Add(prefix+"roles", "read, submit", "%q is no role", r)
+				p.Add(prefix+"roles", "read, submit", "%q is not a role", r)
 			}
 		}
 	}
--- a/pkg/config/entry.go
+++ b/pkg/config/entry.go
@@ -26,7 +26,7 @@
 	Policy        string     `toml:"routing_policy"`
 }
 
-// Policies are the names that routing_policy may have; the first is the default.
+// Policies are the allowed values of routing_policy; the first is the default.
 var Policies = []string{"expected-finish", "least-outstanding", "two-choices", "round-robin", "by-capacity"}
 
 const (
@@ -36,7 +36,7 @@
 	defaultQueue   = 512
 )
 
-// ReadEntry reads and checks an entry host's settings.
+// ReadEntry reads and validates an entry host's settings.
 func ReadEntry(file string) (*Entry, error) {
 	p := check.New(file)
 	c := &Entry{
@@ -72,7 +72,7 @@
 			return
 		}
 	}
-	p.Add("routing_policy", fmt.Sprint(Policies), "%q is no policy", name)
+	p.Add("routing_policy", fmt.Sprint(Policies), "%q is not a routing policy", name)
 }
 
 func checkAddresses(key string, list []string, p *check.Problems) {
@@ -90,14 +90,15 @@
 func checkURL(key, value string, p *check.Problems) {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" {
-		p.Add(key, "such as http://10.0.0.9:6000/v1/hosts", "%q is no http address", value)
+		p.Add(key, "such as http://10.0.0.9:6000/v1/hosts", "%q is not an http URL", value)
 		return
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil {
-		p.Add(key, "an IP number and a port", "%q names its host otherwise", value)
+		p.Add(key, "an IP number and a port", "the host of %q is not an IP number with a port", value)
 	}
 }
 
+// keyPrefix returns the prefix of the keys of a list's i-th table.
 func keyPrefix(list string, i int) string {
 	return fmt.Sprintf("%s.%d.", list, i)
 }
--- a/pkg/config/fleet.go
+++ b/pkg/config/fleet.go
@@ -9,28 +9,29 @@
 	"github.com/larchwinch/larchwinch/pkg/check"
 )
 
-// Fleet is the settings of a host of a deployment whose operator sends whole
-// configurations and whose endpoints announce themselves. Both roles read the
-// same file.
+// Fleet is the settings of a host of a deployment whose operator submits full
+// configurations and whose endpoints register themselves by heartbeats. The
+// control and the entry role read the same file.
 type Fleet struct {
 	Host   string `toml:"host"`
 	Domain string `toml:"domain"`
 	IP     string `toml:"ip"`
 	// Founding is set at the first start of the whole system, on empty disks.
 	Founding bool `toml:"founding"`
-	// Data is the folder of a control host's replica; without one it holds
-	// none and passes on what it is sent.
+	// Data is the directory of a control host's replica. If it is empty, the
+	// control host has no replica and forwards the calls that it receives.
 	Data string `toml:"data"`
-	// Seeds are control hosts to begin with; only their IP numbers are used.
+	// Seeds are the control hosts to contact first; only their IP addresses are
+	// used.
 	Seeds []string `toml:"seeds"`
-	// InternalPort is the first of the ports for the system's own calls.
+	// InternalPort is the first of the ports for internal calls.
 	InternalPort int         `toml:"internal_port"`
 	MemoryMB     float64     `toml:"memory_mb"`
 	Listen       FleetListen `toml:"listen"`
 	Bounds       FleetBounds `toml:"bounds"`
 }
 
-// FleetListen is the addresses that a host serves; a role needs its own only.
+// FleetListen is the addresses that a host listens on; a role needs only its own.
 type FleetListen struct {
 	Callers   string `toml:"callers"`
 	Ready     string `toml:"ready"`
@@ -38,19 +39,19 @@
 	Control   string `toml:"control"`
 }
 
-// FleetBounds are the times and limits that the deployment promises.
+// FleetBounds are the times and limits that the deployment guarantees.
 type FleetBounds struct {
 	Heartbeat    Duration `toml:"heartbeat"`
 	Grace        Duration `toml:"grace"`
 	Revoke       Duration `toml:"revoke"`
 	StrictRevoke bool     `toml:"strict_revoke"`
-	// DirectoryKeep is the longest that callers keep an answer.
+	// DirectoryKeep is the longest time that callers cache the directory's answers.
 	DirectoryKeep Duration `toml:"directory_keep"`
 	// Losses is how many disks may be lost at once.
 	Losses      int     `toml:"losses"`
 	RepeatRatio float64 `toml:"repeat_ratio"`
-	// RepeatExtra is repeats in a window beyond the ratio; a deployment may give
-	// a fraction.
+	// RepeatExtra is how many retries are allowed in a window beyond the ratio. It
+	// may be a fraction.
 	RepeatExtra  float64  `toml:"repeat_extra"`
 	RepeatWindow Duration `toml:"repeat_window"`
 }
@@ -61,7 +62,8 @@
 	maxLosses         = 4
 )
 
-// ReadFleet reads and checks the settings of a host.
+// ReadFleet reads and validates the settings of a host. What only one role needs is
+// left to CheckControl and CheckEntry.
 func ReadFleet(file string) (*Fleet, error) {
 	p := check.New(file)
 	c := &Fleet{}
@@ -76,7 +78,7 @@
 	p.Name("host", c.Host)
 	p.Name("domain", c.Domain)
 	if _, err := netip.ParseAddr(c.IP); err != nil {
-		p.Add("ip", "an IP number", "%q is none", c.IP)
+		p.Add("ip", "an IP number", "%q is not an IP number", c.IP)
 	}
 	p.Range("internal_port", c.InternalPort, 1, maxPort)
 	p.Range("bounds.losses", c.Bounds.Losses, 0, maxLosses)
@@ -102,18 +104,18 @@
 		p.Add("bounds.heartbeat", "a duration above 0", "missing")
 	}
 	if c.Bounds.Grace.Or(0) < time.Second {
-		p.Add("bounds.grace", "1s or more", "too short to answer what is under way")
+		p.Add("bounds.grace", "1s or more", "too short to finish requests in flight")
 	}
 }
 
-// CheckControl notes what the control role lacks.
+// CheckControl validates the settings that only the control role needs.
 func (c *Fleet) CheckControl() error {
 	p := check.New("settings for the control role")
 	p.Address("listen.control", c.Listen.Control)
 	return p.Err()
 }
 
-// CheckEntry notes what the entry role lacks.
+// CheckEntry validates the settings that only the entry role needs.
 func (c *Fleet) CheckEntry() error {
 	p := check.New("settings for the entry role")
 	p.Address("listen.callers", c.Listen.Callers)
@@ -122,13 +124,13 @@
 	return p.Err()
 }
 
-// ControlPort is the port of the system's own calls to control hosts; it is
-// the same on every host.
+// ControlPort returns the port for internal calls to control hosts. It is the same
+// on every host.
 func (c *Fleet) ControlPort() string {
 	return strconv.Itoa(c.InternalPort + controlPortOffset)
 }
 
-// SeedIPs returns the IP numbers of the seeds.
+// SeedIPs returns the IP addresses of the seeds.
 func (c *Fleet) SeedIPs() []string {
 	list := make([]string, 0, len(c.Seeds))
 	for _, s := range c.Seeds {
@@ -139,7 +141,7 @@
 	return list
 }
 
-// SeedAddresses returns the addresses of the seeds for the system's own calls.
+// SeedAddresses returns the addresses of the seeds for internal calls.
 func (c *Fleet) SeedAddresses() []string {
 	ips := c.SeedIPs()
 	list := make([]string, 0, len(ips))
@@ -149,7 +151,7 @@
 	return list
 }
 
-// RevokeBound returns how long a key that was taken away may serve; 0 if that
+// RevokeBound returns for how long a revoked key may still be accepted; 0 if that
 // isn't bounded.
 func (b *FleetBounds) RevokeBound() time.Duration {
 	if !b.StrictRevoke {
--- a/pkg/config/fleet_test.go
+++ b/pkg/config/fleet_test.go
@@ -9,7 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// fleetSettings are those of one host, as the deployment's template gives them.
+// fleetSettings are the settings of one host, as the deployment's template renders
+// them.
 const fleetSettings = `host = "entry-a-1"
 domain = "a"
 ip = "127.0.0.1"
@@ -43,7 +44,7 @@
 }
 
 var _ = Describe("settings of a fleet's host", func() {
-	It("may give every bound as a fraction", func() {
+	It("accept fractions as bounds", func() {
 		cases := []struct {
 			from string
 			to   string
@@ -100,7 +101,7 @@
 		}
 	})
 
-	It("may not be negative, and every one that is wrong is named", func() {
+	It("reject bounds that are negative or out of range, and name them", func() {
 		cases := []struct {
 			from      string
 			to        string
@@ -118,7 +119,7 @@
 		}
 	})
 
-	It("name nothing that the deployment's template lacks", func() {
+	It("have only keys that the deployment's template has", func() {
 		text, err := os.ReadFile("../../deploy/fleet.toml.tmpl")
 		Expect(err).NotTo(HaveOccurred())
 		for _, line := range strings.Split(fleetSettings, "\n") {
