--- a/pkg/api/admin.go
+++ b/pkg/api/admin.go
@@ -13,13 +13,13 @@
 	AdminOpenAPIPath   = "/admin/v1/openapi.json"
 )
 
-// Signature is one operator's signature, base64.
+// Signature is one operator's signature, in base64 in JSON.
 type Signature struct {
 	Signer string `json:"signer"`
 	Value  []byte `json:"value"`
 }
 
-// SignedBundle is a bundle's text with its signatures, as submitted.
+// SignedBundle is a bundle's text with its signatures, as an operator submits it.
 type SignedBundle struct {
 	Content    string      `json:"content"`
 	Signatures []Signature `json:"signatures"`
@@ -41,11 +41,12 @@
 // BundlePage is one page of bundle versions.
 type BundlePage struct {
 	Items []BundleVersion `json:"items"`
-	// Next is the value of the page parameter for the next page; absent at the end.
+	// Next is the page parameter of the next page; absent on the last page.
 	Next string `json:"next,omitempty"`
 }
 
-// Rollout is how far the newest revision has come.
+// Rollout is the progress of the newest revision: how many of the hosts it is
+// active on.
 type Rollout struct {
 	Revision uint64     `json:"revision"`
 	InForce  int        `json:"in_force"`
@@ -53,7 +54,7 @@
 	Sites    []SiteView `json:"sites"`
 }
 
-// SiteView is how far one failure domain has come.
+// SiteView is the progress of the newest revision in one failure domain.
 type SiteView struct {
 	Domain         string `json:"domain"`
 	Hosts          int    `json:"hosts"`
@@ -104,7 +105,7 @@
 	Leader       bool   `json:"leader"`
 }
 
-// Replicas is the control replicas and what the answering one knows.
+// Replicas is the control replicas, and the state of the one that answers.
 type Replicas struct {
 	Items    []ReplicaView `json:"items"`
 	Term     uint64        `json:"term"`
@@ -112,7 +113,7 @@
 	LogBytes int64         `json:"log_bytes"`
 }
 
-// Problems is the details of a bundle_invalid answer.
+// Problems is the details of an error response of kind bundle_invalid.
 type Problems struct {
 	Problems []json.RawMessage `json:"problems"`
 }
--- a/pkg/api/caller.go
+++ b/pkg/api/caller.go
@@ -11,29 +11,30 @@
 	ReadyPath       = "/readyz"
 )
 
-// Headers that callers use beside the usual ones.
+// Headers of requests and responses beside the standard ones.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderOnce           = "Larchwinch-Once"
 	HeaderDomain         = "Larchwinch-Domain"
 	HeaderLastEventID    = "Last-Event-ID"
-	// HeaderPath names, in answers, the endpoints that a request ran over.
+	// HeaderPath lists, in responses, the endpoints on the request's path.
 	HeaderPath = "Larchwinch-Path"
-	// HeaderRepeated marks an answer that is the first one's, kept.
+	// HeaderRepeated marks a response that was stored for an earlier request with
+	// the same idempotency key and is replayed.
 	HeaderRepeated = "Larchwinch-Repeated"
 )
 
-// Error is the one shape of every error answer.
+// Error is the body of every error response.
 type Error struct {
 	Error ErrorBody `json:"error"`
 }
 
-// ErrorBody says what failed, and whether the request was run.
+// ErrorBody says what failed and whether the request was run.
 type ErrorBody struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
 	Ran     string `json:"ran"`
-	// RetryAfterMS is when to come back, in milliseconds; 0 means never.
+	// RetryAfterMS is after how many milliseconds to retry; 0 means not to retry.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	// Type and Code repeat Kind for clients that look for them.
 	Type string `json:"type"`
@@ -46,8 +47,8 @@
 	Content string `json:"content"`
 }
 
-// ChatRequest is the body of a chat completion. Fields that larchwinch has no
-// use for are accepted and ignored, as other servers do.
+// ChatRequest is the body of a chat completion request. Unknown fields are
+// accepted and ignored.
 type ChatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []ChatMessage `json:"messages"`
@@ -57,7 +58,7 @@
 	Seed                *int64        `json:"seed"`
 }
 
-// CompletionRequest is the body of a plain completion.
+// CompletionRequest is the body of a text completion request.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -66,14 +67,14 @@
 	Seed      *int64 `json:"seed"`
 }
 
-// Usage counts a request's tokens.
+// Usage is a request's token counts.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// ChatChoice is the one choice of a chat completion or of a chunk of it.
+// ChatChoice is the only choice of a chat completion or of a chunk of it.
 type ChatChoice struct {
 	Index        int          `json:"index"`
 	Message      *ChatMessage `json:"message,omitempty"`
@@ -81,13 +82,13 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// ChatDelta is what a chunk adds.
+// ChatDelta is the text that a chunk adds to the answer.
 type ChatDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// ChatCompletion is a whole chat answer, or a chunk of a streamed one.
+// ChatCompletion is a non-streamed chat answer, or a chunk of a streamed one.
 type ChatCompletion struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -97,14 +98,14 @@
 	Usage   *Usage       `json:"usage,omitempty"`
 }
 
-// TextChoice is the one choice of a plain completion.
+// TextChoice is the only choice of a text completion or of a chunk of it.
 type TextChoice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Completion is a whole plain completion, or a chunk of a streamed one.
+// Completion is a non-streamed text completion, or a chunk of a streamed one.
 type Completion struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -121,7 +122,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the pipelines that a caller may name as a model.
+// ModelList is the pipelines that a caller may request as a model.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
@@ -133,18 +134,19 @@
 	Domain  string `json:"domain"`
 }
 
-// Entries says which addresses to use, nearest first, and for how long.
+// Entries lists the addresses that callers should use, nearest first, and for how
+// long the list is valid.
 type Entries struct {
 	Entries  []EntryAddress `json:"entries"`
 	ValidFor int            `json:"valid_for_s"`
 }
 
-// Ready is the answer of ReadyPath.
+// Ready is the response body of ReadyPath.
 type Ready struct {
 	Ready    bool   `json:"ready"`
 	Why      string `json:"why,omitempty"`
 	Revision uint64 `json:"revision"`
-	// UnconfirmedMS is for how long no control majority has confirmed the
-	// revision, in milliseconds.
+	// UnconfirmedMS is the time in milliseconds since a majority of the control
+	// replicas last confirmed the revision.
 	UnconfirmedMS int64 `json:"unconfirmed_ms"`
 }
--- a/pkg/api/platform.go
+++ b/pkg/api/platform.go
@@ -1,14 +1,15 @@
 package api
 
-// HostListPath is where the platform's list of hosts is served.
+// HostListPath is the path of the platform's host list.
 const HostListPath = "/v1/hosts"
 
-// HostList is the platform's list of live and leaving hosts. It lags.
+// HostList is the platform's list of live and leaving endpoints. It may be out of
+// date.
 type HostList struct {
 	Hosts []ListedHost `json:"hosts"`
 }
 
-// ListedHost is one endpoint in the platform's list.
+// ListedHost is one endpoint in the HostList.
 type ListedHost struct {
 	Address string `json:"address"`
 	Service string `json:"service,omitempty"` // empty for a model engine
@@ -16,10 +17,10 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// ServiceInfoPath is where a plain service says that it is there.
+// ServiceInfoPath is the path by which a plain service is probed.
 const ServiceInfoPath = "/service/v1/info"
 
-// ServiceInfo is what a plain service says of itself.
+// ServiceInfo is what a plain service reports of itself.
 type ServiceInfo struct {
 	Service     string `json:"service"`
 	Incarnation uint64 `json:"incarnation"`
@@ -27,8 +28,10 @@
 	Running     int    `json:"running"`
 }
 
-// HeaderRequestID names the request that larchwinch passes to a plain service.
+// HeaderRequestID is the header with the id of a request that is forwarded to a
+// plain service.
 const HeaderRequestID = "Larchwinch-Request-Id"
 
-// HeaderAccount names the client account to a plain service.
+// HeaderAccount is the header with the client account's name in a request that is
+// forwarded to a plain service.
 const HeaderAccount = "Larchwinch-Account"
