--- a/pkg/eventlog/eventlog_test.go
+++ b/pkg/eventlog/eventlog_test.go
@@ -21,18 +21,18 @@
 	RunSpecs(t, "eventlog")
 }
 
-// stuck is an output whose reader has stopped reading.
-type stuck struct {
+// blockedWriter blocks until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// reference is the page's list of events.
-func reference() string {
+// eventTable returns the table of events that the documentation should have.
+func eventTable() string {
 	var b strings.Builder
 	for _, e := range Events {
 		fmt.Fprintf(&b, "| %s |\n", e)
@@ -41,7 +41,7 @@
 }
 
 var _ = Describe("the log", func() {
-	It("writes one JSON object a line, whatever the values hold", func() {
+	It("writes one valid JSON object per line for any values", func() {
 		out := &bytes.Buffer{}
 		l := New(out, timer.NewManual(time.Unix(0, 0)), "h\"1", 10)
 		l.Event(RequestRefused, Str("why", "a \"b\"\n\x01 \\ \xff é"), Int("n", -3), Ms("after_ms", time.Second), Err(nil))
@@ -55,7 +55,7 @@
 		Expect(line["why"]).To(ContainSubstring("\n"))
 	})
 
-	It("keeps to its budget, counts what it leaves out, and leaves out successes first", func() {
+	It("keeps to its budget, counts dropped lines, and drops successes first", func() {
 		out := &bytes.Buffer{}
 		clock := timer.NewManual(time.Unix(0, 0))
 		l := New(out, clock, "h", 10)
@@ -75,12 +75,12 @@
 		Expect(strings.Count(out.String(), "request_failed")).To(Equal(6))
 	})
 
-	It("never waits for a reader that stopped reading", func() {
+	It("doesn't block when its reader stops reading", func() {
 		release := make(chan struct{})
-		l := New(stuck{release: release}, timer.NewManual(time.Unix(0, 0)), "h", 1_000_000)
+		l := New(blockedWriter{release: release}, timer.NewManual(time.Unix(0, 0)), "h", 1_000_000)
 		g := group.New(context.Background())
 		g.Go(l.Run)
-		for range 10 * queueLines {
+		for range 10 * queueSize {
 			l.Event(RequestFailed)
 		}
 		Expect(l.Dropped()).To(BeNumerically(">", 0))
@@ -88,13 +88,13 @@
 		g.Stop()
 	})
 
-	It("has the events that the page lists", func() {
+	It("has the events that the documentation lists", func() {
 		const file = "../../docs/operate/logs.md"
 		text, err := os.ReadFile(file)
 		Expect(err).NotTo(HaveOccurred())
 		for _, e := range Events {
 			Expect(string(text)).To(ContainSubstring("| "+string(e)+" |"), "docs/operate/logs.md lacks an event")
 		}
-		Expect(strings.Count(string(text), "\n| ")).To(Equal(len(Events)+1), "docs/operate/logs.md lists an event that isn't one:\n"+reference())
+		Expect(strings.Count(string(text), "\n| ")).To(Equal(len(Events)+1), "docs/operate/logs.md lists an event that isn't one:\n"+eventTable())
 	})
 })
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -26,7 +26,7 @@
 	x := NewIndex(cfg)
 
 	It("are found by host and longest prefix", func() {
-		for _, one := range []struct {
+		for _, c := range []struct {
 			host, path, name string
 		}{
 			{"h.example", "/a/x", "short"},
@@ -38,14 +38,14 @@
 			{"h.example", "/a", ""},
 		} {
 			name := ""
-			if r := x.Route(one.host, one.path); r != nil {
+			if r := x.Route(c.host, c.path); r != nil {
 				name = r.Name
 			}
-			Expect(name).To(Equal(one.name), one.host+one.path)
+			Expect(name).To(Equal(c.name), c.host+c.path)
 		}
 	})
 
-	It("share their requests by weight", func() {
+	It("distribute their requests by weight", func() {
 		r := &Route{Split: []Share{{Service: "a", Weight: 90}, {Service: "z", Weight: 0}, {Service: "b", Weight: 10}}}
 		Expect(r.Pick(0)).To(Equal("a"))
 		Expect(r.Pick(0.899)).To(Equal("a"))
@@ -55,21 +55,21 @@
 })
 
 var _ = Describe("a packed configuration", func() {
-	It("unpacks to the same bytes, and is a tenth where routes are many", func() {
+	It("unpacks to the same bytes, and is less than a tenth of the size with many routes", func() {
 		text := []byte(strings.Repeat(`{"name":"r","host":"h.example","path_prefix":"/x/","timeout_ms":20000},`, 1480))
 		packed, err := Pack(text)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(packed)).To(BeNumerically("<", len(text)/10))
-		back, err := Unpack(packed)
+		unpacked, err := Unpack(packed)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back).To(Equal(text))
+		Expect(unpacked).To(Equal(text))
 		_, err = Unpack(packed[:len(packed)/2])
 		Expect(err).To(HaveOccurred())
 	})
 })
 
 var _ = Describe("an endpoint on the wire", func() {
-	It("comes back as it was, with its age", func() {
+	It("decodes to what was encoded, with its age", func() {
 		now := time.Unix(1000, 0)
 		e := Endpoint{ID: "i", Service: "s", Address: "a:1", Domain: "d", Slots: 3, Leaving: true, Sequence: 9, Kind: "k",
 			Model: "m", Layers: Range{From: 2, To: 5}, Loading: true, Silent: true, Slowdown: 2.5, LastHeartbeat: now.Add(-time.Second)}
--- a/pkg/fleet/index.go
+++ b/pkg/fleet/index.go
@@ -5,11 +5,10 @@
 	"strings"
 )
 
-// Index answers the questions that each request asks of a configuration. It
-// doesn't change once it is built.
+// Index looks up what a request needs from a configuration. It is immutable.
 type Index struct {
 	cfg      *Configuration
-	routes   map[place]*Route
+	routes   map[routeKey]*Route
 	services map[string]*Service
 	accounts map[string]*Account // by key
 }
@@ -18,13 +17,13 @@
 func NewIndex(cfg *Configuration) *Index {
 	x := &Index{
 		cfg:      cfg,
-		routes:   make(map[place]*Route, len(cfg.Routes)),
+		routes:   make(map[routeKey]*Route, len(cfg.Routes)),
 		services: make(map[string]*Service, len(cfg.Services)),
 		accounts: map[string]*Account{},
 	}
 	for i := range cfg.Routes {
 		r := &cfg.Routes[i]
-		x.routes[place{host: strings.ToLower(r.Host), prefix: r.Prefix}] = r
+		x.routes[routeKey{host: strings.ToLower(r.Host), prefix: r.Prefix}] = r
 	}
 	for i := range cfg.Services {
 		x.services[cfg.Services[i].Name] = &cfg.Services[i]
@@ -42,7 +41,7 @@
 	return x.cfg.Version
 }
 
-// Limits returns what callers may send.
+// Limits returns the bounds of a caller's request.
 func (x *Index) Limits() Limits {
 	return x.cfg.Limits
 }
@@ -52,7 +51,8 @@
 	return len(x.cfg.Accounts) > 0
 }
 
-// Route returns the route of host with the longest prefix of path, or nil.
+// Route returns the route of host, with or without a port, that has the longest
+// prefix of path; nil if there is none.
 func (x *Index) Route(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -63,7 +63,7 @@
 		if i < 0 {
 			return nil
 		}
-		if r := x.routes[place{host: host, prefix: path[:i+1]}]; r != nil {
+		if r := x.routes[routeKey{host: host, prefix: path[:i+1]}]; r != nil {
 			return r
 		}
 	}
@@ -85,16 +85,17 @@
 	return x.accounts[key]
 }
 
-// Pick returns the share on which point falls; point is in [0, 1).
+// Pick returns the service that point selects by the weights of Split; point is
+// in [0, 1).
 func (r *Route) Pick(point float64) string {
 	sum := 0
 	for _, s := range r.Split {
 		sum += s.Weight
 	}
-	at := point * float64(sum)
+	remaining := point * float64(sum)
 	for _, s := range r.Split {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- /dev/null
+++ b/pkg/fleet/notice.go
@@ -0,0 +1,48 @@
+package fleet
+
+import (
+	"strconv"
+	"time"
+)
+
+// Notice is what an endpoint reports of itself with any answer.
+type Notice struct {
+	// Leaving says that it takes no new work any more.
+	Leaving bool
+	// Backoff is for how long this host is to send it nothing; 0 if it asks for
+	// no backoff.
+	Backoff time.Duration
+	// Limit is its rate limit, for all hosts together.
+	Limit Limit
+}
+
+// LimitStatus says whether an answer reports a rate limit.
+type LimitStatus int
+
+// The values of LimitStatus.
+const (
+	// LimitUnknown: there was no answer, or its limit can't be parsed.
+	LimitUnknown LimitStatus = iota
+	// LimitNone: the answer reports no limit.
+	LimitNone
+	// LimitSet: the answer reports a limit.
+	LimitSet
+)
+
+// Limit is the rate limit that an endpoint reports with an answer, if any.
+type Limit struct {
+	Status    LimitStatus
+	PerSecond float64 // requests, with LimitSet; 0 or more
+}
+
+// RejectedError is the error of an order that an endpoint rejected.
+type RejectedError struct {
+	Status int
+	Text   string
+	Notice Notice
+}
+
+// Error implements error.
+func (e *RejectedError) Error() string {
+	return "status " + strconv.Itoa(e.Status) + ": " + e.Text
+}
--- a/pkg/fleet/patch_test.go
+++ b/pkg/fleet/patch_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// routes is a configuration of n routes, as large as one of an operator.
-func routes(n int, version int) []byte {
+// configurationText returns a configuration of n routes, each of about the size
+// of an operator's.
+func configurationText(n int, version int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
 	for i := range n {
@@ -22,9 +23,9 @@
 }
 
 var _ = Describe("a patch", func() {
-	It("gives the next configuration, and is small where little changed", func() {
-		base := routes(1640, 1)
-		next := bytes.Replace(routes(1640, 2), []byte(`"Weight":90`), []byte(`"Weight":80`), 1)
+	It("yields the next configuration, and is small for a small change", func() {
+		base := configurationText(1640, 1)
+		next := bytes.Replace(configurationText(1640, 2), []byte(`"Weight":90`), []byte(`"Weight":80`), 1)
 		patch, err := Patch(base, next)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(patch)).To(BeNumerically("<", 1000))
@@ -33,7 +34,7 @@
 		Expect(bytes.Equal(got, next)).To(BeTrue())
 	})
 
-	It("gives what it was made of, whatever that is", func() {
+	It("yields the content that it was made for, whatever base and content are", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			base := rapid.SliceOf(rapid.Byte()).Draw(t, "base")
 			next := rapid.SliceOf(rapid.Byte()).Draw(t, "next")
@@ -51,11 +52,11 @@
 		})
 	})
 
-	It("of another base is no good, which the digest tells", func() {
-		base, next := routes(200, 1), routes(200, 2)
+	It("fails, or yields another digest, if it is applied to another base", func() {
+		base, next := configurationText(200, 1), configurationText(200, 2)
 		patch, err := Patch(base, next)
 		Expect(err).NotTo(HaveOccurred())
-		got, err := Patched(routes(190, 7), patch)
+		got, err := Patched(configurationText(190, 7), patch)
 		Expect(err != nil || ContentDigest(got) != ContentDigest(next)).To(BeTrue())
 		_, err = Patched(base, patch[:len(patch)/2])
 		Expect(err).To(HaveOccurred())
@@ -63,16 +64,16 @@
 })
 
 var _ = Describe("the history of configurations", func() {
-	note := func(h *History, version int) {
-		packed, err := Pack(routes(20, version))
+	add := func(h *History, version int) {
+		packed, err := Pack(configurationText(20, version))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(h.Note(uint64(version), packed)).To(Succeed())
 	}
 
-	It("patches from the versions that it holds to the newest, and from no others", func() {
+	It("patches from the versions that it holds to the newest only", func() {
 		h := NewHistory()
 		for v := 1; v <= historySize+2; v++ {
-			note(h, 10*v)
+			add(h, 10*v)
 		}
 		newest := uint64(10 * (historySize + 2))
 		cases := []struct {
@@ -94,18 +95,18 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(patch != nil).To(Equal(c.held), fmt.Sprint(c))
 			if c.held {
-				got, err := Patched(routes(20, int(c.base)), patch)
+				got, err := Patched(configurationText(20, int(c.base)), patch)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(got).To(Equal(routes(20, int(c.version))))
+				Expect(got).To(Equal(configurationText(20, int(c.version))))
 				Expect(ContentDigest(got)).To(Equal(digest))
 			}
 		}
 	})
 
-	It("keeps nothing that is older than what it holds", func() {
+	It("ignores a configuration that is older than the newest", func() {
 		h := NewHistory()
-		note(h, 5)
-		note(h, 4)
+		add(h, 5)
+		add(h, 4)
 		patch, _, err := h.Since(4, 5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(patch).To(BeNil())
@@ -115,7 +116,7 @@
 })
 
 func BenchmarkPatch(b *testing.B) {
-	base, next := routes(1640, 1), routes(1640, 2)
+	base, next := configurationText(1640, 1), configurationText(1640, 2)
 	patch, err := Patch(base, next)
 	if err != nil {
 		b.Fatal(err)
@@ -132,7 +133,7 @@
 			_, _ = Patched(base, patch)
 		}
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("full", func(b *testing.B) {
 		packed, _ := Pack(next)
 		b.ReportMetric(float64(len(packed)), "packed")
 		b.ReportMetric(float64(len(patch)), "patch")
--- a/pkg/membership/watch.go
+++ b/pkg/membership/watch.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WatchersPerEndpoint is how many hosts probe each endpoint: one more than
-// are needed to tell a dead endpoint from a watcher that is cut off.
+// WatchersPerEndpoint is how many hosts probe each endpoint: one more than is
+// needed to distinguish a dead endpoint from a watcher that is cut off.
 const WatchersPerEndpoint = 3
 
-// Watchers chooses who probes an endpoint, by rendezvous hashing, so that a
-// host that comes or goes moves only its own share. With fewer hosts than
-// WatchersPerEndpoint all of them watch.
+// Watchers selects the hosts that probe an endpoint by rendezvous hashing, so
+// that a host that joins or leaves moves only its own share. With fewer hosts than
+// WatchersPerEndpoint all of them probe it.
 func Watchers(endpoint string, hosts []string) []string {
 	chosen := make([]string, 0, WatchersPerEndpoint)
-	for _, i := range watchers(xxhash.Sum64String(endpoint), hashes(hosts)) {
+	for _, i := range selectWatchers(xxhash.Sum64String(endpoint), hashes(hosts)) {
 		chosen = append(chosen, hosts[i])
 	}
 	return chosen
 }
 
-// Assign returns, for each host, the endpoints it is to probe.
+// Assign returns the endpoints that each host probes.
 func Assign(endpoints, hosts []string) map[string][]string {
 	watch := make(map[string][]string, len(hosts))
 	hashed := hashes(hosts)
 	for _, e := range endpoints {
-		for _, i := range watchers(xxhash.Sum64String(e), hashed) {
+		for _, i := range selectWatchers(xxhash.Sum64String(e), hashed) {
 			watch[hosts[i]] = append(watch[hosts[i]], e)
 		}
 	}
@@ -41,8 +41,8 @@
 	return h
 }
 
-// watchers returns the places of the hosts with the highest scores.
-func watchers(endpoint uint64, hosts []uint64) []int {
+// selectWatchers returns the indexes of the hosts with the highest scores.
+func selectWatchers(endpoint uint64, hosts []uint64) []int {
 	chosen := make([]int, 0, WatchersPerEndpoint+1)
 	scores := make([]uint64, 0, WatchersPerEndpoint+1)
 	for i, h := range hosts {
@@ -60,8 +60,8 @@
 	return chosen
 }
 
-// score mixes two hashes. The constants are those of the finalizer of
-// MurmurHash3, which spreads every bit of its input over its output.
+// score mixes two hashes with the finalizer of MurmurHash3, in which every input
+// bit affects every output bit.
 func score(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 33
--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -1,5 +1,5 @@
-// Package story puts together, from the log lines of many hosts, what became
-// of one request and what was known of the endpoints and hosts it touched.
+// Package story assembles the timeline of one request from the event logs of many
+// hosts: its own lines, and those about the endpoints and hosts involved.
 package story
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/go-faster/errors"
 )
 
-// around is how far before and after a request the lines of the endpoints and
-// hosts that it touched belong to its story.
-const around = 5 * time.Second
+// contextWindow is how long before and after a request the lines of the endpoints
+// and hosts involved are included.
+const contextWindow = 5 * time.Second
 
 // maxLine bounds one line of a log.
 const maxLine = 64 << 10
@@ -43,21 +43,21 @@
 	for _, n := range names {
 		value, err := json.Marshal(l.Fields[n])
 		if err != nil {
-			continue // it was decoded from JSON
+			continue // can't happen, as the value was decoded from JSON
 		}
 		parts = append(parts, n+"="+strings.Trim(string(value), `"`))
 	}
 	return strings.Join(parts, " ")
 }
 
-// Read returns the lines of a log. What isn't a line of ours is passed over; a
-// collector may have put something before the object.
+// Read returns the lines of a log. Lines that aren't events are skipped; a log
+// collector may have put a prefix before the JSON object.
 func Read(r io.Reader) ([]Line, error) {
 	var list []Line
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, maxLine), maxLine)
 	for s.Scan() {
-		if l, ok := parse(s.Bytes()); ok {
+		if l, ok := parseLine(s.Bytes()); ok {
 			list = append(list, l)
 		}
 	}
@@ -67,32 +67,32 @@
 	return list, nil
 }
 
-func parse(text []byte) (Line, bool) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+func parseLine(text []byte) (Line, bool) {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	l := Line{
 		Fields: map[string]any{},
-		raw:    string(text[at:]),
+		raw:    string(text[start:]),
 	}
-	if json.Unmarshal(text[at:], &l.Fields) != nil {
+	if json.Unmarshal(text[start:], &l.Fields) != nil {
 		return Line{}, false
 	}
-	stamp, _ := l.Fields["time"].(string)
-	when, err := time.Parse(time.RFC3339Nano, stamp)
+	timeText, _ := l.Fields["time"].(string)
+	at, err := time.Parse(time.RFC3339Nano, timeText)
 	if err != nil {
 		return Line{}, false
 	}
-	l.Time = when
+	l.Time = at
 	l.Host, _ = l.Fields["host"].(string)
 	l.Event, _ = l.Fields["event"].(string)
 	return l, l.Event != ""
 }
 
-// Of returns the story of a request, in order of time: its own lines, and
-// those about the endpoints it touched and the hosts that carried it from
-// shortly before to shortly after it.
+// Of returns the timeline of a request, sorted by time: its own lines, and those
+// about the endpoints and hosts involved, from contextWindow before it arrived to
+// contextWindow after its last line. It is nil if no line names the request.
 func Of(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
@@ -104,13 +104,13 @@
 		return nil
 	}
 	sortByTime(own)
-	from := began(&own[0]).Add(-around)
-	to := own[len(own)-1].Time.Add(around)
-	touched := touches(own)
+	from := arrivalTime(&own[0]).Add(-contextWindow)
+	to := own[len(own)-1].Time.Add(contextWindow)
+	related := scopeOf(own)
 	out := own
 	for _, l := range lines {
 		_, ofRequest := l.Fields["request"]
-		if ofRequest || l.Time.Before(from) || l.Time.After(to) || !touched.by(&l) {
+		if ofRequest || l.Time.Before(from) || l.Time.After(to) || !related.covers(&l) {
 			continue
 		}
 		out = append(out, l)
@@ -119,8 +119,9 @@
 	return out
 }
 
-// began returns when a request came, by the time it had taken.
-func began(l *Line) time.Time {
+// arrivalTime returns when a request arrived, computed from the elapsed time that
+// one of its lines gives; the line's own time if it gives none.
+func arrivalTime(l *Line) time.Time {
 	for _, name := range []string{"took_ms", "after_ms"} {
 		if ms, ok := l.Fields[name].(float64); ok {
 			return l.Time.Add(-time.Duration(ms) * time.Millisecond)
@@ -133,14 +134,15 @@
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Time.Before(list[j].Time) })
 }
 
-// touch is what a request touched: hosts, and text that names endpoints.
-type touch struct {
+// scope is what a request involved: the hosts that wrote its lines, and the text of
+// these lines, which names endpoints.
+type scope struct {
 	hosts map[string]bool
 	text  string
 }
 
-func touches(own []Line) touch {
-	t := touch{
+func scopeOf(own []Line) scope {
+	t := scope{
 		hosts: map[string]bool{},
 	}
 	var b strings.Builder
@@ -152,13 +154,14 @@
 	return t
 }
 
-// hostEvents are the events of a host that bear on every request it carries.
+// hostEvents are the events of a host that affect all of its requests.
 var hostEvents = map[string]bool{
 	"control_lost": true, "control_regained": true, "configuration_in_force": true, "ready_changed": true,
 	"started": true, "stopping": true, "stopped": true,
 }
 
-func (t touch) by(l *Line) bool {
+// covers reports whether a line that isn't of a request belongs to the timeline.
+func (t scope) covers(l *Line) bool {
 	if hostEvents[l.Event] {
 		return t.hosts[l.Host]
 	}
