--- a/pkg/control/admin.go
+++ b/pkg/control/admin.go
@@ -17,29 +17,29 @@
 	"github.com/larchwinch/larchwinch/pkg/replica"
 )
 
-// adminCall serves one path of the administration API for an operator.
-type adminCall func(r *http.Request, who config.Operator) (any, error)
+// adminHandler serves one path of the administration API for an operator.
+type adminHandler func(r *http.Request, operator config.Operator) (any, error)
 
 // route is one path of the administration API.
 type route struct {
-	method string
-	path   string
-	role   string
-	call   adminCall
+	method  string
+	path    string
+	role    string
+	handler adminHandler
 }
 
 func (s *Server) routes() []route {
 	return []route{
-		{method: http.MethodGet, path: api.AdminBundlesPath, role: config.RoleRead, call: s.listBundles},
-		{method: http.MethodPost, path: api.AdminBundlesPath, role: config.RoleSubmit, call: s.submitBundle},
-		{method: http.MethodGet, path: api.AdminBundlesPath + "/{name}", role: config.RoleRead, call: s.bundleHistory},
-		{method: http.MethodGet, path: api.AdminBundlesPath + "/{name}/{version}", role: config.RoleRead, call: s.bundleVersion},
-		{method: http.MethodGet, path: api.AdminRolloutPath, role: config.RoleRead, call: s.rollout},
-		{method: http.MethodGet, path: api.AdminHostsPath, role: config.RoleRead, call: s.listHosts},
-		{method: http.MethodGet, path: api.AdminEndpointsPath, role: config.RoleRead, call: s.listEndpoints},
-		{method: http.MethodGet, path: api.AdminReplicasPath, role: config.RoleRead, call: s.listReplicas},
-		{method: http.MethodPut, path: api.AdminReplicasPath + "/{id}", role: config.RoleSubmit, call: s.addReplica},
-		{method: http.MethodDelete, path: api.AdminReplicasPath + "/{id}", role: config.RoleSubmit, call: s.removeReplica},
+		{method: http.MethodGet, path: api.AdminBundlesPath, role: config.RoleRead, handler: s.listBundles},
+		{method: http.MethodPost, path: api.AdminBundlesPath, role: config.RoleSubmit, handler: s.submitBundle},
+		{method: http.MethodGet, path: api.AdminBundlesPath + "/{name}", role: config.RoleRead, handler: s.bundleHistory},
+		{method: http.MethodGet, path: api.AdminBundlesPath + "/{name}/{version}", role: config.RoleRead, handler: s.bundleVersion},
+		{method: http.MethodGet, path: api.AdminRolloutPath, role: config.RoleRead, handler: s.rollout},
+		{method: http.MethodGet, path: api.AdminHostsPath, role: config.RoleRead, handler: s.listHosts},
+		{method: http.MethodGet, path: api.AdminEndpointsPath, role: config.RoleRead, handler: s.listEndpoints},
+		{method: http.MethodGet, path: api.AdminReplicasPath, role: config.RoleRead, handler: s.listReplicas},
+		{method: http.MethodPut, path: api.AdminReplicasPath + "/{id}", role: config.RoleSubmit, handler: s.addReplica},
+		{method: http.MethodDelete, path: api.AdminReplicasPath + "/{id}", role: config.RoleSubmit, handler: s.removeReplica},
 	}
 }
 
@@ -74,7 +74,7 @@
 func (s *Server) serveAdmin(rt route) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxAdminBody)
-		who, err := s.operator(r, rt.role)
+		operator, err := s.authorize(r, rt.role)
 		if err != nil {
 			answer.Failure(w, err)
 			return
@@ -83,7 +83,7 @@
 			redirect(w, r, err)
 			return
 		}
-		v, err := rt.call(r, who)
+		v, err := rt.handler(r, operator)
 		if err != nil {
 			redirect(w, r, err)
 			return
@@ -95,14 +95,14 @@
 // redirect sends an operator to the leader, if that is what err says is
 // needed and the leader is known, and answers err if not.
 func redirect(w http.ResponseWriter, r *http.Request, err error) {
-	var not *replica.NotLeaderError
+	var notLeader *replica.NotLeaderError
 	switch {
-	case errors.As(err, &not) && not.Leader != nil:
+	case errors.As(err, &notLeader) && notLeader.Leader != nil:
 		u := *r.URL
 		u.Scheme = "http"
-		u.Host = not.Leader.GetAdminAddress()
+		u.Host = notLeader.Leader.GetAdminAddress()
 		http.Redirect(w, r, u.String(), http.StatusTemporaryRedirect)
-	case errors.As(err, &not):
+	case errors.As(err, &notLeader):
 		answer.Failure(w, unavailable(err, failure.RanNo))
 	case errors.Is(err, replica.ErrLost), errors.Is(err, context.DeadlineExceeded):
 		answer.Failure(w, unavailable(err, failure.RanUnknown))
@@ -111,8 +111,8 @@
 	}
 }
 
-// operator returns who makes the request, if they have the role.
-func (s *Server) operator(r *http.Request, role string) (config.Operator, error) {
+// authorize returns who makes the request, if they have the role.
+func (s *Server) authorize(r *http.Request, role string) (config.Operator, error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return config.Operator{}, failure.New(failure.Unauthenticated, "an operator's key is needed: Authorization: Bearer <key>")
@@ -122,8 +122,8 @@
 		if subtle.ConstantTimeCompare(digest, []byte(o.KeySHA256)) != 1 {
 			continue
 		}
-		for _, has := range o.Roles {
-			if has == role {
+		for _, granted := range o.Roles {
+			if granted == role {
 				return o, nil
 			}
 		}
@@ -132,7 +132,7 @@
 	return config.Operator{}, failure.New(failure.Unauthenticated, "the key belongs to no operator")
 }
 
-func mayTouch(o config.Operator, name string) bool {
+func maySubmit(o config.Operator, name string) bool {
 	for _, b := range o.Bundles {
 		if b == bundle.AnyBundle || b == name {
 			return true
@@ -141,6 +141,6 @@
 	return false
 }
 
-func logAccepted(who config.Operator, v api.BundleVersion) {
-	logflags.Info(logflags.Admin, "bundle accepted", "operator", who.Name, "bundle", v.Name, "version", v.Version, "revision", v.Revision)
+func logAccepted(operator config.Operator, v api.BundleVersion) {
+	logflags.Info(logflags.Admin, "bundle accepted", "operator", operator.Name, "bundle", v.Name, "version", v.Version, "revision", v.Revision)
 }
--- a/pkg/control/admin_bundles.go
+++ b/pkg/control/admin_bundles.go
@@ -34,7 +34,7 @@
 }
 
 func (s *Server) listBundles(r *http.Request, _ config.Operator) (any, error) {
-	all := s.machine.Wire().GetBundles()
+	all := s.stateMachine.Wire().GetBundles()
 	from, to, next, err := pageOf(r, len(all))
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 }
 
 func (s *Server) bundleHistory(r *http.Request, _ config.Operator) (any, error) {
-	chain := s.machine.Chain(r.PathValue("name"))
+	chain := s.stateMachine.Chain(r.PathValue("name"))
 	if len(chain) == 0 {
 		return nil, failure.New(failure.NotFound, "no bundle %q was accepted", r.PathValue("name"))
 	}
@@ -71,7 +71,7 @@
 func (s *Server) bundleVersion(r *http.Request, _ config.Operator) (any, error) {
 	name := r.PathValue("name")
 	wanted := r.PathValue("version")
-	chain := s.machine.Chain(name)
+	chain := s.stateMachine.Chain(name)
 	for i, v := range chain {
 		if strconv.FormatUint(v.GetVersion(), 10) == wanted || (wanted == latestVersion && i == len(chain)-1) {
 			return versionToAPI(v, true), nil
@@ -82,7 +82,7 @@
 
 // submitBundle accepts a signed version. Sending the same one again gives the
 // same answer, so a lost answer can be asked for again.
-func (s *Server) submitBundle(r *http.Request, who config.Operator) (any, error) {
+func (s *Server) submitBundle(r *http.Request, operator config.Operator) (any, error) {
 	signed := api.SignedBundle{}
 	if err := json.NewDecoder(r.Body).Decode(&signed); err != nil {
 		return nil, bodyError(err)
@@ -91,14 +91,14 @@
 	if err != nil {
 		return nil, failure.New(failure.BundleInvalid, "%v", err)
 	}
-	if !mayTouch(who, b.Name) {
-		return nil, failure.New(failure.Forbidden, "operator %q may not submit bundle %q", who.Name, b.Name)
+	if !maySubmit(operator, b.Name) {
+		return nil, failure.New(failure.Forbidden, "operator %q may not submit bundle %q", operator.Name, b.Name)
 	}
 	v := versionToWire(b, signed)
 	if err := s.trust.Verify(v); err != nil {
 		return nil, failure.New(failure.SignatureMissing, "%v", err)
 	}
-	return s.accept(r.Context(), who, v)
+	return s.accept(r.Context(), operator, v)
 }
 
 func bodyError(err error) error {
@@ -109,7 +109,7 @@
 	return failure.New(failure.BadRequest, "the body is no JSON that fits: %v", err)
 }
 
-func (s *Server) accept(ctx context.Context, who config.Operator, v *rpc.BundleVersion) (any, error) {
+func (s *Server) accept(ctx context.Context, operator config.Operator, v *rpc.BundleVersion) (any, error) {
 	reply, err := s.propose(ctx, &rpc.Command{
 		Kind: &rpc.Command_Submit{
 			Submit: v,
@@ -124,6 +124,6 @@
 		return nil, failure.New(kind, "%s", answer.GetDetail())
 	}
 	out := versionToAPI(answer.GetStanding(), false)
-	logAccepted(who, out)
+	logAccepted(operator, out)
 	return out, nil
 }
--- a/pkg/control/admin_hosts.go
+++ b/pkg/control/admin_hosts.go
@@ -19,7 +19,7 @@
 	defer p.mu.Unlock()
 	list := make([]api.HostView, 0, len(p.entries))
 	for _, e := range p.entries {
-		list = append(list, hostToAPI(e, now.Sub(e.at).Milliseconds()))
+		list = append(list, hostToAPI(e, now.Sub(e.lastHeartbeat).Milliseconds()))
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Host < list[j].Host })
 	return list
@@ -63,24 +63,24 @@
 // failure domain.
 func (s *Server) rollout(_ *http.Request, _ config.Operator) (any, error) {
 	out := api.Rollout{
-		Revision: s.machine.Revision(),
+		Revision: s.stateMachine.Revision(),
 		Sites:    []api.SiteView{},
 	}
 	for _, h := range s.presence.hosts(s.svc.Now()) {
 		out.Hosts++
-		site := siteOf(&out, h)
-		site.Hosts++
-		site.LowestRevision = min(site.LowestRevision, h.Revision)
+		domain := domainOf(&out, h)
+		domain.Hosts++
+		domain.LowestRevision = min(domain.LowestRevision, h.Revision)
 		if h.Revision == out.Revision {
 			out.InForce++
-			site.InForce++
+			domain.InForce++
 		}
 	}
 	sort.Slice(out.Sites, func(i, j int) bool { return out.Sites[i].Domain < out.Sites[j].Domain })
 	return out, nil
 }
 
-func siteOf(out *api.Rollout, h api.HostView) *api.SiteView {
+func domainOf(out *api.Rollout, h api.HostView) *api.SiteView {
 	for i := range out.Sites {
 		if out.Sites[i].Domain == h.Domain {
 			return &out.Sites[i]
@@ -107,10 +107,10 @@
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
 		return nil, bodyError(err)
 	}
-	p := check.New("replica")
-	p.Address("address", v.Address)
-	p.Address("admin_address", v.AdminAddress)
-	if err := p.Err(); err != nil {
+	problems := check.New("replica")
+	problems.Address("address", v.Address)
+	problems.Address("admin_address", v.AdminAddress)
+	if err := problems.Err(); err != nil {
 		return nil, failure.New(failure.BadRequest, "%v", err)
 	}
 	next := &rpc.Members{}
--- a/pkg/control/admin_test.go
+++ b/pkg/control/admin_test.go
@@ -38,7 +38,7 @@
 	operatorKey = "lw_test_operator"
 	onCallKey   = "lw_test_on_call"
 	scopedKey   = "lw_test_scoped"
-	patience    = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 // cluster is control hosts in one process.
@@ -147,8 +147,8 @@
 	return s
 }
 
-// text is a bundle with one account, whose name and limit make it differ.
-func text(name string, version uint64, parent, account string, limit int) string {
+// bundleText is a bundle with one account, whose name and limit make it differ.
+func bundleText(name string, version uint64, parent, account string, limit int) string {
 	return fmt.Sprintf(`name = %q
 version = %d
 parent = %q
@@ -187,48 +187,48 @@
 		var err error
 		v, err = c.submit(operatorKey, c.signed(text))
 		return err
-	}, patience, 20*time.Millisecond).Should(Succeed())
+	}, waitTimeout, 20*time.Millisecond).Should(Succeed())
 	return v
 }
 
 var _ = Describe("bundles", func() {
 	It("are accepted once, in one chain, by those who may", func() {
 		withCluster(func(c *cluster) {
-			one := c.accept(text("team-1", 1, "", "a", 1))
+			one := c.accept(bundleText("team-1", 1, "", "a", 1))
 			Expect(one.Version).To(Equal(uint64(1)))
 
 			By("the same again gets the same answer")
-			again, err := c.submit(operatorKey, c.signed(text("team-1", 1, "", "a", 1)))
+			again, err := c.submit(operatorKey, c.signed(bundleText("team-1", 1, "", "a", 1)))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again).To(Equal(one))
 
 			refused := []struct {
-				name   string
-				key    string
-				bundle api.SignedBundle
-				kind   string
-				says   string
+				name    string
+				key     string
+				bundle  api.SignedBundle
+				kind    string
+				message string
 			}{
-				{name: "other content under the same version", key: operatorKey, bundle: c.signed(text("team-1", 1, "", "a", 2)), kind: "version_conflict", says: "rebase: set version = 2 and parent = \"" + one.Digest},
-				{name: "a version that skips one", key: operatorKey, bundle: c.signed(text("team-1", 3, one.Digest, "a", 2)), kind: "parent_conflict", says: "next version of bundle \"team-1\" is 2"},
-				{name: "another parent", key: operatorKey, bundle: c.signed(text("team-1", 2, bundle.Digest(nil), "a", 2)), kind: "parent_conflict", says: one.Digest},
-				{name: "no signature", key: operatorKey, bundle: api.SignedBundle{Content: text("team-1", 2, one.Digest, "a", 2)}, kind: "signature_missing", says: "needs 1"},
-				{name: "a signature of other text", key: operatorKey, bundle: api.SignedBundle{Content: text("team-1", 2, one.Digest, "a", 2), Signatures: c.signed("x").Signatures}, kind: "signature_missing", says: "0 valid"},
-				{name: "a reader", key: onCallKey, bundle: c.signed(text("team-1", 2, one.Digest, "a", 2)), kind: "forbidden", says: "submit"},
-				{name: "an operator of other bundles", key: scopedKey, bundle: c.signed(text("team-2", 1, "", "b", 2)), kind: "forbidden", says: "team-2"},
-				{name: "no operator", key: "nope", bundle: c.signed(text("team-2", 1, "", "b", 2)), kind: "unauthenticated", says: "no operator"},
-				{name: "a name that another bundle has", key: operatorKey, bundle: c.signed(text("team-2", 1, "", "a", 2)), kind: "bundle_invalid", says: "another bundle has this client account"},
-				{name: "nothing", key: operatorKey, bundle: c.signed(""), kind: "bundle_invalid", says: "empty"},
+				{name: "other content under the same version", key: operatorKey, bundle: c.signed(bundleText("team-1", 1, "", "a", 2)), kind: "version_conflict", message: "rebase: set version = 2 and parent = \"" + one.Digest},
+				{name: "a version that skips one", key: operatorKey, bundle: c.signed(bundleText("team-1", 3, one.Digest, "a", 2)), kind: "parent_conflict", message: "next version of bundle \"team-1\" is 2"},
+				{name: "another parent", key: operatorKey, bundle: c.signed(bundleText("team-1", 2, bundle.Digest(nil), "a", 2)), kind: "parent_conflict", message: one.Digest},
+				{name: "no signature", key: operatorKey, bundle: api.SignedBundle{Content: bundleText("team-1", 2, one.Digest, "a", 2)}, kind: "signature_missing", message: "needs 1"},
+				{name: "a signature of other text", key: operatorKey, bundle: api.SignedBundle{Content: bundleText("team-1", 2, one.Digest, "a", 2), Signatures: c.signed("x").Signatures}, kind: "signature_missing", message: "0 valid"},
+				{name: "a reader", key: onCallKey, bundle: c.signed(bundleText("team-1", 2, one.Digest, "a", 2)), kind: "forbidden", message: "submit"},
+				{name: "an operator of other bundles", key: scopedKey, bundle: c.signed(bundleText("team-2", 1, "", "b", 2)), kind: "forbidden", message: "team-2"},
+				{name: "no operator", key: "nope", bundle: c.signed(bundleText("team-2", 1, "", "b", 2)), kind: "unauthenticated", message: "no operator"},
+				{name: "a name that another bundle has", key: operatorKey, bundle: c.signed(bundleText("team-2", 1, "", "a", 2)), kind: "bundle_invalid", message: "another bundle has this client account"},
+				{name: "nothing", key: operatorKey, bundle: c.signed(""), kind: "bundle_invalid", message: "empty"},
 			}
 			for _, r := range refused {
 				_, err := c.submit(r.key, r.bundle)
 				Expect(err).To(MatchError(HavePrefix(r.kind+": ")), r.name)
-				Expect(err.Error()).To(ContainSubstring(r.says), r.name)
+				Expect(err.Error()).To(ContainSubstring(r.message), r.name)
 			}
 
 			By("going back is a new version with the old content")
-			two := c.accept(text("team-1", 2, one.Digest, "a", 2))
-			three := c.accept(text("team-1", 3, two.Digest, "a", 1))
+			two := c.accept(bundleText("team-1", 2, one.Digest, "a", 2))
+			three := c.accept(bundleText("team-1", 3, two.Digest, "a", 1))
 			Expect(three.Revision).To(Equal(one.Revision + 2))
 
 			By("the history shows it all, and who signed")
@@ -242,13 +242,13 @@
 
 	It("lose no change and starve no one when operators race", func() {
 		withCluster(func(c *cluster) {
-			c.accept(text("team-0", 1, "", "x", 1))
+			c.accept(bundleText("team-0", 1, "", "x", 1))
 			const operators, changes = 12, 5
 			g := group.New(context.Background())
 			for i := range operators {
 				g.Go(func(context.Context) {
 					defer GinkgoRecover()
-					c.race(fmt.Sprintf("op-%d", i), changes)
+					c.submitConcurrently(fmt.Sprintf("op-%d", i), changes)
 				})
 			}
 			g.Wait()
@@ -265,9 +265,9 @@
 	})
 })
 
-// race makes an operator's changes to the shared bundle, each rebased until it
+// submitConcurrently makes an operator's changes to the shared bundle, each rebased until it
 // is accepted, and sends every other one twice.
-func (c *cluster) race(who string, changes int) {
+func (c *cluster) submitConcurrently(account string, changes int) {
 	for n := range changes {
 		Eventually(func() error {
 			version, parent := uint64(1), ""
@@ -275,7 +275,7 @@
 				last := chain[len(chain)-1]
 				version, parent = last.Version+1, last.Digest
 			}
-			b := c.signed(text("shared", version, parent, who, n+1))
+			b := c.signed(bundleText("shared", version, parent, account, n+1))
 			v, err := c.submit(operatorKey, b)
 			if err == nil && n%2 == 0 {
 				again, err := c.submit(operatorKey, b)
@@ -283,7 +283,7 @@
 				Expect(again).To(Equal(v))
 			}
 			return err
-		}, patience, time.Millisecond).Should(Succeed())
+		}, waitTimeout, time.Millisecond).Should(Succeed())
 	}
 }
 
@@ -304,7 +304,7 @@
 var _ = Describe("calls of the system's own processes", func() {
 	It("are refused if they lack what they need, and do no harm", func() {
 		withCluster(func(c *cluster) {
-			c.accept(text("team-1", 1, "", "a", 1))
+			c.accept(bundleText("team-1", 1, "", "a", 1))
 			for _, s := range c.servers {
 				_, err := s.Beat(context.Background(), &rpc.BeatRequest{})
 				Expect(err).To(MatchError(ContainSubstring("host is required")))
@@ -313,7 +313,7 @@
 				_, err = s.Deliver(context.Background(), &rpc.RaftBatch{Messages: []*rpc.RaftMessage{{}, nil}})
 				Expect(err).NotTo(HaveOccurred())
 			}
-			c.accept(text("team-2", 1, "", "b", 1))
+			c.accept(bundleText("team-2", 1, "", "b", 1))
 		})
 	})
 })
--- a/pkg/control/convert.go
+++ b/pkg/control/convert.go
@@ -40,7 +40,7 @@
 	return v
 }
 
-func versionToAPI(v *rpc.BundleVersion, whole bool) api.BundleVersion {
+func versionToAPI(v *rpc.BundleVersion, full bool) api.BundleVersion {
 	out := api.BundleVersion{
 		Name:       v.GetName(),
 		Version:    v.GetVersion(),
@@ -52,20 +52,20 @@
 	}
 	for _, sig := range v.GetSignatures() {
 		out.Signers = append(out.Signers, sig.GetSigner())
-		if whole {
+		if full {
 			out.Signatures = append(out.Signatures, api.Signature{
 				Signer: sig.GetSigner(),
 				Value:  sig.GetValue(),
 			})
 		}
 	}
-	if whole {
+	if full {
 		out.Content = string(v.GetContent())
 	}
 	return out
 }
 
-func hostToAPI(e *entryRow, ageMS int64) api.HostView {
+func hostToAPI(e *entryHost, ageMS int64) api.HostView {
 	return api.HostView{
 		Host:     e.info.GetHost(),
 		Domain:   e.info.GetDomain(),
--- a/pkg/control/forward.go
+++ b/pkg/control/forward.go
@@ -27,14 +27,14 @@
 	})
 }
 
-// leader returns the address to pass a call on to, after err, and the context
+// forwardTarget returns the address to pass a call on to, after err, and the context
 // to do it with; or an error if it can't be passed on.
-func (s *Server) leader(ctx context.Context, err error) (context.Context, string, error) {
-	var not *replica.NotLeaderError
-	if !errors.As(err, &not) {
+func (s *Server) forwardTarget(ctx context.Context, err error) (context.Context, string, error) {
+	var notLeader *replica.NotLeaderError
+	if !errors.As(err, &notLeader) {
 		return nil, "", twirpError(err)
 	}
-	if not.Leader == nil || not.Leader.GetId() == s.cfg.ID || ctx.Value(forwardedKey{}) != nil {
+	if notLeader.Leader == nil || notLeader.Leader.GetId() == s.cfg.ID || ctx.Value(forwardedKey{}) != nil {
 		return nil, "", twirpError(err)
 	}
 	h := http.Header{}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, "", twirp.InternalErrorWith(err)
 	}
-	return ctx, "http://" + not.Leader.GetAddress(), nil
+	return ctx, "http://" + notLeader.Leader.GetAddress(), nil
 }
 
 // Claim implements rpc.Claims.
@@ -60,11 +60,11 @@
 		s.metrics.Counter("claims_total").Inc(1)
 		return reply.GetClaim(), nil
 	}
-	fctx, address, ferr := s.leader(ctx, err)
-	if ferr != nil {
-		return nil, ferr
+	forwardCtx, address, forwardErr := s.forwardTarget(ctx, err)
+	if forwardErr != nil {
+		return nil, forwardErr
 	}
-	return rpc.NewClaimsProtobufClient(address, s.clients.RPC).Claim(fctx, r)
+	return rpc.NewClaimsProtobufClient(address, s.clients.RPC).Claim(forwardCtx, r)
 }
 
 // Settle implements rpc.Claims.
@@ -77,11 +77,11 @@
 	if err == nil {
 		return reply.GetSettle(), nil
 	}
-	fctx, address, ferr := s.leader(ctx, err)
-	if ferr != nil {
-		return nil, ferr
+	forwardCtx, address, forwardErr := s.forwardTarget(ctx, err)
+	if forwardErr != nil {
+		return nil, forwardErr
 	}
-	return rpc.NewClaimsProtobufClient(address, s.clients.RPC).Settle(fctx, r)
+	return rpc.NewClaimsProtobufClient(address, s.clients.RPC).Settle(forwardCtx, r)
 }
 
 // Beat implements rpc.Presence.
@@ -90,14 +90,14 @@
 		return nil, twirp.RequiredArgumentError("host")
 	}
 	if s.node.HoldsLease() {
-		return s.presence.beat(s.svc.Now(), s.node.Status().Term, r), nil
+		return s.presence.heartbeat(s.svc.Now(), s.node.Status().Term, r), nil
 	}
 	st := s.node.Status()
-	fctx, address, err := s.leader(ctx, &replica.NotLeaderError{
+	forwardCtx, address, err := s.forwardTarget(ctx, &replica.NotLeaderError{
 		Leader: st.Leader,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return rpc.NewPresenceProtobufClient(address, s.clients.RPC).Beat(fctx, r)
+	return rpc.NewPresenceProtobufClient(address, s.clients.RPC).Beat(forwardCtx, r)
 }
--- a/pkg/control/measure_test.go
+++ b/pkg/control/measure_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// leaderOf returns which host leads: the one that answers a beat that may not
+// leaderIndex returns which host leads: the one that answers a beat that may not
 // be passed on.
-func leaderOf() int {
+func leaderIndex() int {
 	for {
 		for i := 1; i <= 3; i++ {
 			req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://127.0.21.%d:7000/twirp/larchwinch.Presence/Beat", i), strings.NewReader(`{"host":{"host":"probe"}}`))
@@ -128,7 +128,7 @@
 			c.claim()
 		}
 		for range rounds {
-			p := list[leaderOf()]
+			p := list[leaderIndex()]
 			time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond)
 			began := time.Now()
 			switch fault {
@@ -150,11 +150,11 @@
 		for _, p := range list {
 			p.kill()
 		}
-		fmt.Fprintf(f, "%s,%d,%.1f,%.1f,%.1f,%.1f\n", fault, rounds, at(h, 50), at(h, 90), at(h, 99), float64(h.Max())/1000)
+		fmt.Fprintf(f, "%s,%d,%.1f,%.1f,%.1f,%.1f\n", fault, rounds, quantileMS(h, 50), quantileMS(h, 90), quantileMS(h, 99), float64(h.Max())/1000)
 	}
 }
 
-func at(h *hdrhistogram.Histogram, q float64) float64 {
+func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
@@ -169,7 +169,7 @@
 	list := startPrograms(t)
 	newClaimer().claim()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
-	leader := rpc.NewClaimsProtobufClient(fmt.Sprintf("http://127.0.21.%d:7000", leaderOf()+1), client)
+	leader := rpc.NewClaimsProtobufClient(fmt.Sprintf("http://127.0.21.%d:7000", leaderIndex()+1), client)
 	const length = 4 * time.Second
 	for _, callers := range []int{1, 10, 100, 400} {
 		h := hdrhistogram.New(1, 60_000_000, 3)
@@ -194,7 +194,7 @@
 			})
 		}
 		g.Wait()
-		fmt.Fprintf(f, "%d,%.0f,%.1f,%.1f\n", callers, float64(h.TotalCount())/length.Seconds(), at(h, 50), at(h, 99))
+		fmt.Fprintf(f, "%d,%.0f,%.1f,%.1f\n", callers, float64(h.TotalCount())/length.Seconds(), quantileMS(h, 50), quantileMS(h, 99))
 	}
 	for _, p := range list {
 		p.kill()
--- a/pkg/control/presence.go
+++ b/pkg/control/presence.go
@@ -19,29 +19,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// goneAfter is after how long without a beat an entry host isn't named to
+// hostGoneAfter is after how long without a beat an entry host isn't named to
 // callers any more.
-const goneAfter = 6 * time.Second
+const hostGoneAfter = 6 * time.Second
 
 // presence is what the leader knows of entry hosts and endpoints. It isn't
 // replicated: a new leader learns it anew, under a new epoch.
 type presence struct {
-	mu      sync.Mutex
-	epoch   uint64
-	listed  bool // the platform's list was read in this epoch
-	entries map[string]*entryRow
-	version uint64 // of entries; it rises when one changes
-	table   *membership.Table
-	watch   map[string][]string
-	watchOf uint64 // digest of what watch was chosen of
+	mu           sync.Mutex
+	epoch        uint64
+	listRead     bool // the platform's list was read in this epoch
+	entries      map[string]*entryHost
+	version      uint64 // of entries; it rises when one changes
+	table        *membership.Table
+	assignments  map[string][]string
+	assignedFrom uint64 // digest of what watch was chosen of
 }
 
-// entryRow is one entry host. Its version is the table's when something that
+// entryHost is one entry host. Its version is the table's when something that
 // other entry hosts must learn last changed.
-type entryRow struct {
-	info    *rpc.EntryHost
-	at      time.Time
-	version uint64
+type entryHost struct {
+	info          *rpc.EntryHost
+	lastHeartbeat time.Time
+	version       uint64
 }
 
 func newPresence() *presence {
@@ -52,36 +52,36 @@
 
 func (p *presence) reset(epoch uint64) {
 	p.epoch = epoch
-	p.listed = false
-	p.entries = map[string]*entryRow{}
+	p.listRead = false
+	p.entries = map[string]*entryHost{}
 	p.version = 0
 	p.table = membership.New()
-	p.watch = map[string][]string{}
-	p.watchOf = 0
+	p.assignments = map[string][]string{}
+	p.assignedFrom = 0
 }
 
-func (p *presence) beat(now time.Time, epoch uint64, r *rpc.BeatRequest) *rpc.BeatReply {
+func (p *presence) heartbeat(now time.Time, epoch uint64, r *rpc.BeatRequest) *rpc.BeatReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.enter(epoch)
-	p.hear(now, r.GetHost())
+	p.beginTerm(epoch)
+	p.recordHeartbeat(now, r.GetHost())
 	p.table.Report(now, r.GetHost().GetHost(), r.GetReports())
 	reply := &rpc.BeatReply{
 		EntriesVersion: p.version,
 	}
-	watch := p.watch[r.GetHost().GetHost()]
+	watch := p.assignments[r.GetHost().GetHost()]
 	if reply.WatchDigest = digest(watch); reply.WatchDigest != r.GetWatchDigest() {
 		reply.Watch = watch
 	}
-	fresh := r.GetEpoch() != p.epoch
-	reply.Entries = p.entriesSince(r.GetEntriesVersion(), fresh)
-	if !p.listed {
+	newEpoch := r.GetEpoch() != p.epoch
+	reply.Entries = p.entriesSince(r.GetEntriesVersion(), newEpoch)
+	if !p.listRead {
 		return reply
 	}
 	reply.Epoch = p.epoch
 	reply.Version = p.table.Version()
 	known := r.GetVersion()
-	if fresh {
+	if newEpoch {
 		known = 0
 		reply.Whole = true
 	}
@@ -89,44 +89,44 @@
 	return reply
 }
 
-// hear notes a beat of an entry host.
-func (p *presence) hear(now time.Time, info *rpc.EntryHost) {
+// recordHeartbeat notes a beat of an entry host.
+func (p *presence) recordHeartbeat(now time.Time, info *rpc.EntryHost) {
 	e := p.entries[info.GetHost()]
 	if e == nil {
-		e = &entryRow{}
+		e = &entryHost{}
 		p.entries[info.GetHost()] = e
 	}
-	if !sameToOthers(e.info, info) {
+	if !equalForPeers(e.info, info) {
 		p.version++
 		e.version = p.version
 	}
 	e.info = info
-	e.at = now
+	e.lastHeartbeat = now
 }
 
-// sameToOthers reports whether other entry hosts need not learn of a change.
+// equalForPeers reports whether other entry hosts need not learn of a change.
 // The revision in force is left out: it changes everywhere with each bundle.
-func sameToOthers(a, b *rpc.EntryHost) bool {
+func equalForPeers(a, b *rpc.EntryHost) bool {
 	return a.GetHost() == b.GetHost() && a.GetDomain() == b.GetDomain() &&
 		a.GetCallerAddress() == b.GetCallerAddress() && a.GetRpcAddress() == b.GetRpcAddress() &&
 		a.GetReady() == b.GetReady() && a.GetLeaving() == b.GetLeaving() && a.GetGone() == b.GetGone()
 }
 
 // entriesSince returns the entry hosts that changed since a version.
-func (p *presence) entriesSince(known uint64, whole bool) []*rpc.EntryHost {
+func (p *presence) entriesSince(known uint64, full bool) []*rpc.EntryHost {
 	var list []*rpc.EntryHost
 	for _, e := range p.entries {
-		if whole || e.version > known {
+		if full || e.version > known {
 			list = append(list, e.info)
 		}
 	}
 	return list
 }
 
-// bury marks the hosts that were not heard of for long as gone.
-func (p *presence) bury(now time.Time) {
+// expireHosts marks the hosts that were not heard of for long as gone.
+func (p *presence) expireHosts(now time.Time) {
 	for _, e := range p.entries {
-		if now.Sub(e.at) <= goneAfter || e.info.GetGone() {
+		if now.Sub(e.lastHeartbeat) <= hostGoneAfter || e.info.GetGone() {
 			continue
 		}
 		gone := proto.Clone(e.info).(*rpc.EntryHost)
@@ -142,18 +142,18 @@
 	return xxhash.Sum64String(strings.Join(list, "\n"))
 }
 
-// enter forgets what was known in an earlier lead.
-func (p *presence) enter(epoch uint64) {
+// beginTerm forgets what was known in an earlier lead.
+func (p *presence) beginTerm(epoch uint64) {
 	if epoch != p.epoch {
 		p.reset(epoch)
 	}
 }
 
-// present returns the entry hosts that were heard of lately, sorted.
-func (p *presence) present(now time.Time) []*rpc.EntryHost {
+// presentHosts returns the entry hosts that were heard of lately, sorted.
+func (p *presence) presentHosts(now time.Time) []*rpc.EntryHost {
 	var list []*rpc.EntryHost
 	for _, e := range p.entries {
-		if now.Sub(e.at) <= goneAfter {
+		if now.Sub(e.lastHeartbeat) <= hostGoneAfter {
 			list = append(list, e.info)
 		}
 	}
@@ -161,37 +161,37 @@
 	return list
 }
 
-func (p *presence) takeList(now time.Time, epoch uint64, list api.HostList) {
+func (p *presence) applyList(now time.Time, epoch uint64, list api.HostList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.enter(epoch)
+	p.beginTerm(epoch)
 	p.table.List(now, list)
-	p.listed = p.listed || len(list.Hosts) > 0
+	p.listRead = p.listRead || len(list.Hosts) > 0
 	p.assign(now)
 }
 
-func (p *presence) judge(now time.Time, epoch uint64) {
+func (p *presence) evaluate(now time.Time, epoch uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.enter(epoch)
+	p.beginTerm(epoch)
 	p.table.Judge(now)
-	p.bury(now)
+	p.expireHosts(now)
 	p.assign(now)
 }
 
 // assign chooses the watchers anew if hosts or endpoints came or went.
 func (p *presence) assign(now time.Time) {
 	var hosts []string
-	for _, e := range p.present(now) {
+	for _, e := range p.presentHosts(now) {
 		hosts = append(hosts, e.GetHost())
 	}
 	endpoints := p.table.Addresses()
-	of := digest(hosts) ^ digest(endpoints)<<1
-	if of == p.watchOf {
+	from := digest(hosts) ^ digest(endpoints)<<1
+	if from == p.assignedFrom {
 		return
 	}
-	p.watchOf = of
-	p.watch = membership.Assign(endpoints, hosts)
+	p.assignedFrom = from
+	p.assignments = membership.Assign(endpoints, hosts)
 }
 
 // pollList reads the platform's list as long as this replica leads.
@@ -202,20 +202,20 @@
 			s.metrics.Counter("host_list_failures").Inc(1)
 			return
 		}
-		s.presence.takeList(s.svc.Now(), s.node.Status().Term, list)
+		s.presence.applyList(s.svc.Now(), s.node.Status().Term, list)
 	})
 }
 
-func (s *Server) judge(ctx context.Context) {
-	s.whileLeading(ctx, judgeInterval, func() {
-		s.presence.judge(s.svc.Now(), s.node.Status().Term)
+func (s *Server) evaluatePresence(ctx context.Context) {
+	s.whileLeading(ctx, evaluateInterval, func() {
+		s.presence.evaluate(s.svc.Now(), s.node.Status().Term)
 	})
 }
 
-func (s *Server) whileLeading(ctx context.Context, interval time.Duration, do func()) {
+func (s *Server) whileLeading(ctx context.Context, interval time.Duration, f func()) {
 	timer.Loop(ctx, s.svc, interval, func(time.Time) {
 		if s.node.HoldsLease() {
-			do()
+			f()
 		}
 	})
 }
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -14,21 +14,21 @@
 	s.waitNewer(ctx, r)
 	err := s.node.ReadBarrier(ctx)
 	if err == nil {
-		reply := s.held(r.GetKnownRevision())
+		reply := s.localReply(r.GetKnownRevision())
 		reply.Confirmed = true
 		return reply, nil
 	}
-	fctx, address, ferr := s.leader(ctx, err)
-	if ferr == nil {
-		at := &rpc.FetchRequest{
+	forwardCtx, address, forwardErr := s.forwardTarget(ctx, err)
+	if forwardErr == nil {
+		forwarded := &rpc.FetchRequest{
 			Host:          r.GetHost(),
 			KnownRevision: r.GetKnownRevision(),
 		}
-		if reply, err := rpc.NewRolloutProtobufClient(address, s.clients.RPC).Fetch(fctx, at); err == nil {
+		if reply, err := rpc.NewRolloutProtobufClient(address, s.clients.RPC).Fetch(forwardCtx, forwarded); err == nil {
 			return reply, nil
 		}
 	}
-	return s.held(r.GetKnownRevision()), nil
+	return s.localReply(r.GetKnownRevision()), nil
 }
 
 // waitNewer waits until this replica holds a newer set than is known, but not
@@ -40,8 +40,8 @@
 	}
 	timeout := s.svc.After(wait)
 	for {
-		changed := s.machine.Changed()
-		if s.machine.Revision() > r.GetKnownRevision() {
+		changed := s.stateMachine.Changed()
+		if s.stateMachine.Revision() > r.GetKnownRevision() {
 			return
 		}
 		select {
@@ -54,17 +54,17 @@
 	}
 }
 
-// held returns what changed since known, as this replica holds it. Bundles are
+// localReply returns what changed since known, as this replica holds it. Bundles are
 // never removed, so what changed is all that the asker lacks.
-func (s *Server) held(known uint64) *rpc.FetchReply {
-	wire := s.machine.Wire()
+func (s *Server) localReply(known uint64) *rpc.FetchReply {
+	wire := s.stateMachine.Wire()
 	return &rpc.FetchReply{
 		Revision: wire.GetRevision(),
-		Set:      since(wire, known),
+		Set:      changedSince(wire, known),
 	}
 }
 
-func since(wire *rpc.BundleSet, known uint64) *rpc.BundleSet {
+func changedSince(wire *rpc.BundleSet, known uint64) *rpc.BundleSet {
 	if wire.GetRevision() <= known {
 		return nil
 	}
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -30,20 +30,20 @@
 	proposeTimeout     = 5 * time.Second
 	maxFetchWait       = 20 * time.Second
 	listInterval       = time.Second
-	judgeInterval      = 500 * time.Millisecond
+	evaluateInterval   = 500 * time.Millisecond
 )
 
 // Server is a control host.
 type Server struct {
-	cfg      *config.Control
-	svc      timer.Service
-	clients  Clients
-	trust    *bundle.Trust
-	machine  *state.Machine
-	store    *store.Store
-	node     *replica.Node
-	presence *presence
-	metrics  *metrics.Set
+	cfg          *config.Control
+	svc          timer.Service
+	clients      Clients
+	trust        *bundle.Trust
+	stateMachine *state.Machine
+	store        *store.Store
+	node         *replica.Node
+	presence     *presence
+	metrics      *metrics.Set
 }
 
 // ErrNotInitialised says that a replica's data folder is empty and nothing
@@ -79,20 +79,20 @@
 		return nil, ErrNotInitialised
 	}
 	s := &Server{
-		cfg:      cfg,
-		svc:      svc,
-		clients:  clients,
-		trust:    trust,
-		machine:  state.New(cfg.ClaimWindow.Or(defaultClaimWindow).Milliseconds()),
-		store:    st,
-		presence: newPresence(),
-		metrics:  set,
+		cfg:          cfg,
+		svc:          svc,
+		clients:      clients,
+		trust:        trust,
+		stateMachine: state.New(cfg.ClaimWindow.Or(defaultClaimWindow).Milliseconds()),
+		store:        st,
+		presence:     newPresence(),
+		metrics:      set,
 	}
 	rc := replica.Config{
 		ID:        cfg.ID,
 		Tick:      cfg.Tick.Or(defaultTick),
 		Store:     st,
-		Machine:   s.machine,
+		Machine:   s.stateMachine,
 		Transport: replica.NewTwirpTransport(cfg.ID, clients.RPC, g),
 		Timer:     svc,
 		Seed:      uint64(svc.Now().UnixNano()),
@@ -109,8 +109,8 @@
 	g := group.New(ctx)
 	defer g.Stop()
 	g.Go(s.pollList)
-	g.Go(s.judge)
-	g.Go(s.countRole)
+	g.Go(s.evaluatePresence)
+	g.Go(s.reportRole)
 	err := s.node.Run(ctx)
 	_ = s.store.Close() // everything acknowledged is synced
 	return err
@@ -130,8 +130,8 @@
 		rpc.NewClaimsServer(s),
 		rpc.NewPresenceServer(s),
 	}
-	for _, one := range services {
-		mux.Handle(one.PathPrefix(), one)
+	for _, service := range services {
+		mux.Handle(service.PathPrefix(), service)
 	}
 	return markForwarded(mux)
 }
@@ -168,26 +168,26 @@
 	return failure.Wrap(err, failure.ControlUnavailable, "no majority of the control replicas answered").WithRan(ran)
 }
 
-// countRole follows the role, and logs when it changes.
-func (s *Server) countRole(ctx context.Context) {
+// reportRole follows the role, and logs when it changes.
+func (s *Server) reportRole(ctx context.Context) {
 	last := raft.Follower
-	timer.Loop(ctx, s.svc, judgeInterval, func(time.Time) {
+	timer.Loop(ctx, s.svc, evaluateInterval, func(time.Time) {
 		st := s.node.Status()
 		if st.Role != last {
 			logflags.Info(logflags.Raft, "role changed", "role", st.Role.String(), "term", st.Term)
 			last = st.Role
 		}
-		s.count(st)
+		s.updateGauges(st)
 	})
 }
 
-func (s *Server) count(st replica.Status) {
+func (s *Server) updateGauges(st replica.Status) {
 	s.metrics.Gauge("raft_term").Update(int64(st.Term))
 	s.metrics.Gauge("raft_commit").Update(int64(st.Commit))
 	s.metrics.Gauge("raft_leader").Update(boolGauge(st.Role == raft.Leader))
 	s.metrics.Gauge("log_bytes").Update(st.LogBytes)
-	s.metrics.Gauge("revision").Update(int64(s.machine.Revision()))
-	s.metrics.Gauge("claims").Update(int64(s.machine.Claims()))
+	s.metrics.Gauge("revision").Update(int64(s.stateMachine.Revision()))
+	s.metrics.Gauge("claims").Update(int64(s.stateMachine.Claims()))
 }
 
 func boolGauge(b bool) int64 {
@@ -199,9 +199,9 @@
 
 // twirpError gives an error to another process of the system.
 func twirpError(err error) error {
-	var not *replica.NotLeaderError
+	var notLeader *replica.NotLeaderError
 	switch {
-	case errors.As(err, &not):
+	case errors.As(err, &notLeader):
 		return twirp.Unavailable.Error(err.Error())
 	case errors.Is(err, replica.ErrLost), errors.Is(err, context.DeadlineExceeded):
 		return twirp.DeadlineExceeded.Error(err.Error())
--- a/pkg/entry/callers_test.go
+++ b/pkg/entry/callers_test.go
@@ -73,10 +73,10 @@
 			Expect(models.Data).To(HaveLen(2))
 
 			By("an answer that isn't a stream")
-			whole := e.send(http.MethodPost, api.ChatPath, strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1))
-			Expect(whole.status).To(Equal(http.StatusOK), whole.body)
-			Expect(whole.body).To(ContainSubstring(reference("Tere", 5, 20)))
-			Expect(whole.body).To(ContainSubstring(`"completion_tokens":20`))
+			nonStreamed := e.send(http.MethodPost, api.ChatPath, strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1))
+			Expect(nonStreamed.status).To(Equal(http.StatusOK), nonStreamed.body)
+			Expect(nonStreamed.body).To(ContainSubstring(reference("Tere", 5, 20)))
+			Expect(nonStreamed.body).To(ContainSubstring(`"completion_tokens":20`))
 
 			By("plain completions")
 			plain := e.send(http.MethodPost, api.CompletionsPath, `{"model":"daily-note","prompt":"Tere","max_tokens":3,"stream":true}`)
@@ -90,12 +90,12 @@
 
 			By("a stream that another host goes on with")
 			first := parseSSE(e.send(http.MethodPost, api.ChatPath, chatBody).body)
-			at := strings.LastIndex(first.last, ".")
-			cut := first.last[:at] + ".7"
-			rest := parseSSE(s.entries[1].send(http.MethodPost, api.ChatPath, chatBody, api.HeaderLastEventID, cut).body)
-			Expect(rest.done).To(BeTrue())
+			dot := strings.LastIndex(first.last, ".")
+			resumeFrom := first.last[:dot] + ".7"
+			resumed := parseSSE(s.entries[1].send(http.MethodPost, api.ChatPath, chatBody, api.HeaderLastEventID, resumeFrom).body)
+			Expect(resumed.done).To(BeTrue())
 			words := strings.Fields(reference("Tere", 5, 20))
-			Expect(strings.Fields(rest.text)).To(Equal(words[8:]))
+			Expect(strings.Fields(resumed.text)).To(Equal(words[8:]))
 
 			By("bad input")
 			for _, c := range badInput {
--- a/pkg/entry/claimer.go
+++ b/pkg/entry/claimer.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	claimTimeout   = 3 * time.Second
-	settleTimeout  = 2 * time.Second
-	settleAttempts = 20
-	settlePause    = 500 * time.Millisecond
+	claimTimeout     = 3 * time.Second
+	settleTimeout    = 2 * time.Second
+	settleAttempts   = 20
+	settleRetryDelay = 500 * time.Millisecond
 )
 
 // claimer claims requests that must not be repeated.
 type claimer struct {
-	holder  string
-	control []string
-	client  *http.Client
-	runs    time.Duration
-	nonce   atomic.Uint64
+	holder         string
+	control        []string
+	client         *http.Client
+	requestTimeout time.Duration
+	nonce          atomic.Uint64
 }
 
 // newClaimer returns a claimer for requests that run for at most runs. Its
 // claims are held by this life of the host: after a restart it can't settle
 // what it claimed before.
-func newClaimer(host string, incarnation uint64, control []string, client *http.Client, runs time.Duration) *claimer {
+func newClaimer(host string, incarnation uint64, control []string, client *http.Client, requestTimeout time.Duration) *claimer {
 	return &claimer{
-		holder:  host + "/" + strconv.FormatUint(incarnation, 36),
-		control: control,
-		client:  client,
-		runs:    runs,
+		holder:         host + "/" + strconv.FormatUint(incarnation, 36),
+		control:        control,
+		client:         client,
+		requestTimeout: requestTimeout,
 	}
 }
 
@@ -47,8 +47,8 @@
 	account string
 	key     string
 	nonce   uint64
-	// first is the first request's outcome, if there was one before.
-	first *rpc.Outcome
+	// recorded is the first request's outcome, if there was one before.
+	recorded *rpc.Outcome
 }
 
 // claim records that the request is about to be sent. The claim returned is
@@ -68,7 +68,7 @@
 		BodyDigest: bundle.Digest(body),
 		Entry:      c.holder,
 		Nonce:      out.nonce,
-		RunsMs:     uint32(c.runs.Milliseconds()),
+		RunsMs:     uint32(c.requestTimeout.Milliseconds()),
 	}
 	var reply *rpc.ClaimReply
 	err := netutil.InTurn(ctx, c.control, func(ctx context.Context, address string) (bool, error) {
@@ -79,13 +79,13 @@
 	if err != nil {
 		return out, failure.Wrap(err, failure.ControlUnavailable, "the request must not be repeated and could not be claimed")
 	}
-	out.first = reply.GetOutcome()
-	return out, judge(reply, key)
+	out.recorded = reply.GetOutcome()
+	return out, claimError(reply, key)
 }
 
-// judge returns what to tell the caller, or nil if the claim was granted or
+// claimError returns what to tell the caller, or nil if the claim was granted or
 // its outcome is known.
-func judge(reply *rpc.ClaimReply, key string) error {
+func claimError(reply *rpc.ClaimReply, key string) error {
 	switch reply.GetState() {
 	case rpc.ClaimState_CLAIM_GRANTED, rpc.ClaimState_CLAIM_SETTLED:
 		return nil
@@ -118,7 +118,7 @@
 				return true
 			}
 		}
-		if timer.Sleep(ctx, svc, settlePause) != nil {
+		if timer.Sleep(ctx, svc, settleRetryDelay) != nil {
 			return false
 		}
 	}
--- a/pkg/entry/fixture_test.go
+++ b/pkg/entry/fixture_test.go
@@ -40,16 +40,16 @@
 	callerKey   = "lw_test_haabersti"
 	operatorKey = "lw_test_operator"
 	layers      = 6
-	patience    = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
 // testServer is an HTTP server whose address is known before its handler is.
 type testServer struct {
-	mu      sync.Mutex
-	handler http.Handler
-	server  *http.Server
-	address string
-	cutOff  bool
+	mu           sync.Mutex
+	handler      http.Handler
+	server       *http.Server
+	address      string
+	disconnected bool
 }
 
 func newTestServer(g *group.Group) *testServer {
@@ -74,9 +74,9 @@
 func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	h := s.handler
-	cut := s.cutOff
+	disconnected := s.disconnected
 	s.mu.Unlock()
-	if h == nil || cut {
+	if h == nil || disconnected {
 		panic(http.ErrAbortHandler)
 	}
 	h.ServeHTTP(w, r)
@@ -88,10 +88,10 @@
 	s.handler = h
 }
 
-func (s *testServer) cut(cut bool) {
+func (s *testServer) setDisconnected(disconnected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutOff = cut
+	s.disconnected = disconnected
 }
 
 // entryHost is one entry host of a system.
@@ -327,7 +327,7 @@
 			}
 		}
 		return 0
-	}, patience, 20*time.Millisecond).Should(Equal(http.StatusOK))
+	}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 }
 
 func postAdmin(address string, body []byte) int {
@@ -352,7 +352,7 @@
 	for _, e := range s.entries {
 		Eventually(func() int {
 			return len(e.server.Directory().Stages("koit", "1")) + len(e.server.Directory().Service("staff-app"))
-		}, patience, 20*time.Millisecond).Should(Equal(7))
+		}, waitTimeout, 20*time.Millisecond).Should(Equal(7))
 		Eventually(func() int {
 			resp, err := http.Get("http://" + e.callers.address + api.ReadyPath)
 			if err != nil {
@@ -360,25 +360,25 @@
 			}
 			_ = resp.Body.Close()
 			return resp.StatusCode
-		}, patience, 20*time.Millisecond).Should(Equal(http.StatusOK))
+		}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 	}
 }
 
-// got is an answer read whole.
-type got struct {
+// response is an answer read whole.
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (g got) failure() api.ErrorBody {
+func (g response) failure() api.ErrorBody {
 	out := api.Error{}
 	Expect(json.Unmarshal([]byte(g.body), &out)).To(Succeed(), g.body)
 	return out.Error
 }
 
 // send sends a request as the client account, with headers as pairs.
-func (e *entryHost) send(method, path, body string, headers ...string) got {
+func (e *entryHost) send(method, path, body string, headers ...string) response {
 	req, err := http.NewRequest(method, "http://"+e.callers.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+callerKey)
@@ -390,7 +390,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return got{
+	return response{
 		status: resp.StatusCode,
 		header: resp.Header,
 		body:   string(text),
--- a/pkg/entry/format.go
+++ b/pkg/entry/format.go
@@ -7,14 +7,14 @@
 
 // format makes the bodies of one path's answers.
 type format interface {
-	// opening is the first chunk of a stream.
-	opening(g *generation) any
+	// firstChunk is the first chunk of a stream.
+	firstChunk(g *generation) any
 	// chunk is one token of a stream.
 	chunk(g *generation, text string) any
-	// closing is the last chunk of a stream.
-	closing(g *generation, r chain.Result) any
-	// whole is an answer that isn't a stream.
-	whole(g *generation, text string, r chain.Result) any
+	// lastChunk is the last chunk of a stream.
+	lastChunk(g *generation, r chain.Result) any
+	// answer is an answer that isn't a stream.
+	answer(g *generation, text string, r chain.Result) any
 }
 
 func usage(r chain.Result) *api.Usage {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (f chatFormat) opening(g *generation) any {
+func (f chatFormat) firstChunk(g *generation) any {
 	return f.body(g, chatChunkObject, api.ChatChoice{
 		Delta: &api.ChatDelta{
 			Role: assistant,
@@ -61,7 +61,7 @@
 	})
 }
 
-func (f chatFormat) closing(g *generation, r chain.Result) any {
+func (f chatFormat) lastChunk(g *generation, r chain.Result) any {
 	b := f.body(g, chatChunkObject, api.ChatChoice{
 		Delta:        &api.ChatDelta{},
 		FinishReason: &r.End,
@@ -70,7 +70,7 @@
 	return b
 }
 
-func (f chatFormat) whole(g *generation, text string, r chain.Result) any {
+func (f chatFormat) answer(g *generation, text string, r chain.Result) any {
 	b := f.body(g, chatObject, api.ChatChoice{
 		Message: &api.ChatMessage{
 			Role:    assistant,
@@ -95,7 +95,7 @@
 	}
 }
 
-func (f textFormat) opening(g *generation) any {
+func (f textFormat) firstChunk(g *generation) any {
 	return f.body(g, api.TextChoice{})
 }
 
@@ -105,7 +105,7 @@
 	})
 }
 
-func (f textFormat) closing(g *generation, r chain.Result) any {
+func (f textFormat) lastChunk(g *generation, r chain.Result) any {
 	b := f.body(g, api.TextChoice{
 		FinishReason: &r.End,
 	})
@@ -113,7 +113,7 @@
 	return b
 }
 
-func (f textFormat) whole(g *generation, text string, r chain.Result) any {
+func (f textFormat) answer(g *generation, text string, r chain.Result) any {
 	b := f.body(g, api.TextChoice{
 		Text:         text,
 		FinishReason: &r.End,
--- a/pkg/entry/generate.go
+++ b/pkg/entry/generate.go
@@ -19,20 +19,20 @@
 
 // generation is one request for tokens, whichever path it came by.
 type generation struct {
-	account  bundle.Account
-	pipeline bundle.Pipeline
-	model    bundle.Model
-	format   format
-	stream   bool
-	id       string
-	seed     uint64
-	prompt   string
-	tokens   int
-	skip     int // tokens that the caller has already, when it comes back
-	once     bool
-	key      string
-	body     []byte
-	created  int64
+	account   bundle.Account
+	pipeline  bundle.Pipeline
+	model     bundle.Model
+	format    format
+	stream    bool
+	id        string
+	seed      uint64
+	prompt    string
+	maxTokens int
+	skip      int // tokens that the caller has already, when it comes back
+	once      bool
+	key       string
+	body      []byte
+	created   int64
 }
 
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request, a bundle.Account) {
@@ -50,17 +50,17 @@
 		s.fail(w, a.Name, failure.New(failure.BadRequest, "messages: missing; allowed: at least one"))
 		return
 	}
-	limit := req.MaxTokens
+	maxTokens := req.MaxTokens
 	if req.MaxCompletionTokens > 0 {
-		limit = req.MaxCompletionTokens
+		maxTokens = req.MaxCompletionTokens
 	}
 	s.generate(w, r, a, generation{
-		format: chatFormat{},
-		stream: req.Stream,
-		prompt: chatPrompt(req.Messages),
-		tokens: limit,
-		seed:   seedOf(req.Seed),
-		body:   body,
+		format:    chatFormat{},
+		stream:    req.Stream,
+		prompt:    chatPrompt(req.Messages),
+		maxTokens: maxTokens,
+		seed:      seedOf(req.Seed),
+		body:      body,
 	}, req.Model)
 }
 
@@ -76,12 +76,12 @@
 		return
 	}
 	s.generate(w, r, a, generation{
-		format: textFormat{},
-		stream: req.Stream,
-		prompt: req.Prompt,
-		tokens: req.MaxTokens,
-		seed:   seedOf(req.Seed),
-		body:   body,
+		format:    textFormat{},
+		stream:    req.Stream,
+		prompt:    req.Prompt,
+		maxTokens: req.MaxTokens,
+		seed:      seedOf(req.Seed),
+		body:      body,
 	}, req.Model)
 }
 
@@ -98,10 +98,10 @@
 	if seed != nil {
 		return uint64(*seed)
 	}
-	return drawSeed()
+	return randomUint64()
 }
 
-func drawSeed() uint64 {
+func randomUint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return binary.LittleEndian.Uint64(b[:])
@@ -112,44 +112,44 @@
 	g.account = a
 	g.id = s.newID()
 	g.created = s.svc.Wall().Unix()
-	if err := s.complete(r, &g, name); err != nil {
+	if err := s.resolve(r, &g, name); err != nil {
 		s.fail(w, a.Name, err)
 		return
 	}
-	if err := s.accounts.Acquire(a, g.tokens); err != nil {
+	if err := s.accounts.Acquire(a, g.maxTokens); err != nil {
 		s.fail(w, a.Name, err)
 		return
 	}
 	began := s.svc.Now()
 	out := newOutput(w, &g)
 	result, err := s.admitAndRun(r.Context(), w, &g, out)
-	s.accounts.Release(a, g.tokens-result.Tokens)
-	s.note(&g, began, out, result, err)
+	s.accounts.Release(a, g.maxTokens-result.Tokens)
+	s.recordMetrics(&g, began, out, result, err)
 	if err == nil {
 		out.finish(result)
 		return
 	}
-	if out.begun() {
-		out.fail(failure.From(err))
+	if out.streamStarted() {
+		out.failStream(failure.From(err))
 		return
 	}
 	s.fail(w, a.Name, err)
 }
 
-// complete looks names up and checks limits.
-func (s *Server) complete(r *http.Request, g *generation, name string) error {
-	set := s.keeper.Set()
+// resolve looks names up and checks limits.
+func (s *Server) resolve(r *http.Request, g *generation, name string) error {
+	set := s.syncer.Set()
 	pipeline, ok := set.Pipeline(name)
 	if !ok {
 		return failure.New(failure.UnknownModel, "no pipeline %q; allowed: %s", name, strings.Join(set.Pipelines(), ", "))
 	}
 	g.pipeline = pipeline
 	g.model, _ = set.Model(pipeline.Model)
-	if g.tokens < 0 {
-		return failure.New(failure.BadRequest, "max_tokens: %d; allowed: 1 to %d", g.tokens, pipeline.MaxTokens)
+	if g.maxTokens < 0 {
+		return failure.New(failure.BadRequest, "max_tokens: %d; allowed: 1 to %d", g.maxTokens, pipeline.MaxTokens)
 	}
-	if g.tokens == 0 || g.tokens > pipeline.MaxTokens {
-		g.tokens = pipeline.MaxTokens
+	if g.maxTokens == 0 || g.maxTokens > pipeline.MaxTokens {
+		g.maxTokens = pipeline.MaxTokens
 	}
 	g.key = r.Header.Get(api.HeaderIdempotencyKey)
 	g.once = pipeline.Once || r.Header.Get(api.HeaderOnce) == "true"
@@ -166,22 +166,22 @@
 }
 
 // resume takes the seed and the place from the last event that the caller saw.
-func resume(g *generation, last string) error {
-	if last == "" {
+func resume(g *generation, lastEventID string) error {
+	if lastEventID == "" {
 		return nil
 	}
 	if g.once {
 		return failure.New(failure.ResumeInvalid, "a request that must not be repeated can't be resumed; send it again without %s for its result", api.HeaderLastEventID)
 	}
-	parts := strings.Split(last, ".")
-	const wanted = 3
-	if len(parts) != wanted {
-		return failure.New(failure.ResumeInvalid, "%s %q isn't an event of this service", api.HeaderLastEventID, last)
+	parts := strings.Split(lastEventID, ".")
+	const fields = 3
+	if len(parts) != fields {
+		return failure.New(failure.ResumeInvalid, "%s %q isn't an event of this service", api.HeaderLastEventID, lastEventID)
 	}
 	seed, err := strconv.ParseUint(parts[1], 36, 64)
-	index, err2 := strconv.Atoi(parts[2])
-	if err != nil || err2 != nil || index < 0 || index >= g.tokens {
-		return failure.New(failure.ResumeInvalid, "%s %q isn't an event of this request", api.HeaderLastEventID, last)
+	index, indexErr := strconv.Atoi(parts[2])
+	if err != nil || indexErr != nil || index < 0 || index >= g.maxTokens {
+		return failure.New(failure.ResumeInvalid, "%s %q isn't an event of this request", api.HeaderLastEventID, lastEventID)
 	}
 	g.id = parts[0]
 	g.seed = seed
@@ -191,19 +191,19 @@
 
 // newID returns an id that no other request has, also of other hosts.
 func (s *Server) newID() string {
-	return "lw-" + strconv.FormatUint(drawSeed(), 36) + "-" + strconv.FormatUint(s.nextID.Add(1), 36)
+	return "lw-" + strconv.FormatUint(randomUint64(), 36) + "-" + strconv.FormatUint(s.nextID.Add(1), 36)
 }
 
 func (s *Server) admitAndRun(ctx context.Context, w http.ResponseWriter, g *generation, out *output) (chain.Result, error) {
 	queued := s.svc.Now()
-	if err := s.gate.Acquire(ctx, g.account, g.pipeline.Priority); err != nil {
+	if err := s.queue.Acquire(ctx, g.account, g.pipeline.Priority); err != nil {
 		return chain.Result{}, err
 	}
-	entered := s.svc.Now()
+	admitted := s.svc.Now()
 	defer func() {
-		s.gate.Release(s.svc.Now().Sub(entered))
+		s.queue.Release(s.svc.Now().Sub(admitted))
 	}()
-	s.observe("queue_wait_us", g.account.Name, entered.Sub(queued))
+	s.observe("queue_wait_us", g.account.Name, admitted.Sub(queued))
 	if g.once {
 		return s.runOnce(ctx, w, g, out)
 	}
@@ -212,11 +212,11 @@
 
 func (s *Server) run(ctx context.Context, g *generation, out *output) (chain.Result, error) {
 	return s.runner.Run(ctx, chain.Request{
-		ID:        engineID(g, s.nextID.Add(1)),
+		ID:        sessionRequestID(g, s.nextID.Add(1)),
 		Model:     g.model,
 		Prompt:    g.prompt,
 		Seed:      g.seed,
-		MaxTokens: g.tokens,
+		MaxTokens: g.maxTokens,
 		Priority:  g.pipeline.Priority,
 		Once:      g.once,
 	}, func(t chain.Token) error {
@@ -225,18 +225,18 @@
 		if t.Index < g.skip {
 			return nil
 		}
-		return out.token(t)
+		return out.writeToken(t)
 	})
 }
 
-// engineID names the request to engines. A request that another host began
+// sessionRequestID names the request to engines. A request that another host began
 // must not meet its sessions, which that host may still be cancelling.
-func engineID(g *generation, n uint64) string {
+func sessionRequestID(g *generation, n uint64) string {
 	return g.id + "-" + strconv.FormatUint(n, 36)
 }
 
-// note counts how a request went.
-func (s *Server) note(g *generation, began time.Time, out *output, result chain.Result, err error) {
+// recordMetrics counts how a request went.
+func (s *Server) recordMetrics(g *generation, began time.Time, out *output, result chain.Result, err error) {
 	name := g.account.Name
 	s.metrics.Counter("account_requests", accountLabel(name)).Inc(1)
 	s.metrics.Counter("account_tokens", accountLabel(name)).Inc(int64(result.Tokens))
--- a/pkg/entry/http.go
+++ b/pkg/entry/http.go
@@ -25,17 +25,17 @@
 	mux.HandleFunc("GET "+api.HealthPath, s.serveHealth)
 	mux.HandleFunc("GET "+api.ReadyPath, s.serveReady)
 	mux.HandleFunc("GET "+api.EntriesPath, s.serveEntries)
-	mux.HandleFunc("GET "+api.ModelsPath, s.asAccount(s.serveModels))
-	mux.HandleFunc("POST "+api.ChatPath, s.asAccount(s.serveChat))
-	mux.HandleFunc("POST "+api.CompletionsPath, s.asAccount(s.serveCompletion))
-	mux.HandleFunc(api.ServicesPath+"{service}/{path...}", s.asAccount(s.serveService))
-	mux.HandleFunc("/", serveNothing)
+	mux.HandleFunc("GET "+api.ModelsPath, s.authenticated(s.serveModels))
+	mux.HandleFunc("POST "+api.ChatPath, s.authenticated(s.serveChat))
+	mux.HandleFunc("POST "+api.CompletionsPath, s.authenticated(s.serveCompletion))
+	mux.HandleFunc(api.ServicesPath+"{service}/{path...}", s.authenticated(s.serveService))
+	mux.HandleFunc("/", serveUnmatched)
 	return mux
 }
 
 var callerPaths = []string{api.ModelsPath, api.ChatPath, api.CompletionsPath, api.EntriesPath, api.HealthPath, api.ReadyPath}
 
-func serveNothing(w http.ResponseWriter, r *http.Request) {
+func serveUnmatched(w http.ResponseWriter, r *http.Request) {
 	for _, p := range callerPaths {
 		if r.URL.Path == p {
 			answer.Failure(w, failure.New(failure.MethodNotAllowed, "%s doesn't take %s", p, r.Method))
@@ -45,12 +45,12 @@
 	answer.Failure(w, failure.New(failure.NotFound, "there is nothing at %s; see %s", r.URL.Path, api.ModelsPath))
 }
 
-// accountCall serves a request of a client account.
-type accountCall func(w http.ResponseWriter, r *http.Request, a bundle.Account)
+// accountHandler serves a request of a client account.
+type accountHandler func(w http.ResponseWriter, r *http.Request, a bundle.Account)
 
-// asAccount lets a request through if this host may serve it and its key is a
+// authenticated lets a request through if this host may serve it and its key is a
 // client account's.
-func (s *Server) asAccount(next accountCall) http.HandlerFunc {
+func (s *Server) authenticated(next accountHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Add(1)
 		defer s.requests.Add(-1)
@@ -77,7 +77,7 @@
 	if !ok {
 		return bundle.Account{}, failure.New(failure.Unauthenticated, "a client account's key is needed: Authorization: Bearer <key>")
 	}
-	a, ok := s.keeper.Set().AccountByKey(key)
+	a, ok := s.syncer.Set().AccountByKey(key)
 	if !ok {
 		return bundle.Account{}, failure.New(failure.Unauthenticated, "the key belongs to no client account")
 	}
@@ -88,10 +88,10 @@
 // why. Once it was sure it goes on serving when no control host can be
 // reached: it can't go back, and callers need answers.
 func (s *Server) ready() (bool, string) {
-	if ok, _ := s.keeper.Confirmed(); !ok {
+	if ok, _ := s.syncer.Confirmed(); !ok {
 		return false, "no control majority has confirmed yet which bundles are in force"
 	}
-	if s.keeper.Set().Revision() == 0 {
+	if s.syncer.Set().Revision() == 0 {
 		return false, "no bundle was accepted yet"
 	}
 	return true, ""
@@ -118,7 +118,7 @@
 	if s.leaving.Load() {
 		ok, why = false, "leaving"
 	}
-	confirmed, age := s.keeper.Confirmed()
+	confirmed, age := s.syncer.Confirmed()
 	if !confirmed {
 		age = 0
 	}
@@ -129,7 +129,7 @@
 	answer.Status(w, status, api.Ready{
 		Ready:         ok,
 		Why:           why,
-		Revision:      s.keeper.Set().Revision(),
+		Revision:      s.syncer.Set().Revision(),
 		UnconfirmedMS: age.Milliseconds(),
 	})
 }
@@ -154,7 +154,7 @@
 			Domain:  e.GetDomain(),
 		})
 	}
-	far := func(e api.EntryAddress) int {
+	distance := func(e api.EntryAddress) int {
 		switch {
 		case e.Domain != domain:
 			return 2
@@ -164,7 +164,7 @@
 			return 0
 		}
 	}
-	sort.SliceStable(out.Entries, func(i, j int) bool { return far(out.Entries[i]) < far(out.Entries[j]) })
+	sort.SliceStable(out.Entries, func(i, j int) bool { return distance(out.Entries[i]) < distance(out.Entries[j]) })
 	answer.JSON(w, out)
 }
 
@@ -173,7 +173,7 @@
 		Object: "list",
 		Data:   []api.Model{},
 	}
-	for _, name := range s.keeper.Set().Pipelines() {
+	for _, name := range s.syncer.Set().Pipelines() {
 		out.Data = append(out.Data, api.Model{
 			ID:      name,
 			Object:  "model",
--- a/pkg/entry/measure_test.go
+++ b/pkg/entry/measure_test.go
@@ -18,19 +18,19 @@
 	. "github.com/onsi/gomega"
 )
 
-// counted is a connection whose bytes are counted, both ways.
-type counted struct {
+// countingConn is a connection whose bytes are counted, both ways.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -48,7 +48,7 @@
 					if err != nil {
 						return nil, err
 					}
-					return counted{Conn: c, bytes: bytes}, nil
+					return countingConn{Conn: c, bytes: bytes}, nil
 				},
 			},
 		}
@@ -84,10 +84,10 @@
 		withSystem(3, n, func(s *system) {
 			time.Sleep(8 * time.Second)
 			used := heap() - before
-			const rest = 12
+			const idleSeconds = 12
 			b0, c0 := bytes.Load(), cpu()
-			time.Sleep(rest * time.Second)
-			restBytes, restCPU := float64(bytes.Load()-b0)/rest, (cpu()-c0)/rest
+			time.Sleep(idleSeconds * time.Second)
+			idleBytes, idleCPU := float64(bytes.Load()-b0)/idleSeconds, (cpu()-c0)/idleSeconds
 			var times []time.Duration
 			parent := bundle.Digest([]byte(s.bundleText(1, "")))
 			const changes = 7
@@ -98,15 +98,15 @@
 				parent = bundle.Digest([]byte(text))
 				at := time.Now()
 				s.submit(text)
-				for !s.everywhere(uint64(v)) {
+				for !s.activeEverywhere(uint64(v)) {
 					time.Sleep(time.Millisecond)
 				}
 				times = append(times, time.Since(at))
 			}
 			took := time.Since(began).Seconds()
-			changeBytes := (float64(bytes.Load()-b1) - restBytes*took) / changes
+			changeBytes := (float64(bytes.Load()-b1) - idleBytes*took) / changes
 			sortDurations(times)
-			fmt.Fprintf(f, "%d,%.0f,%d,%d,%.0f,%.1f,%.1f\n", n, restBytes/float64(n), restCPU.Microseconds()/int64(n), used/1024/int64(n),
+			fmt.Fprintf(f, "%d,%.0f,%d,%d,%.0f,%.1f,%.1f\n", n, idleBytes/float64(n), idleCPU.Microseconds()/int64(n), used/1024/int64(n),
 				changeBytes/float64(n), ms(times[changes/2]), ms(times[changes-1]))
 		})
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-func (s *system) everywhere(revision uint64) bool {
+func (s *system) activeEverywhere(revision uint64) bool {
 	for _, e := range s.entries {
 		if e.server.Keeper().Set().Revision() < revision {
 			return false
--- a/pkg/entry/once.go
+++ b/pkg/entry/once.go
@@ -15,11 +15,11 @@
 func (s *Server) runOnce(ctx context.Context, w http.ResponseWriter, g *generation, out *output) (chain.Result, error) {
 	cl, err := s.claims.claim(ctx, g.account.Name, g.key, g.body)
 	if err != nil {
-		s.release(cl, err)
+		s.releaseClaim(cl, err)
 		return chain.Result{}, err
 	}
-	if cl.first != nil {
-		return chain.Result{}, s.repeatOutcome(w, cl.first, out)
+	if cl.recorded != nil {
+		return chain.Result{}, s.sendRecorded(w, cl.recorded, out)
 	}
 	out.record()
 	result, err := s.run(ctx, g, out)
@@ -29,16 +29,16 @@
 
 func generationOutcome(out *output, result chain.Result, err error) *rpc.Outcome {
 	if err == nil {
-		return outcomeOf(http.StatusOK, jsonType, out.whole(result), string(failure.RanYes))
+		return outcomeOf(http.StatusOK, jsonType, out.answer(result), string(failure.RanYes))
 	}
 	return &rpc.Outcome{
 		Ran: string(failure.From(err).Ran()),
 	}
 }
 
-// release frees a key whose claim may stand although it failed: nothing was
+// releaseClaim frees a key whose claim may stand although it failed: nothing was
 // sent, so the caller may come back with it.
-func (s *Server) release(cl *claim, err error) {
+func (s *Server) releaseClaim(cl *claim, err error) {
 	if failure.Is(err, failure.ControlUnavailable) {
 		s.settleLater(cl, &rpc.Outcome{
 			Ran: string(failure.RanNo),
@@ -57,14 +57,14 @@
 	})
 }
 
-// repeatOutcome answers with the first request's outcome.
-func (s *Server) repeatOutcome(w http.ResponseWriter, first *rpc.Outcome, out *output) error {
+// sendRecorded answers with the first request's outcome.
+func (s *Server) sendRecorded(w http.ResponseWriter, first *rpc.Outcome, out *output) error {
 	if first.GetStatus() == 0 {
 		return failure.New(failure.OutcomeUnknown, "the first request with this key has no answer that could be kept").
 			WithRan(failure.Ran(first.GetRan()))
 	}
 	s.metrics.Counter("claims_repeated").Inc(1)
-	out.replace()
+	out.markReplaced()
 	w.Header().Set("Content-Type", first.GetContentType())
 	w.Header().Set(api.HeaderRepeated, "true")
 	w.WriteHeader(int(first.GetStatus()))
--- a/pkg/entry/once_test.go
+++ b/pkg/entry/once_test.go
@@ -17,20 +17,20 @@
 
 const confirmPath = "/v1/services/staff-app/confirm"
 
-func (e *entryHost) confirm(key, body string) got {
+func (e *entryHost) confirm(key, body string) response {
 	return e.send(http.MethodPost, confirmPath, body, api.HeaderIdempotencyKey, key)
 }
 
-// settled sends the same confirmation again until it isn't in progress.
-func (e *entryHost) settled(key, body string) got {
-	var g got
+// confirmUntilSettled sends the same confirmation again until it isn't in progress.
+func (e *entryHost) confirmUntilSettled(key, body string) response {
+	var g response
 	Eventually(func() string {
 		g = e.confirm(key, body)
 		if g.status == http.StatusOK {
 			return ""
 		}
 		return g.failure().Kind
-	}, patience, 20*time.Millisecond).ShouldNot(Equal("in_progress"))
+	}, waitTimeout, 20*time.Millisecond).ShouldNot(Equal("in_progress"))
 	return g
 }
 
@@ -42,7 +42,7 @@
 			By("a resend through another host gets the first answer")
 			first := a.confirm("k1", "Mari")
 			Expect(first.status).To(Equal(http.StatusOK), first.body)
-			again := b.settled("k1", "Mari")
+			again := b.confirmUntilSettled("k1", "Mari")
 			Expect(again.body).To(Equal(first.body))
 			Expect(again.header.Get(api.HeaderRepeated)).To(Equal("true"))
 			Expect(s.service.Runs("k1")).To(Equal(1))
@@ -81,7 +81,7 @@
 			Expect(lost.Kind).To(Equal("endpoint_failed"))
 			Expect(lost.Ran).To(Equal("unknown"))
 			s.service.SetFault(service.Fault{})
-			unknown := b.settled("k3", "Mari").failure()
+			unknown := b.confirmUntilSettled("k3", "Mari").failure()
 			Expect(unknown.Kind).To(Equal("outcome_unknown"))
 			Expect(unknown.Ran).To(Equal("unknown"))
 			Expect(s.service.Runs("k3")).To(Equal(1))
@@ -90,32 +90,32 @@
 			s.service.SetFault(service.Fault{DropCall: true})
 			Expect(a.confirm("k4", "Mari").failure().Ran).To(Equal("unknown"))
 			s.service.SetFault(service.Fault{})
-			Expect(b.settled("k4", "Mari").failure().Kind).To(Equal("outcome_unknown"))
+			Expect(b.confirmUntilSettled("k4", "Mari").failure().Kind).To(Equal("outcome_unknown"))
 			Expect(s.service.Runs("k4")).To(BeZero())
 
 			By("a generation is claimed as well, and a resend gets its text")
 			body := strings.Replace(chatBody, "daily-note", "note-to-parents", 1)
 			note := a.send(http.MethodPost, api.ChatPath, body, api.HeaderIdempotencyKey, "n1")
 			Expect(parseSSE(note.body).done).To(BeTrue(), note.body)
-			var repeat got
+			var repeat response
 			Eventually(func() int {
 				repeat = b.send(http.MethodPost, api.ChatPath, body, api.HeaderIdempotencyKey, "n1")
 				return repeat.status
-			}, patience, 20*time.Millisecond).Should(Equal(http.StatusOK))
+			}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 			Expect(repeat.body).To(ContainSubstring(strings.TrimSpace(parseSSE(note.body).text)))
 			Expect(repeat.header.Get(api.HeaderRepeated)).To(Equal("true"))
 
 			By("a leader that is cut off doesn't forget claims")
 			leader := s.leader()
-			s.rpc[leader].cut(true)
+			s.rpc[leader].setDisconnected(true)
 			Eventually(func() string {
 				return b.confirm("k1", "Mari").body
-			}, patience, 50*time.Millisecond).Should(Equal(first.body))
-			s.rpc[leader].cut(false)
+			}, waitTimeout, 50*time.Millisecond).Should(Equal(first.body))
+			s.rpc[leader].setDisconnected(false)
 
 			By("without a majority nothing is sent, and the caller is told so at once")
 			for i := range s.rpc {
-				s.rpc[i].cut(true)
+				s.rpc[i].setDisconnected(true)
 			}
 			refused := a.confirm("k5", "Mari").failure()
 			Expect(refused.Kind).To(Equal("control_unavailable"))
@@ -123,34 +123,34 @@
 			Expect(refused.RetryAfterMS).To(BeNumerically(">", 0))
 			Expect(s.service.Runs("k5")).To(BeZero())
 			for i := range s.rpc {
-				s.rpc[i].cut(false)
+				s.rpc[i].setDisconnected(false)
 			}
 			Eventually(func() int {
 				return a.confirm("k5", "Mari").status
-			}, patience, 50*time.Millisecond).Should(Equal(http.StatusOK))
+			}, waitTimeout, 50*time.Millisecond).Should(Equal(http.StatusOK))
 			Expect(s.service.Runs("k5")).To(Equal(1))
 
 			By("a service that can't be reached was not run, and the key is free again")
 			_ = s.services.server.Close() // it is meant to break
-			dead := a.confirm("k6", "Mari").failure()
-			Expect(dead.Ran).To(Equal("no"), fmt.Sprint(dead))
+			unreachable := a.confirm("k6", "Mari").failure()
+			Expect(unreachable.Ran).To(Equal("no"), fmt.Sprint(unreachable))
 			Eventually(func() string {
 				return b.confirm("k6", "Mari").failure().Ran
-			}, patience, 50*time.Millisecond).Should(Equal("no"))
+			}, waitTimeout, 50*time.Millisecond).Should(Equal("no"))
 		})
 	})
 })
 
 // leader returns the place of the control host that leads.
 func (s *system) leader() int {
-	at := -1
+	index := -1
 	Eventually(func() int {
 		for i, c := range s.control {
 			if c.Node().HoldsLease() {
-				at = i
+				index = i
 			}
 		}
-		return at
-	}, patience, 20*time.Millisecond).ShouldNot(Equal(-1))
-	return at
+		return index
+	}, waitTimeout, 20*time.Millisecond).ShouldNot(Equal(-1))
+	return index
 }
--- a/pkg/entry/output.go
+++ b/pkg/entry/output.go
@@ -22,24 +22,24 @@
 
 // output writes one generation's answer: as server-sent events, or whole.
 type output struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	g       *generation
-	first   time.Time
-	last    time.Time
-	stream  bool // the stream's header is written
-	done    bool // the answer was written by another way
-	keep    bool // text is kept although the answer is a stream
-	text    strings.Builder
-	buf     []byte
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	g             *generation
+	first         time.Time
+	last          time.Time
+	headerWritten bool // the stream's header is written
+	replaced      bool // the answer was written by another way
+	keepText      bool // text is kept although the answer is a stream
+	text          strings.Builder
+	buf           []byte
 }
 
 func newOutput(w http.ResponseWriter, g *generation) *output {
 	return &output{
-		w:       w,
-		control: http.NewResponseController(w),
-		g:       g,
-		keep:    !g.stream,
+		w:        w,
+		control:  http.NewResponseController(w),
+		g:        g,
+		keepText: !g.stream,
 	}
 }
 
@@ -60,49 +60,49 @@
 
 // record keeps the text, for the outcome of a claim.
 func (o *output) record() {
-	o.keep = true
+	o.keepText = true
 }
 
-// replace notes that the answer was written by another way.
-func (o *output) replace() {
-	o.done = true
+// markReplaced notes that the answer was written by another way.
+func (o *output) markReplaced() {
+	o.replaced = true
 }
 
-// begun reports whether it is too late for an error status.
-func (o *output) begun() bool {
-	return o.stream
+// streamStarted reports whether it is too late for an error status.
+func (o *output) streamStarted() bool {
+	return o.headerWritten
 }
 
-// token writes one token, or keeps it for the whole answer.
-func (o *output) token(t chain.Token) error {
-	if o.keep {
+// writeToken writes one token, or keeps it for the whole answer.
+func (o *output) writeToken(t chain.Token) error {
+	if o.keepText {
 		o.text.WriteString(t.Text)
 	}
 	if !o.g.stream {
 		return nil
 	}
-	if !o.stream {
-		o.begin()
+	if !o.headerWritten {
+		o.startStream()
 	}
 	o.buf = append(o.buf[:0], "id: "...)
 	o.buf = append(o.buf, eventID(o.g, t.Index)...)
 	o.buf = append(o.buf, '\n')
-	return o.event(o.g.format.chunk(o.g, t.Text))
+	return o.writeEvent(o.g.format.chunk(o.g, t.Text))
 }
 
-func (o *output) begin() {
-	o.stream = true
+func (o *output) startStream() {
+	o.headerWritten = true
 	o.w.Header().Set("Content-Type", sseType)
 	o.w.Header().Set("Cache-Control", "no-cache")
 	o.w.WriteHeader(http.StatusOK)
 	if o.g.skip == 0 {
 		o.buf = o.buf[:0]
-		_ = o.event(o.g.format.opening(o.g)) // the next write fails as well
+		_ = o.writeEvent(o.g.format.firstChunk(o.g)) // the next write fails as well
 	}
 }
 
-// event writes v behind what is in buf, and flushes.
-func (o *output) event(v any) error {
+// writeEvent writes v behind what is in buf, and flushes.
+func (o *output) writeEvent(v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -123,35 +123,35 @@
 
 // finish ends a good answer.
 func (o *output) finish(result chain.Result) {
-	if o.done {
+	if o.replaced {
 		return
 	}
 	if !o.g.stream {
 		o.w.Header().Set("Content-Type", jsonType)
 		o.w.Header().Set(api.HeaderPath, strings.Join(result.Path, ","))
-		_, _ = o.w.Write(o.whole(result)) // the caller is gone if it fails
+		_, _ = o.w.Write(o.answer(result)) // the caller is gone if it fails
 		return
 	}
-	if !o.stream {
-		o.begin()
+	if !o.headerWritten {
+		o.startStream()
 	}
 	// The comment shares a block with data: some clients take a block that
 	// holds nothing else for an empty event.
 	o.buf = append(o.buf[:0], ": path "+strings.Join(result.Path, ",")+"\n"...)
-	_ = o.event(o.g.format.closing(o.g, result)) // the caller is gone if it fails
+	_ = o.writeEvent(o.g.format.lastChunk(o.g, result)) // the caller is gone if it fails
 	_ = o.write([]byte("data: [DONE]\n\n"))
 }
 
-// fail ends a stream that can't be carried on. There is no [DONE] after it,
+// failStream ends a stream that can't be carried on. There is no [DONE] after it,
 // so that no client takes it for whole.
-func (o *output) fail(f *failure.Error) {
+func (o *output) failStream(f *failure.Error) {
 	o.buf = append(o.buf[:0], "event: error\n"...)
-	_ = o.event(answer.Body(f)) // the caller is gone if it fails
+	_ = o.writeEvent(answer.Body(f)) // the caller is gone if it fails
 }
 
-// whole returns the answer that isn't a stream.
-func (o *output) whole(result chain.Result) []byte {
-	body, err := json.Marshal(o.g.format.whole(o.g, strings.TrimSpace(o.text.String()), result))
+// answer returns the answer that isn't a stream.
+func (o *output) answer(result chain.Result) []byte {
+	body, err := json.Marshal(o.g.format.answer(o.g, strings.TrimSpace(o.text.String()), result))
 	if err != nil {
 		return nil
 	}
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	beatInterval  = 2 * time.Second
-	beatTimeout   = time.Second
-	probeInterval = time.Second
-	probeTimeout  = 800 * time.Millisecond
+	heartbeatInterval = 2 * time.Second
+	heartbeatTimeout  = time.Second
+	probeInterval     = time.Second
+	probeTimeout      = 800 * time.Millisecond
 	// probeEvery is how many intervals pass between two probes of an endpoint
 	// that is well. One that isn't is probed at each.
 	probeEvery = 5
 )
 
-// beatLoop tells the control hosts that this one is there, and takes what
+// heartbeatLoop tells the control hosts that this one is there, and takes what
 // they know of the others and of the endpoints.
-func (s *Server) beatLoop(ctx context.Context) {
-	ticks := s.svc.Every(beatInterval)
+func (s *Server) heartbeatLoop(ctx context.Context) {
+	ticks := s.svc.Every(heartbeatInterval)
 	defer ticks.Stop()
 	for {
-		s.beat(ctx)
-		s.gate.CapacityChanged()
-		s.countState()
+		s.heartbeat(ctx)
+		s.queue.CapacityChanged()
+		s.updateGauges()
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticks.C():
-		case <-s.watcher.news:
+		case <-s.watcher.changed:
 		}
 	}
 }
@@ -64,16 +64,16 @@
 	return e != nil && e.Info().GetState() == rpc.EndpointState_ENDPOINT_SUSPECT
 }
 
-func (s *Server) countState() {
-	waiting, running := s.gate.Counts()
+func (s *Server) updateGauges() {
+	waiting, running := s.queue.Counts()
 	s.metrics.Gauge("queue_waiting").Update(int64(waiting))
 	s.metrics.Gauge("queue_running").Update(int64(running))
 	s.metrics.Gauge("capacity").Update(int64(s.capacity()))
-	_, age := s.keeper.Confirmed()
+	_, age := s.syncer.Confirmed()
 	s.metrics.Gauge("revision_unconfirmed_ms").Update(age.Milliseconds())
 }
 
-func (s *Server) beat(ctx context.Context) {
+func (s *Server) heartbeat(ctx context.Context) {
 	epoch, version, entries := s.dir.Known()
 	ready, _ := s.ready()
 	r := &rpc.BeatRequest{
@@ -83,17 +83,17 @@
 			CallerAddress: s.cfg.CallerAddress,
 			RpcAddress:    s.cfg.RPCAddress,
 			Ready:         ready,
-			Revision:      s.keeper.Set().Revision(),
+			Revision:      s.syncer.Set().Revision(),
 			Leaving:       s.leaving.Load(),
 		},
 		Epoch:          epoch,
 		Version:        version,
 		EntriesVersion: entries,
 		WatchDigest:    s.watcher.digest(),
-		Reports:        s.watcher.reports(epoch),
+		Reports:        s.watcher.takeReports(epoch),
 	}
 	for _, address := range s.cfg.Control {
-		reply, err := s.beatOnce(ctx, address, r)
+		reply, err := s.sendHeartbeat(ctx, address, r)
 		if err == nil {
 			s.dir.Take(reply)
 			s.watcher.assign(reply.GetWatch(), reply.GetWatchDigest())
@@ -101,11 +101,11 @@
 		}
 		s.metrics.Counter("beat_failures").Inc(1)
 	}
-	s.watcher.undo()
+	s.watcher.markUnreported()
 }
 
-func (s *Server) beatOnce(ctx context.Context, address string, r *rpc.BeatRequest) (*rpc.BeatReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (s *Server) sendHeartbeat(ctx context.Context, address string, r *rpc.BeatRequest) (*rpc.BeatReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	return rpc.NewPresenceProtobufClient("http://"+address, s.clients.RPC).Beat(ctx, r)
 }
@@ -114,32 +114,32 @@
 type watcher struct {
 	client *http.Client
 	svc    timer.Service
-	// news wakes the beat when an endpoint has changed.
-	news chan struct{}
+	// changed wakes the beat when an endpoint has changed.
+	changed chan struct{}
 
-	mu    sync.Mutex
-	list  []string
-	seen  map[string]*probed
-	epoch uint64 // of the leader that the reports were made to
-	// listDigest is the leader's name for list.
-	listDigest uint64
+	mu       sync.Mutex
+	assigned []string
+	seen     map[string]*probeState
+	epoch    uint64 // of the leader that the reports were made to
+	// assignedDigest is the leader's name for list.
+	assignedDigest uint64
 }
 
-// probed is what a watcher knows of one endpoint.
-type probed struct {
-	reachable bool
-	fresh     bool // probed since the last report
-	info      *rpc.Endpoint
-	tag       string // of info, as the endpoint gave it
-	told      uint64 // epoch in which info was reported
+// probeState is what a watcher knows of one endpoint.
+type probeState struct {
+	reachable     bool
+	unsent        bool // probed since the last report
+	info          *rpc.Endpoint
+	etag          string // of info, as the endpoint gave it
+	reportedEpoch uint64 // epoch in which info was reported
 }
 
 func newWatcher(client *http.Client, svc timer.Service) *watcher {
 	return &watcher{
-		client: client,
-		svc:    svc,
-		news:   make(chan struct{}, 1),
-		seen:   map[string]*probed{},
+		client:  client,
+		svc:     svc,
+		changed: make(chan struct{}, 1),
+		seen:    map[string]*probeState{},
 	}
 }
 
@@ -147,19 +147,19 @@
 func (w *watcher) digest() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.listDigest
+	return w.assignedDigest
 }
 
 // assign takes the list of endpoints to watch, unless it is the one held.
 func (w *watcher) assign(list []string, digest uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if digest == w.listDigest {
+	if digest == w.assignedDigest {
 		return
 	}
-	w.list = list
-	w.listDigest = digest
-	keep := map[string]*probed{}
+	w.assigned = list
+	w.assignedDigest = digest
+	keep := map[string]*probeState{}
 	for _, a := range list {
 		if p := w.seen[a]; p != nil {
 			keep[a] = p
@@ -172,7 +172,7 @@
 func (w *watcher) probe(ctx context.Context, turn uint64, suspected func(string) bool) {
 	w.mu.Lock()
 	var due []string
-	for _, a := range w.list {
+	for _, a := range w.assigned {
 		p := w.seen[a]
 		if p == nil || !p.reachable || (turn+xxhash.Sum64String(a))%probeEvery == 0 || suspected(a) {
 			due = append(due, a)
@@ -183,94 +183,94 @@
 	defer g.Stop()
 	for _, address := range due {
 		g.Go(func(ctx context.Context) {
-			w.ask(ctx, address)
+			w.probeEndpoint(ctx, address)
 		})
 	}
 	g.Wait()
 }
 
-// note takes what a probe brought. A probe that says that nothing changed
+// record takes what a probe brought. A probe that says that nothing changed
 // brings no info.
-func (w *watcher) note(address string, info *rpc.Endpoint, tag string, reachable bool) {
+func (w *watcher) record(address string, info *rpc.Endpoint, tag string, reachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.seen[address]
 	if p == nil {
-		p = &probed{}
+		p = &probeState{}
 		w.seen[address] = p
 	}
 	changed := p.reachable != reachable
 	p.reachable = reachable
-	p.fresh = true
+	p.unsent = true
 	if info != nil && !proto.Equal(info, p.info) {
 		p.info = info
-		p.told = 0
+		p.reportedEpoch = 0
 		changed = true
 	}
 	if tag != "" {
-		p.tag = tag
+		p.etag = tag
 	}
 	if !changed {
 		return
 	}
 	select {
-	case w.news <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-// reports returns what was seen since the last report; what an endpoint said
+// takeReports returns what was seen since the last report; what an endpoint said
 // of itself only if the leader of that epoch wasn't told yet.
-func (w *watcher) reports(epoch uint64) []*rpc.EndpointReport {
+func (w *watcher) takeReports(epoch uint64) []*rpc.EndpointReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	again := epoch != w.epoch
+	newEpoch := epoch != w.epoch
 	w.epoch = epoch
 	list := make([]*rpc.EndpointReport, 0, len(w.seen))
 	for address, p := range w.seen {
-		if !p.fresh && !again {
+		if !p.unsent && !newEpoch {
 			continue
 		}
-		p.fresh = false
+		p.unsent = false
 		r := &rpc.EndpointReport{
 			Address:   address,
 			Reachable: p.reachable,
 		}
-		if p.told != epoch || epoch == 0 {
+		if p.reportedEpoch != epoch || epoch == 0 {
 			r.Info = p.info
-			p.told = epoch
+			p.reportedEpoch = epoch
 		}
 		list = append(list, r)
 	}
 	return list
 }
 
-// undo makes the next report hold again what one that got lost held.
-func (w *watcher) undo() {
+// markUnreported makes the next report hold again what one that got lost held.
+func (w *watcher) markUnreported() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.epoch = 0
 	for _, p := range w.seen {
-		p.told = 0
+		p.reportedEpoch = 0
 	}
 }
 
-// ask reads an endpoint's info: an engine's, or else a plain service's.
-func (w *watcher) ask(ctx context.Context, address string) {
+// probeEndpoint reads an endpoint's info: an engine's, or else a plain service's.
+func (w *watcher) probeEndpoint(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	engine := api.EngineInfo{}
 	tag, err := w.get(ctx, address, api.EngineInfoPath, &engine)
 	if err == nil {
-		w.note(address, engineInfo(engine), tag, true)
+		w.record(address, engineInfo(engine), tag, true)
 		return
 	}
 	service := api.ServiceInfo{}
 	if _, err := w.get(ctx, address, api.ServiceInfoPath, &service); err != nil {
-		w.note(address, nil, "", false)
+		w.record(address, nil, "", false)
 		return
 	}
-	w.note(address, serviceToWire(service), "", true)
+	w.record(address, serviceToWire(service), "", true)
 }
 
 // engineInfo returns nothing for an answer without content.
@@ -288,7 +288,7 @@
 	if err != nil {
 		return "", errors.Wrap(err, "request")
 	}
-	if tag := w.tag(address); tag != "" {
+	if tag := w.etag(address); tag != "" {
 		req.Header.Set("If-None-Match", tag)
 	}
 	req.Header.Set("User-Agent", "")
@@ -310,11 +310,11 @@
 	return resp.Header.Get("ETag"), nil
 }
 
-func (w *watcher) tag(address string) string {
+func (w *watcher) etag(address string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p := w.seen[address]; p != nil {
-		return p.tag
+		return p.etag
 	}
 	return ""
 }
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	defaultBudget         = 700 * time.Millisecond
+	defaultLatencyBudget  = 700 * time.Millisecond
 	defaultRequestTimeout = 2 * time.Minute
 	sweepInterval         = time.Minute
 )
@@ -34,12 +34,12 @@
 	clients  Clients
 	metrics  *metrics.Set
 	group    *group.Group
-	keeper   *rollout.Syncer
+	syncer   *rollout.Syncer
 	dir      *directory.Directory
 	router   *route.Router
 	runner   *chain.Runner
 	accounts *limits.Accounts
-	gate     *limits.AdmissionQueue
+	queue    *limits.AdmissionQueue
 	claims   *claimer
 	watcher  *watcher
 
@@ -73,8 +73,8 @@
 		dir:         directory.New(svc),
 		incarnation: uint64(svc.Now().UnixNano()),
 	}
-	s.keeper = rollout.New(cfg.Host, cfg.Control, s.peers, trust, svc, clients.RPC, set)
-	s.router = route.New(route.Policy(cfg.Policy), cfg.Domain, s.hosts, rand.New(rand.NewPCG(s.incarnation, 1)))
+	s.syncer = rollout.New(cfg.Host, cfg.Control, s.peers, trust, svc, clients.RPC, set)
+	s.router = route.New(route.Policy(cfg.Policy), cfg.Domain, s.hostCount, rand.New(rand.NewPCG(s.incarnation, 1)))
 	s.runner = chain.New(chain.Config{
 		Client:    clients.Endpoints,
 		Directory: s.dir,
@@ -83,8 +83,8 @@
 		Metrics:   set,
 		Group:     g,
 	})
-	s.accounts = limits.NewAccounts(svc, s.hosts)
-	s.gate = limits.NewAdmissionQueue(svc, cfg.LatencyBudget.Or(defaultBudget), s.capacity)
+	s.accounts = limits.NewAccounts(svc, s.hostCount)
+	s.queue = limits.NewAdmissionQueue(svc, cfg.LatencyBudget.Or(defaultLatencyBudget), s.capacity)
 	s.claims = newClaimer(cfg.Host, s.incarnation, cfg.Control, clients.RPC, cfg.RequestLimit.Or(defaultRequestTimeout))
 	s.watcher = newWatcher(clients.Endpoints, svc)
 	return s, nil
@@ -92,8 +92,8 @@
 
 // Start begins to fetch bundles and to beat.
 func (s *Server) Start() {
-	s.group.Go(s.keeper.Run)
-	s.group.Go(s.beatLoop)
+	s.group.Go(s.syncer.Run)
+	s.group.Go(s.heartbeatLoop)
 	s.group.Go(s.probeLoop)
 	s.group.Go(s.sweepLoop)
 }
@@ -101,14 +101,14 @@
 // RPC returns the handler for other processes of the system.
 func (s *Server) RPC() http.Handler {
 	mux := http.NewServeMux()
-	server := rpc.NewRolloutServer(s.keeper)
+	server := rpc.NewRolloutServer(s.syncer)
 	mux.Handle(server.PathPrefix(), server)
 	return mux
 }
 
 // Keeper returns the holder of the set in force.
 func (s *Server) Keeper() *rollout.Syncer {
-	return s.keeper
+	return s.syncer
 }
 
 // Directory returns the view of the endpoints.
@@ -118,14 +118,14 @@
 
 // Gate returns the queue in front of the engines.
 func (s *Server) Gate() *limits.AdmissionQueue {
-	return s.gate
+	return s.queue
 }
 
 // Drain makes the host leave: it takes no new work, and Drain returns once
 // every request in flight has ended or ctx has. It reports how many had not.
 func (s *Server) Drain(ctx context.Context) int64 {
 	s.leaving.Store(true)
-	s.beat(ctx)
+	s.heartbeat(ctx)
 	logflags.Info(logflags.Entry, "leaving", "in_flight", s.requests.Load())
 	for s.requests.Load() > 0 {
 		if timer.Sleep(ctx, s.svc, drainPoll) != nil {
@@ -137,8 +137,8 @@
 
 const drainPoll = 20 * time.Millisecond
 
-// hosts returns how many entry hosts there are, this one included.
-func (s *Server) hosts() int {
+// hostCount returns how many entry hosts there are, this one included.
+func (s *Server) hostCount() int {
 	return max(1, s.dir.Hosts())
 }
 
@@ -158,12 +158,12 @@
 // the slots at the layer, over all models, of which there are the fewest.
 func (s *Server) capacity() int {
 	total := 0
-	for _, b := range s.keeper.Set().Bundles() {
+	for _, b := range s.syncer.Set().Bundles() {
 		for _, m := range b.Models {
 			total += route.Slots(s.dir.Stages(m.Name, m.Version), m.Layers)
 		}
 	}
-	return max(1, total/s.hosts())
+	return max(1, total/s.hostCount())
 }
 
 func (s *Server) sweepLoop(ctx context.Context) {
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -49,23 +49,23 @@
 	}
 	defer s.accounts.Release(a, 0)
 	began := s.svc.Now()
-	rep, repeated, err := s.callService(r.Context(), c)
+	answer, repeated, err := s.callService(r.Context(), c)
 	s.metrics.Counter("account_calls", accountLabel(a.Name)).Inc(1)
 	if err != nil {
 		s.fail(w, a.Name, err)
 		return
 	}
 	s.observe("account_call_us", a.Name, s.svc.Now().Sub(began))
-	w.Header().Set("Content-Type", rep.contentType)
+	w.Header().Set("Content-Type", answer.contentType)
 	if repeated {
 		w.Header().Set(api.HeaderRepeated, "true")
 	}
-	w.WriteHeader(rep.status)
-	_, _ = w.Write(rep.body) // the caller is gone if it fails
+	w.WriteHeader(answer.status)
+	_, _ = w.Write(answer.body) // the caller is gone if it fails
 }
 
 func (s *Server) readCall(r *http.Request, a bundle.Account) (*call, error) {
-	service, ok := s.keeper.Set().Service(r.PathValue("service"))
+	service, ok := s.syncer.Set().Service(r.PathValue("service"))
 	if !ok {
 		return nil, failure.New(failure.UnknownService, "no service %q", r.PathValue("service"))
 	}
@@ -104,98 +104,98 @@
 // reports whether the answer is the first one's.
 func (s *Server) callService(ctx context.Context, c *call) (*reply, bool, error) {
 	if !c.once {
-		rep, err := s.callRepeatable(ctx, c)
-		return rep, false, err
+		answer, err := s.callRetryable(ctx, c)
+		return answer, false, err
 	}
-	cl, err := s.claims.claim(ctx, c.account.Name, c.key, claimText(c))
+	cl, err := s.claims.claim(ctx, c.account.Name, c.key, claimPayload(c))
 	if err != nil {
-		s.release(cl, err)
+		s.releaseClaim(cl, err)
 		return nil, false, err
 	}
-	if cl.first != nil {
-		rep, err := firstReply(cl)
-		return rep, true, err
+	if cl.recorded != nil {
+		answer, err := recordedReply(cl)
+		return answer, true, err
 	}
-	rep, err := s.callOnce(ctx, c)
+	answer, err := s.callOnce(ctx, c)
 	if err != nil {
 		s.settleLater(cl, outcomeOf(0, "", nil, string(failure.From(err).Ran())))
 		return nil, false, err
 	}
-	s.settleLater(cl, outcomeOf(rep.status, rep.contentType, rep.body, string(failure.RanYes)))
-	return rep, false, nil
+	s.settleLater(cl, outcomeOf(answer.status, answer.contentType, answer.body, string(failure.RanYes)))
+	return answer, false, nil
 }
 
-// claimText is what must be the same in a resend.
-func claimText(c *call) []byte {
+// claimPayload is what must be the same in a resend.
+func claimPayload(c *call) []byte {
 	return append([]byte(c.method+" "+c.service.Name+" "+c.path+"\n"), c.body...)
 }
 
-func firstReply(cl *claim) (*reply, error) {
-	if cl.first.GetStatus() == 0 {
+func recordedReply(cl *claim) (*reply, error) {
+	if cl.recorded.GetStatus() == 0 {
 		return nil, failure.New(failure.OutcomeUnknown, "the first call with the key %q was sent, and its answer was lost", cl.key).
-			WithRan(failure.Ran(cl.first.GetRan()))
+			WithRan(failure.Ran(cl.recorded.GetRan()))
 	}
 	return &reply{
-		status:      int(cl.first.GetStatus()),
-		contentType: cl.first.GetContentType(),
-		body:        cl.first.GetBody(),
+		status:      int(cl.recorded.GetStatus()),
+		contentType: cl.recorded.GetContentType(),
+		body:        cl.recorded.GetBody(),
 	}, nil
 }
 
 // callOnce sends the call to one endpoint. It tries another only as long as
 // no connection was made, so that no byte can have reached any.
 func (s *Server) callOnce(ctx context.Context, c *call) (*reply, error) {
-	return s.tryEach(ctx, c, func(err error) bool {
+	return s.tryEndpoints(ctx, c, func(err error) bool {
 		return neverSent(err)
 	})
 }
 
 const maxTries = 3
 
-// callRepeatable sends the call, to others too if one fails.
-func (s *Server) callRepeatable(ctx context.Context, c *call) (*reply, error) {
-	return s.tryEach(ctx, c, func(error) bool {
+// callRetryable sends the call, to others too if one fails.
+func (s *Server) callRetryable(ctx context.Context, c *call) (*reply, error) {
+	return s.tryEndpoints(ctx, c, func(error) bool {
 		return true
 	})
 }
 
-// tryEach tries endpoints, the least busy first, for as long as again allows.
-func (s *Server) tryEach(ctx context.Context, c *call, again func(error) bool) (*reply, error) {
+// tryEndpoints tries endpoints, the least busy first, for as long as again allows.
+func (s *Server) tryEndpoints(ctx context.Context, c *call, mayRetry func(error) bool) (*reply, error) {
 	tried := map[string]bool{}
 	ran := failure.RanNo
-	var last error
+	var lastErr error
 	for len(tried) < maxTries {
 		e := s.leastBusy(c.service.Name, tried)
 		if e == nil {
 			break
 		}
 		tried[e.Address()] = true
-		rep, err := s.send(ctx, e, c)
+		answer, err := s.send(ctx, e, c)
 		if err == nil {
-			return rep, nil
+			return answer, nil
 		}
 		e.Failed()
-		last = err
+		lastErr = err
 		if !neverSent(err) {
 			ran = failure.RanUnknown
 		}
-		if ctx.Err() != nil || !again(err) {
+		if ctx.Err() != nil || !mayRetry(err) {
 			break
 		}
 	}
-	if last == nil {
+	if lastErr == nil {
 		return nil, failure.New(failure.NoChain, "no endpoint of service %q takes work", c.service.Name)
 	}
 	if ctx.Err() != nil {
-		return nil, failure.Wrap(last, failure.DeadlineExceeded, "the call's time ran out").WithRan(ran)
+		return nil, failure.Wrap(lastErr, failure.DeadlineExceeded, "the call's time ran out").WithRan(ran)
 	}
-	return nil, failure.Wrap(last, failure.EndpointFailed, "service %q did not answer", c.service.Name).WithRan(ran)
+	return nil, failure.Wrap(lastErr, failure.EndpointFailed, "service %q did not answer", c.service.Name).WithRan(ran)
 }
 
-func (s *Server) leastBusy(service string, without map[string]bool) *directory.Endpoint {
+func (s *Server) leastBusy(service string, exclude map[string]bool) *directory.Endpoint {
 	var best *directory.Endpoint
 	for _, e := range s.dir.Service(service) {
-		if without[e.Address()] {
+		if exclude[e.Address()] {
 			continue
 		}
 		if best == nil || better(e, best) {
@@ -214,8 +214,8 @@
 
 // neverSent reports whether the call failed before a connection was made.
 func neverSent(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
 // clientFor returns the client that may make the call. One that must not be
@@ -228,7 +228,7 @@
 	return s.clients.Endpoints
 }
 
-var passedHeaders = []string{"Content-Type", "Accept", "Accept-Language", api.HeaderIdempotencyKey}
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", api.HeaderIdempotencyKey}
 
 func (s *Server) send(ctx context.Context, e *directory.Endpoint, c *call) (*reply, error) {
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+e.Address()+c.path, io.NopCloser(bytes.NewReader(c.body)))
@@ -236,7 +236,7 @@
 		return nil, errors.Wrap(err, "request")
 	}
 	req.ContentLength = int64(len(c.body))
-	for _, h := range passedHeaders {
+	for _, h := range forwardedHeaders {
 		if v := c.header.Get(h); v != "" {
 			req.Header.Set(h, v)
 		}
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -43,9 +43,9 @@
 	domain string
 	hosts  func() int
 
-	mu   sync.Mutex
-	rand *rand.Rand
-	turn int
+	mu        sync.Mutex
+	rand      *rand.Rand
+	nextIndex int
 }
 
 // New returns a router for a host in domain; hosts gives how many entry hosts
@@ -59,56 +59,56 @@
 	}
 }
 
-// span is the endpoints that hold the same layers.
-type span struct {
-	first int
-	end   int
-	all   []*directory.Endpoint
+// layerRange is the endpoints that hold the same layers.
+type layerRange struct {
+	first     int
+	end       int
+	endpoints []*directory.Endpoint
 }
 
 // Choose returns the chain that covers layers [first, end) at the least cost,
 // or nil if none does. Endpoints in without are left out; those that failed a
 // short while ago are used only if there is no other way.
-func (r *Router) Choose(all []*directory.Endpoint, first, end int, without map[string]bool) Chain {
-	var good, rest []*directory.Endpoint
-	for _, e := range all {
+func (r *Router) Choose(endpoints []*directory.Endpoint, first, end int, exclude map[string]bool) Chain {
+	var preferred, avoided []*directory.Endpoint
+	for _, e := range endpoints {
 		switch {
-		case without[e.Address()]:
+		case exclude[e.Address()]:
 		case e.Avoided():
-			rest = append(rest, e)
+			avoided = append(avoided, e)
 		default:
-			good = append(good, e)
+			preferred = append(preferred, e)
 		}
 	}
-	if c := r.cheapest(spans(good), first, end); c != nil {
+	if c := r.cheapest(groupByRange(preferred), first, end); c != nil {
 		return c
 	}
-	return r.cheapest(spans(append(good, rest...)), first, end)
+	return r.cheapest(groupByRange(append(preferred, avoided...)), first, end)
 }
 
-// spans groups endpoints by the layers they hold, in the layers' order.
-func spans(all []*directory.Endpoint) []*span {
+// groupByRange groups endpoints by the layers they hold, in the layers' order.
+func groupByRange(endpoints []*directory.Endpoint) []*layerRange {
 	type bounds struct {
 		first int
 		end   int
 	}
-	by := map[bounds]*span{}
-	var list []*span
-	for _, e := range all {
+	byBounds := map[bounds]*layerRange{}
+	var list []*layerRange
+	for _, e := range endpoints {
 		b := bounds{
 			first: int(e.Info().GetFirstLayer()),
 			end:   int(e.Info().GetEndLayer()),
 		}
-		s := by[b]
+		s := byBounds[b]
 		if s == nil {
-			s = &span{
+			s = &layerRange{
 				first: b.first,
 				end:   b.end,
 			}
-			by[b] = s
+			byBounds[b] = s
 			list = append(list, s)
 		}
-		s.all = append(s.all, e)
+		s.endpoints = append(s.endpoints, e)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		if list[i].first != list[j].first {
@@ -119,8 +119,8 @@
 	return list
 }
 
-// reach is the cheapest way found to a layer boundary.
-type reach struct {
+// partialChain is the cheapest way found to a layer boundary.
+type partialChain struct {
 	cost float64
 	last *directory.Endpoint
 	from int
@@ -128,11 +128,11 @@
 
 // cheapest finds the cheapest path over the layer boundaries. Since spans come
 // in the order of their first layer, one pass over them is enough.
-func (r *Router) cheapest(list []*span, first, end int) Chain {
-	best := map[int]reach{
+func (r *Router) cheapest(ranges []*layerRange, first, end int) Chain {
+	best := map[int]partialChain{
 		first: {},
 	}
-	for _, s := range list {
+	for _, s := range ranges {
 		at, ok := best[s.first]
 		if !ok || s.first < first || s.end > end {
 			continue
@@ -140,7 +140,7 @@
 		e, cost := r.pick(s)
 		old, known := best[s.end]
 		if total := at.cost + cost; !known || total < old.cost {
-			best[s.end] = reach{
+			best[s.end] = partialChain{
 				cost: total,
 				last: e,
 				from: s.first,
@@ -163,52 +163,52 @@
 }
 
 // pick chooses one endpoint of a span by the policy, and says what it costs.
-func (r *Router) pick(s *span) (*directory.Endpoint, float64) {
+func (r *Router) pick(s *layerRange) (*directory.Endpoint, float64) {
 	switch r.policy {
 	case RoundRobin:
 		r.mu.Lock()
-		r.turn++
-		e := s.all[r.turn%len(s.all)]
+		r.nextIndex++
+		e := s.endpoints[r.nextIndex%len(s.endpoints)]
 		r.mu.Unlock()
 		return e, 1
 	case LeastOutstanding:
-		return r.least(s.all, outstanding), 1
+		return r.least(s.endpoints, outstanding), 1
 	case TwoChoices:
-		return r.least(r.sample(s.all, 2), outstanding), 1
+		return r.least(r.sample(s.endpoints, 2), outstanding), 1
 	default:
-		e := r.least(r.sample(s.all, sampled), r.cost)
+		e := r.least(r.sample(s.endpoints, sampleSize), r.cost)
 		return e, r.cost(e)
 	}
 }
 
-// sampled is among how many random endpoints of a span the cheapest is taken.
+// sampleSize is among how many random endpoints of a span the cheapest is taken.
 // Looking at all of them would send every host to the same one when reports
 // are stale.
-const sampled = 4
+const sampleSize = 4
 
-func (r *Router) sample(all []*directory.Endpoint, n int) []*directory.Endpoint {
-	if len(all) <= n {
-		return all
+func (r *Router) sample(endpoints []*directory.Endpoint, n int) []*directory.Endpoint {
+	if len(endpoints) <= n {
+		return endpoints
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	chosen := make([]*directory.Endpoint, 0, n)
-	for _, i := range r.rand.Perm(len(all))[:n] {
-		chosen = append(chosen, all[i])
+	for _, i := range r.rand.Perm(len(endpoints))[:n] {
+		chosen = append(chosen, endpoints[i])
 	}
 	return chosen
 }
 
-func (r *Router) least(all []*directory.Endpoint, cost func(*directory.Endpoint) float64) *directory.Endpoint {
+func (r *Router) least(endpoints []*directory.Endpoint, cost func(*directory.Endpoint) float64) *directory.Endpoint {
 	r.mu.Lock()
-	start := r.rand.IntN(len(all)) // so that ties don't all fall to the first
+	start := r.rand.IntN(len(endpoints)) // so that ties don't all fall to the first
 	r.mu.Unlock()
-	best := all[start]
-	low := math.Inf(1)
-	for i := range all {
-		e := all[(start+i)%len(all)]
-		if c := cost(e); c < low {
-			low = c
+	best := endpoints[start]
+	lowest := math.Inf(1)
+	for i := range endpoints {
+		e := endpoints[(start+i)%len(endpoints)]
+		if c := cost(e); c < lowest {
+			lowest = c
 			best = e
 		}
 	}
@@ -219,18 +219,18 @@
 	return float64(e.Inflight())
 }
 
-// farLink is what a stage in another failure domain costs more, before a
+// otherDomainDelay is what a stage in another failure domain costs more, before a
 // round-trip time is known.
-const farLink = time.Millisecond
+const otherDomainDelay = time.Millisecond
 
-// warmUp is how long an endpoint that has joined is given less work.
+// warmUpPeriod is how long an endpoint that has joined is given less work.
 const (
-	warmUp     = 5 * time.Second
-	warmUpCost = 4
+	warmUpPeriod = 5 * time.Second
+	warmUpFactor = 4
 )
 
-// fullCost keeps requests away from an endpoint whose slots seem to be taken.
-const fullCost = 100
+// fullPenalty keeps requests away from an endpoint whose slots seem to be taken.
+const fullPenalty = 100
 
 // cost is about how long a step of one more request would take at the
 // endpoint, in microseconds: its own pass, and the passes of others that it
@@ -244,17 +244,17 @@
 	own := layers * (float64(info.GetLayerUs()) + float64(info.GetSequenceUs())*math.Min(n, batch))
 	link := float64(e.RTT().Microseconds())
 	if link == 0 && info.GetDomain() != r.domain {
-		link = float64(farLink.Microseconds())
+		link = float64(otherDomainDelay.Microseconds())
 	}
 	c := own + full*n/batch + link
 	if r.policy == ByCapacity {
 		c = full * n / batch
 	}
 	if slots := float64(info.GetSlots()); slots > 0 && n > slots {
-		c *= fullCost
+		c *= fullPenalty
 	}
-	if age := e.Age(); age < warmUp {
-		c *= 1 + (warmUpCost-1)*(1-float64(age)/float64(warmUp))
+	if age := e.Age(); age < warmUpPeriod {
+		c *= 1 + (warmUpFactor-1)*(1-float64(age)/float64(warmUpPeriod))
 	}
 	return c
 }
@@ -272,19 +272,19 @@
 
 // Slots returns how many requests the engines have room for at the layer at
 // which they have the least; 0 if a layer is held by none.
-func Slots(all []*directory.Endpoint, layers int) int {
-	at := make([]int, layers+1)
-	for _, e := range all {
+func Slots(endpoints []*directory.Endpoint, layers int) int {
+	changes := make([]int, layers+1)
+	for _, e := range endpoints {
 		info := e.Info()
 		first := min(int(info.GetFirstLayer()), layers)
 		end := min(int(info.GetEndLayer()), layers)
-		at[first] += int(info.GetSlots())
-		at[end] -= int(info.GetSlots())
+		changes[first] += int(info.GetSlots())
+		changes[end] -= int(info.GetSlots())
 	}
-	low, sum := math.MaxInt, 0
-	for _, change := range at[:layers] {
+	lowest, sum := math.MaxInt, 0
+	for _, change := range changes[:layers] {
 		sum += change
-		low = min(low, sum)
+		lowest = min(lowest, sum)
 	}
-	return max(0, low)
+	return max(0, lowest)
 }
