--- a/pkg/entry/callers_test.go
+++ b/pkg/entry/callers_test.go
@@ -13,7 +13,7 @@
 	"github.com/openai/openai-go/option"
 )
 
-// reference is the right answer to a chat with one user message.
+// reference returns the expected answer to a chat with one user message.
 func reference(text string, seed uint64, n int) string {
 	var b strings.Builder
 	for _, t := range model.Reference(layers, seed, model.Tokenize("user: "+text+"\n"), n) {
@@ -22,7 +22,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// sse is what a stream held.
+// sse is the parsed content of an event stream: its text, the id of its last
+// event, and whether it ended with [DONE].
 type sse struct {
 	text string
 	last string
@@ -50,9 +51,9 @@
 const chatBody = `{"model":"daily-note","messages":[{"role":"user","content":"Tere"}],"stream":true,"seed":5,"max_tokens":20}`
 
 var _ = Describe("callers", Ordered, func() {
-	It("are served as they should be", func() {
+	It("get correct answers, resumable streams, and a typed failure for bad input", func() {
 		withSystem(1, 2, func(s *system) {
-			By("an unmodified OpenAI client")
+			By("an unmodified OpenAI client gets a complete stream")
 			e := s.entries[0]
 			client := openai.NewClient(option.WithBaseURL("http://"+e.callers.address+"/v1"), option.WithAPIKey(callerKey), option.WithMaxRetries(0))
 			stream := client.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{
@@ -72,23 +73,23 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(models.Data).To(HaveLen(2))
 
-			By("an answer that isn't a stream")
+			By("a non-streamed answer has the text and the usage")
 			nonStreamed := e.send(http.MethodPost, api.ChatPath, strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1))
 			Expect(nonStreamed.status).To(Equal(http.StatusOK), nonStreamed.body)
 			Expect(nonStreamed.body).To(ContainSubstring(reference("Tere", 5, 20)))
 			Expect(nonStreamed.body).To(ContainSubstring(`"completion_tokens":20`))
 
-			By("plain completions")
+			By("a plain completion is streamed up to [DONE]")
 			plain := e.send(http.MethodPost, api.CompletionsPath, `{"model":"daily-note","prompt":"Tere","max_tokens":3,"stream":true}`)
 			Expect(plain.body).To(ContainSubstring(`"object":"text_completion"`))
 			Expect(plain.body).To(HaveSuffix("data: [DONE]\n\n"))
 
-			By("the entry hosts, this one first")
+			By("all entry hosts are listed, this one first")
 			entries := s.entries[1].send(http.MethodGet, api.EntriesPath, "")
 			Expect(entries.body).To(ContainSubstring(e.callers.address))
 			Expect(entries.body).To(MatchRegexp(`^\{"entries":\[\{"address":"` + s.entries[1].callers.address))
 
-			By("a stream that another host goes on with")
+			By("another host resumes a stream after the last event received")
 			first := parseSSE(e.send(http.MethodPost, api.ChatPath, chatBody).body)
 			dot := strings.LastIndex(first.last, ".")
 			resumeFrom := first.last[:dot] + ".7"
@@ -97,7 +98,7 @@
 			words := strings.Fields(reference("Tere", 5, 20))
 			Expect(strings.Fields(resumed.text)).To(Equal(words[8:]))
 
-			By("bad input")
+			By("bad input is refused with its failure kind and without a retry time")
 			for _, c := range badInput {
 				g := e.send(c.method, c.path, c.body, c.headers...)
 				f := g.failure()
@@ -120,7 +121,7 @@
 }{
 	{name: "no key", method: "POST", path: api.ChatPath, body: chatBody, headers: []string{"Authorization", ""}, kind: "unauthenticated"},
 	{name: "wrong key", method: "POST", path: api.ChatPath, body: chatBody, headers: []string{"Authorization", "Bearer nope"}, kind: "unauthenticated"},
-	{name: "half a JSON", method: "POST", path: api.ChatPath, body: chatBody[:30], kind: "bad_request"},
+	{name: "truncated JSON", method: "POST", path: api.ChatPath, body: chatBody[:30], kind: "bad_request"},
 	{name: "no messages", method: "POST", path: api.ChatPath, body: `{"model":"daily-note"}`, kind: "bad_request"},
 	{name: "unknown model", method: "POST", path: api.ChatPath, body: strings.Replace(chatBody, "daily-note", "nope", 1), kind: "unknown_model"},
 	{name: "negative tokens", method: "POST", path: api.ChatPath, body: strings.Replace(chatBody, ":20", ":-2", 1), kind: "bad_request"},
@@ -129,8 +130,8 @@
 	{name: "wrong path", method: "POST", path: "/v2/chat", kind: "not_found"},
 	{name: "unknown service", method: "POST", path: "/v1/services/nope/x", kind: "unknown_service"},
 	{name: "large service body", method: "POST", path: "/v1/services/staff-app/x", body: strings.Repeat("x", 20<<10), kind: "body_too_large"},
-	{name: "once without a key", method: "POST", path: "/v1/services/staff-app/confirm", kind: "bad_request"},
-	{name: "foreign event id", method: "POST", path: api.ChatPath, body: chatBody, headers: []string{api.HeaderLastEventID, "x"}, kind: "resume_invalid"},
+	{name: "at-most-once call without a key", method: "POST", path: "/v1/services/staff-app/confirm", kind: "bad_request"},
+	{name: "malformed event id", method: "POST", path: api.ChatPath, body: chatBody, headers: []string{api.HeaderLastEventID, "x"}, kind: "resume_invalid"},
 	{name: "event id past the end", method: "POST", path: api.ChatPath, body: chatBody, headers: []string{api.HeaderLastEventID, "a.5.20"}, kind: "resume_invalid"},
-	{name: "resume of a once request", method: "POST", path: api.ChatPath, body: strings.Replace(chatBody, "daily-note", "note-to-parents", 1), headers: []string{api.HeaderLastEventID, "a.5.2", api.HeaderIdempotencyKey, "k"}, kind: "resume_invalid"},
+	{name: "resume of an at-most-once request", method: "POST", path: api.ChatPath, body: strings.Replace(chatBody, "daily-note", "note-to-parents", 1), headers: []string{api.HeaderLastEventID, "a.5.2", api.HeaderIdempotencyKey, "k"}, kind: "resume_invalid"},
 }
--- a/pkg/entry/claimer.go
+++ b/pkg/entry/claimer.go
@@ -21,7 +21,8 @@
 	settleRetryDelay = 500 * time.Millisecond
 )
 
-// claimer claims requests that must not be repeated.
+// claimer records claims with the control hosts for requests that must run at
+// most once: a claim before the request is sent, its outcome afterwards.
 type claimer struct {
 	holder         string
 	control        []string
@@ -30,9 +31,9 @@
 	nonce          atomic.Uint64
 }
 
-// newClaimer returns a claimer for requests that run for at most runs. Its
-// claims are held by this life of the host: after a restart it can't settle
-// what it claimed before.
+// newClaimer returns a claimer for requests that run no longer than
+// requestTimeout. Its claims belong to one incarnation of the host: after a
+// restart the host can't settle claims that it made before.
 func newClaimer(host string, incarnation uint64, control []string, client *http.Client, requestTimeout time.Duration) *claimer {
 	return &claimer{
 		holder:         host + "/" + strconv.FormatUint(incarnation, 36),
@@ -47,13 +48,15 @@
 	account string
 	key     string
 	nonce   uint64
-	// recorded is the first request's outcome, if there was one before.
+	// recorded is the outcome of the first request with this key; nil if none
+	// is recorded.
 	recorded *rpc.Outcome
 }
 
-// claim records that the request is about to be sent. The claim returned is
-// granted, or settled before by the first request with the key. As long as
-// claim fails nothing was sent, and so the request did not run.
+// claim records that the request is about to be sent. Without an error, the
+// returned claim is either granted, or was already settled by the first request
+// with the key. If claim fails, nothing was sent, so the request did not run.
+// The claim is returned with an error as well.
 func (c *claimer) claim(ctx context.Context, account, key string, body []byte) (*claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -83,8 +86,8 @@
 	return out, claimError(reply, key)
 }
 
-// claimError returns what to tell the caller, or nil if the claim was granted or
-// its outcome is known.
+// claimError converts the state of a claim to the error for the caller. It
+// returns nil if the claim was granted or its outcome is known.
 func claimError(reply *rpc.ClaimReply, key string) error {
 	switch reply.GetState() {
 	case rpc.ClaimState_CLAIM_GRANTED, rpc.ClaimState_CLAIM_SETTLED:
@@ -102,8 +105,9 @@
 	}
 }
 
-// settle records how a claimed request ended, trying for a while. An outcome
-// that says "no" frees the key.
+// settle records the outcome of a claimed request and reports whether a control
+// host accepted it. It makes up to settleAttempts attempts, each at every control
+// host in turn. An outcome whose Ran is "no" frees the key.
 func (c *claimer) settle(ctx context.Context, svc timer.Service, cl *claim, out *rpc.Outcome) bool {
 	r := &rpc.SettleRequest{
 		Account: cl.account,
--- a/pkg/entry/fixture_test.go
+++ b/pkg/entry/fixture_test.go
@@ -43,7 +43,9 @@
 	waitTimeout = 20 * time.Second
 )
 
-// testServer is an HTTP server whose address is known before its handler is.
+// testServer is an HTTP server that listens before its handler is set, so that
+// its address can be put into settings first. While it has no handler or is
+// disconnected it aborts every request.
 type testServer struct {
 	mu           sync.Mutex
 	handler      http.Handler
@@ -62,11 +64,11 @@
 		Handler: s,
 	}
 	g.Go(func(context.Context) {
-		_ = s.server.Serve(l) // it ends by Close
+		_ = s.server.Serve(l) // returns when Close is called
 	})
 	g.Go(func(ctx context.Context) {
 		<-ctx.Done()
-		_ = s.server.Close() // it is meant to break
+		_ = s.server.Close() // connections are closed on purpose
 	})
 	return s
 }
@@ -94,7 +96,7 @@
 	s.disconnected = disconnected
 }
 
-// entryHost is one entry host of a system.
+// entryHost is one entry host of a test system.
 type entryHost struct {
 	callers *testServer
 	peers   *testServer
@@ -103,7 +105,7 @@
 	cfg     *config.Entry
 }
 
-// system is a whole larchwinch in one process.
+// system is a complete larchwinch system in one process.
 type system struct {
 	group    *group.Group
 	control  []*control.Server
@@ -119,7 +121,8 @@
 }
 
 // withSystem starts control hosts, entry hosts, two engines for each of three
-// layer ranges and a plain service, submits a bundle, and runs f.
+// layer ranges and a plain service, submits a bundle, waits until all entry hosts
+// are ready, runs f and stops everything.
 func withSystem(controls, entries int, f func(s *system)) {
 	s := &system{
 		group: group.New(context.Background()),
@@ -223,7 +226,7 @@
 		s.admin[i].set(c.Admin())
 		s.control = append(s.control, c)
 		s.group.Go(func(ctx context.Context) {
-			_ = c.Run(ctx) // it ends with the group
+			_ = c.Run(ctx) // returns when the group stops
 		})
 	}
 }
@@ -252,12 +255,13 @@
 	return e
 }
 
-// newClient makes the client of an entry host; measurements count its bytes.
+// newClient returns the HTTP client of an entry host. Measurements replace it to
+// count bytes.
 var newClient = func() *http.Client {
 	return &http.Client{}
 }
 
-// startEntry starts a new life of an entry host.
+// startEntry starts a new incarnation of an entry host.
 func (s *system) startEntry(e *entryHost) {
 	once, err := netutil.NewOnceClient("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -316,7 +320,7 @@
 	}
 }
 
-// submit submits a bundle until it is accepted.
+// submit posts a bundle to the control hosts until one accepts it.
 func (s *system) submit(text string) {
 	body, err := json.Marshal(s.signed(text))
 	Expect(err).NotTo(HaveOccurred())
@@ -347,7 +351,7 @@
 	return resp.StatusCode
 }
 
-// awaitReady waits until every entry host is ready and knows the endpoints.
+// awaitReady waits until every entry host is ready and knows all endpoints.
 func (s *system) awaitReady() {
 	for _, e := range s.entries {
 		Eventually(func() int {
@@ -364,7 +368,7 @@
 	}
 }
 
-// response is an answer read whole.
+// response is an HTTP response, its body read completely.
 type response struct {
 	status int
 	header http.Header
@@ -377,7 +381,8 @@
 	return out.Error
 }
 
-// send sends a request as the client account, with headers as pairs.
+// send sends a request with the client account's key; headers are name-value
+// pairs.
 func (e *entryHost) send(method, path, body string, headers ...string) response {
 	req, err := http.NewRequest(method, "http://"+e.callers.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
--- a/pkg/entry/format.go
+++ b/pkg/entry/format.go
@@ -5,15 +5,15 @@
 	"github.com/larchwinch/larchwinch/pkg/chain"
 )
 
-// format makes the bodies of one path's answers.
+// format builds the response bodies of one API path.
 type format interface {
-	// firstChunk is the first chunk of a stream.
+	// firstChunk starts a stream; it holds no token.
 	firstChunk(g *generation) any
-	// chunk is one token of a stream.
+	// chunk holds one token of a stream.
 	chunk(g *generation, text string) any
-	// lastChunk is the last chunk of a stream.
+	// lastChunk ends a stream: the finish reason and the usage.
 	lastChunk(g *generation, r chain.Result) any
-	// answer is an answer that isn't a stream.
+	// answer is the body of a non-streamed answer.
 	answer(g *generation, text string, r chain.Result) any
 }
 
--- a/pkg/entry/generate.go
+++ b/pkg/entry/generate.go
@@ -17,7 +17,7 @@
 	"github.com/larchwinch/larchwinch/pkg/failure"
 )
 
-// generation is one request for tokens, whichever path it came by.
+// generation is one chat or plain completion request.
 type generation struct {
 	account   bundle.Account
 	pipeline  bundle.Pipeline
@@ -28,7 +28,7 @@
 	seed      uint64
 	prompt    string
 	maxTokens int
-	skip      int // tokens that the caller has already, when it comes back
+	skip      int // tokens that the caller received before it resumed the stream
 	once      bool
 	key       string
 	body      []byte
@@ -93,7 +93,7 @@
 	return b.String()
 }
 
-// seedOf returns the caller's seed, or draws one.
+// seedOf returns the caller's seed, or a random one if it gave none.
 func seedOf(seed *int64) uint64 {
 	if seed != nil {
 		return uint64(*seed)
@@ -103,11 +103,12 @@
 
 func randomUint64() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // never fails
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// generate completes what both paths left open, admits the request and runs it.
+// generate resolves the request's pipeline and limits, admits the request, runs
+// it and writes the response.
 func (s *Server) generate(w http.ResponseWriter, r *http.Request, a bundle.Account, g generation, name string) {
 	g.account = a
 	g.id = s.newID()
@@ -136,7 +137,8 @@
 	s.fail(w, a.Name, err)
 }
 
-// resolve looks names up and checks limits.
+// resolve looks up the pipeline and its model, checks the request against their
+// limits, and applies the headers for at-most-once requests and resumed streams.
 func (s *Server) resolve(r *http.Request, g *generation, name string) error {
 	set := s.syncer.Set()
 	pipeline, ok := set.Pipeline(name)
@@ -159,13 +161,14 @@
 	return resume(g, r.Header.Get(api.HeaderLastEventID))
 }
 
-// An event id is the request's id, its seed and the token's number: all that
-// another host needs to go on where this one stopped.
+// eventID returns the id of a stream event: the request's id, its seed and the
+// token's index, which is all that another host needs to resume the stream.
 func eventID(g *generation, index int) string {
 	return g.id + "." + strconv.FormatUint(g.seed, 36) + "." + strconv.Itoa(index)
 }
 
-// resume takes the seed and the place from the last event that the caller saw.
+// resume sets the request's id, seed and start position from the id of the last
+// event that the caller received.
 func resume(g *generation, lastEventID string) error {
 	if lastEventID == "" {
 		return nil
@@ -189,7 +192,7 @@
 	return nil
 }
 
-// newID returns an id that no other request has, also of other hosts.
+// newID returns an id that is unique among the requests of all hosts.
 func (s *Server) newID() string {
 	return "lw-" + strconv.FormatUint(randomUint64(), 36) + "-" + strconv.FormatUint(s.nextID.Add(1), 36)
 }
@@ -229,13 +232,15 @@
 	})
 }
 
-// sessionRequestID names the request to engines. A request that another host began
-// must not meet its sessions, which that host may still be cancelling.
+// sessionRequestID returns the id that engines get for the request. It differs
+// from the caller's id because a resumed request must not reuse the sessions of
+// the host that started it, which that host may still be cancelling.
 func sessionRequestID(g *generation, n uint64) string {
 	return g.id + "-" + strconv.FormatUint(n, 36)
 }
 
-// recordMetrics counts how a request went.
+// recordMetrics updates the client account's counters and, if the request
+// succeeded, its token latencies.
 func (s *Server) recordMetrics(g *generation, began time.Time, out *output, result chain.Result, err error) {
 	name := g.account.Name
 	s.metrics.Counter("account_requests", accountLabel(name)).Inc(1)
--- a/pkg/entry/http.go
+++ b/pkg/entry/http.go
@@ -15,11 +15,11 @@
 	"github.com/larchwinch/larchwinch/pkg/metrics"
 )
 
-// entriesValidSeconds is for how long callers may keep the answer of
-// EntriesPath. It bounds how long a host that is gone is still tried.
+// entriesValidSeconds is how long callers may cache the answer of EntriesPath.
+// It bounds how long they still try a host that is gone.
 const entriesValidSeconds = 30
 
-// Handler returns the handler for callers.
+// Handler returns the HTTP handler for callers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.HealthPath, s.serveHealth)
@@ -45,11 +45,12 @@
 	answer.Failure(w, failure.New(failure.NotFound, "there is nothing at %s; see %s", r.URL.Path, api.ModelsPath))
 }
 
-// accountHandler serves a request of a client account.
+// accountHandler serves an authenticated request of a client account.
 type accountHandler func(w http.ResponseWriter, r *http.Request, a bundle.Account)
 
-// authenticated lets a request through if this host may serve it and its key is a
-// client account's.
+// authenticated calls next if this host takes requests and the request carries
+// the key of a client account. It also sets the request's deadline and bounds
+// the size of its body.
 func (s *Server) authenticated(next accountHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Add(1)
@@ -84,9 +85,11 @@
 	return a, nil
 }
 
-// ready reports whether this host is sure of the bundles in force, and if not,
-// why. Once it was sure it goes on serving when no control host can be
-// reached: it can't go back, and callers need answers.
+// ready reports whether this host can serve callers, and if not, why. It needs at
+// least one bundle, and since this process started a control majority must have
+// confirmed once that the active set of bundles is the newest. From then on the
+// host stays ready even if no control host can be reached: it never goes back to
+// older bundles, and callers need answers.
 func (s *Server) ready() (bool, string) {
 	if ok, _ := s.syncer.Confirmed(); !ok {
 		return false, "no control majority has confirmed yet which bundles are in force"
@@ -134,8 +137,8 @@
 	})
 }
 
-// serveEntries names the hosts that are ready and stay: those of the caller's
-// failure domain first, then this host, then the others.
+// serveEntries lists the entry hosts that are ready and not leaving. Those in
+// the caller's failure domain come first, and among them this host.
 func (s *Server) serveEntries(w http.ResponseWriter, r *http.Request) {
 	domain := r.Header.Get(api.HeaderDomain)
 	if domain == "" {
@@ -183,7 +186,8 @@
 	answer.JSON(w, out)
 }
 
-// bodyError tells a body that is too large from one that can't be read.
+// bodyError converts an error of reading or decoding a request body: one that is
+// too large gets a failure kind of its own.
 func bodyError(err error) error {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
--- a/pkg/entry/measure_test.go
+++ b/pkg/entry/measure_test.go
@@ -18,7 +18,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// countingConn is a connection whose bytes are counted, both ways.
+// countingConn is a connection that adds the bytes read and written to a counter.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -36,8 +36,8 @@
 	return n, err
 }
 
-// countingClient counts what all entry hosts send and receive for control:
-// beats, probes and rollout.
+// countingClient returns a constructor of HTTP clients that count the bytes of
+// all entry hosts' control traffic: heartbeats, probes and rollout.
 func countingClient(bytes *atomic.Int64) func() *http.Client {
 	return func() *http.Client {
 		return &http.Client{
@@ -68,9 +68,11 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// TestMeasureControl measures what entry hosts cost at rest and at a change,
-// as a slope over their number. Everything runs in one process, so that the
-// processor time of a host holds the leader's part for it too.
+// TestMeasureControl measures the control traffic, processor time and memory per
+// entry host, idle and at a change of a bundle, for several numbers of entry hosts: the
+// slope over the number is the cost of one more host.
+// Everything runs in one process, so the processor time per host includes the
+// leader's work for that host.
 func TestMeasureControl(t *testing.T) {
 	RegisterTestingT(t)
 	f, err := os.Create("../../docs/measurements/control.csv")
--- a/pkg/entry/once.go
+++ b/pkg/entry/once.go
@@ -10,8 +10,9 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// runOnce claims a generation before it is sent and settles it afterwards. A
-// resend gets the first answer, whole and not as a stream.
+// runOnce runs an at-most-once generation: it claims the key before anything is
+// sent and settles the claim afterwards. A resend gets the recorded answer of the
+// first request, non-streamed.
 func (s *Server) runOnce(ctx context.Context, w http.ResponseWriter, g *generation, out *output) (chain.Result, error) {
 	cl, err := s.claims.claim(ctx, g.account.Name, g.key, g.body)
 	if err != nil {
@@ -36,8 +37,8 @@
 	}
 }
 
-// releaseClaim frees a key whose claim may stand although it failed: nothing was
-// sent, so the caller may come back with it.
+// releaseClaim frees the key of a claim that failed but may have been recorded
+// by the control hosts. Nothing was sent, so the caller may retry with the key.
 func (s *Server) releaseClaim(cl *claim, err error) {
 	if failure.Is(err, failure.ControlUnavailable) {
 		s.settleLater(cl, &rpc.Outcome{
@@ -46,9 +47,10 @@
 	}
 }
 
-// settleLater settles without keeping the caller waiting.
+// settleLater settles the claim in the background, so that the caller does not
+// wait for it.
 func (s *Server) settleLater(cl *claim, out *rpc.Outcome) {
-	s.requests.Add(1) // a drain waits for it
+	s.requests.Add(1) // Drain waits for the settlement
 	s.group.Go(func(ctx context.Context) {
 		defer s.requests.Add(-1)
 		if !s.claims.settle(ctx, s.svc, cl, out) {
@@ -57,7 +59,7 @@
 	})
 }
 
-// sendRecorded answers with the first request's outcome.
+// sendRecorded writes the recorded outcome of the first request with the key.
 func (s *Server) sendRecorded(w http.ResponseWriter, first *rpc.Outcome, out *output) error {
 	if first.GetStatus() == 0 {
 		return failure.New(failure.OutcomeUnknown, "the first request with this key has no answer that could be kept").
@@ -68,6 +70,6 @@
 	w.Header().Set("Content-Type", first.GetContentType())
 	w.Header().Set(api.HeaderRepeated, "true")
 	w.WriteHeader(int(first.GetStatus()))
-	_, _ = w.Write(first.GetBody()) // the caller is gone if it fails
+	_, _ = w.Write(first.GetBody()) // a write error means that the caller is gone
 	return nil
 }
--- a/pkg/entry/once_test.go
+++ b/pkg/entry/once_test.go
@@ -21,7 +21,8 @@
 	return e.send(http.MethodPost, confirmPath, body, api.HeaderIdempotencyKey, key)
 }
 
-// confirmUntilSettled sends the same confirmation again until it isn't in progress.
+// confirmUntilSettled resends a confirmation until its claim is no longer in
+// progress.
 func (e *entryHost) confirmUntilSettled(key, body string) response {
 	var g response
 	Eventually(func() string {
@@ -50,7 +51,7 @@
 			By("the same key with another body is refused")
 			Expect(b.confirm("k1", "Juri").failure().Kind).To(Equal("key_reused"))
 
-			By("forty resends at once run it once")
+			By("forty concurrent requests with one key run it once")
 			var mu sync.Mutex
 			answers := map[string]int{}
 			g := group.New(context.Background())
@@ -75,7 +76,7 @@
 				}
 			}
 
-			By("a lost answer is unknown, for good")
+			By("after a lost answer the outcome stays unknown")
 			s.service.SetFault(service.Fault{DropAnswer: true})
 			lost := a.confirm("k3", "Mari").failure()
 			Expect(lost.Kind).To(Equal("endpoint_failed"))
@@ -86,14 +87,14 @@
 			Expect(unknown.Ran).To(Equal("unknown"))
 			Expect(s.service.Runs("k3")).To(Equal(1))
 
-			By("a call that was cut off before it ran is unknown too, since no one can tell")
+			By("a call whose connection broke before it ran has an unknown outcome too, since the entry host can't tell")
 			s.service.SetFault(service.Fault{DropCall: true})
 			Expect(a.confirm("k4", "Mari").failure().Ran).To(Equal("unknown"))
 			s.service.SetFault(service.Fault{})
 			Expect(b.confirmUntilSettled("k4", "Mari").failure().Kind).To(Equal("outcome_unknown"))
 			Expect(s.service.Runs("k4")).To(BeZero())
 
-			By("a generation is claimed as well, and a resend gets its text")
+			By("a generation is claimed too, and a resend gets its recorded text")
 			body := strings.Replace(chatBody, "daily-note", "note-to-parents", 1)
 			note := a.send(http.MethodPost, api.ChatPath, body, api.HeaderIdempotencyKey, "n1")
 			Expect(parseSSE(note.body).done).To(BeTrue(), note.body)
@@ -105,7 +106,7 @@
 			Expect(repeat.body).To(ContainSubstring(strings.TrimSpace(parseSSE(note.body).text)))
 			Expect(repeat.header.Get(api.HeaderRepeated)).To(Equal("true"))
 
-			By("a leader that is cut off doesn't forget claims")
+			By("claims survive the loss of the leader's connections")
 			leader := s.leader()
 			s.rpc[leader].setDisconnected(true)
 			Eventually(func() string {
@@ -113,7 +114,7 @@
 			}, waitTimeout, 50*time.Millisecond).Should(Equal(first.body))
 			s.rpc[leader].setDisconnected(false)
 
-			By("without a majority nothing is sent, and the caller is told so at once")
+			By("without a control majority nothing is sent, and the caller gets control_unavailable")
 			for i := range s.rpc {
 				s.rpc[i].setDisconnected(true)
 			}
@@ -130,8 +131,8 @@
 			}, waitTimeout, 50*time.Millisecond).Should(Equal(http.StatusOK))
 			Expect(s.service.Runs("k5")).To(Equal(1))
 
-			By("a service that can't be reached was not run, and the key is free again")
-			_ = s.services.server.Close() // it is meant to break
+			By("a call to an unreachable service did not run, and its key is free again")
+			_ = s.services.server.Close() // closed on purpose
 			unreachable := a.confirm("k6", "Mari").failure()
 			Expect(unreachable.Ran).To(Equal("no"), fmt.Sprint(unreachable))
 			Eventually(func() string {
@@ -141,7 +142,7 @@
 	})
 })
 
-// leader returns the place of the control host that leads.
+// leader returns the index of the control host that holds the leader's lease.
 func (s *system) leader() int {
 	index := -1
 	Eventually(func() int {
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -21,13 +21,14 @@
 	heartbeatTimeout  = time.Second
 	probeInterval     = time.Second
 	probeTimeout      = 800 * time.Millisecond
-	// probeEvery is how many intervals pass between two probes of an endpoint
-	// that is well. One that isn't is probed at each.
+	// probeEvery is the number of probe intervals between two probes of an
+	// endpoint that is reachable and not suspected. Any other is probed at each.
 	probeEvery = 5
 )
 
-// heartbeatLoop tells the control hosts that this one is there, and takes what
-// they know of the others and of the endpoints.
+// heartbeatLoop sends heartbeats to the control hosts at a fixed interval, and at
+// once when the watcher has a change to report. The replies bring the state of
+// the other entry hosts and of the endpoints.
 func (s *Server) heartbeatLoop(ctx context.Context) {
 	ticks := s.svc.Every(heartbeatInterval)
 	defer ticks.Stop()
@@ -39,12 +40,12 @@
 		case <-ctx.Done():
 			return
 		case <-ticks.C():
-		case <-s.watcher.changed:
+		case <-s.watcher.wake:
 		}
 	}
 }
 
-// probeLoop probes the endpoints that this host watches.
+// probeLoop probes the endpoints that the control hosts assigned to this host.
 func (s *Server) probeLoop(ctx context.Context) {
 	ticks := s.svc.Every(probeInterval)
 	defer ticks.Stop()
@@ -58,7 +59,8 @@
 	}
 }
 
-// suspected reports whether some watcher couldn't reach an endpoint.
+// suspected reports whether the control hosts list the endpoint as suspect: some
+// watcher couldn't reach it.
 func (s *Server) suspected(address string) bool {
 	e := s.dir.Endpoint(address)
 	return e != nil && e.Info().GetState() == rpc.EndpointState_ENDPOINT_SUSPECT
@@ -114,43 +116,45 @@
 type watcher struct {
 	client *http.Client
 	svc    timer.Service
-	// changed wakes the beat when an endpoint has changed.
-	changed chan struct{}
+	// wake makes heartbeatLoop send a heartbeat when an endpoint has changed.
+	wake chan struct{}
 
 	mu       sync.Mutex
 	assigned []string
 	seen     map[string]*probeState
-	epoch    uint64 // of the leader that the reports were made to
-	// assignedDigest is the leader's name for list.
+	epoch    uint64 // of the leader that got the last reports
+	// assignedDigest is the leader's digest of assigned.
 	assignedDigest uint64
 }
 
-// probeState is what a watcher knows of one endpoint.
+// probeState is the result of the latest probes of one endpoint.
 type probeState struct {
 	reachable     bool
 	unsent        bool // probed since the last report
 	info          *rpc.Endpoint
-	etag          string // of info, as the endpoint gave it
-	reportedEpoch uint64 // epoch in which info was reported
+	etag          string // of info, as the endpoint sent it
+	reportedEpoch uint64 // epoch in which info was last reported
 }
 
 func newWatcher(client *http.Client, svc timer.Service) *watcher {
 	return &watcher{
-		client:  client,
-		svc:     svc,
-		changed: make(chan struct{}, 1),
-		seen:    map[string]*probeState{},
+		client: client,
+		svc:    svc,
+		wake:   make(chan struct{}, 1),
+		seen:   map[string]*probeState{},
 	}
 }
 
-// digest names the list of endpoints that this host holds.
+// digest returns the digest of the assigned endpoints; 0 before the first
+// assignment.
 func (w *watcher) digest() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.assignedDigest
 }
 
-// assign takes the list of endpoints to watch, unless it is the one held.
+// assign replaces the list of endpoints to watch, unless digest shows that it is
+// the present one.
 func (w *watcher) assign(list []string, digest uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,7 +172,8 @@
 	w.seen = keep
 }
 
-// probe asks those assigned endpoints whose turn it is for what they are.
+// probe probes the assigned endpoints that are due in this turn, and returns when
+// all probes have ended.
 func (w *watcher) probe(ctx context.Context, turn uint64, suspected func(string) bool) {
 	w.mu.Lock()
 	var due []string
@@ -189,8 +194,8 @@
 	g.Wait()
 }
 
-// record takes what a probe brought. A probe that says that nothing changed
-// brings no info.
+// record stores the result of a probe, and wakes the heartbeat loop if something
+// changed. info is nil if the endpoint answered that nothing changed.
 func (w *watcher) record(address string, info *rpc.Endpoint, tag string, reachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -214,13 +219,14 @@
 		return
 	}
 	select {
-	case w.changed <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// takeReports returns what was seen since the last report; what an endpoint said
-// of itself only if the leader of that epoch wasn't told yet.
+// takeReports returns the results of the probes since the last report, or all
+// results if the epoch changed. An endpoint's info is included only if it was not
+// yet reported in that epoch.
 func (w *watcher) takeReports(epoch uint64) []*rpc.EndpointReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -245,7 +251,8 @@
 	return list
 }
 
-// markUnreported makes the next report hold again what one that got lost held.
+// markUnreported makes the next report include everything that a lost report
+// held.
 func (w *watcher) markUnreported() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -255,7 +262,8 @@
 	}
 }
 
-// probeEndpoint reads an endpoint's info: an engine's, or else a plain service's.
+// probeEndpoint reads and records an endpoint's info: an engine's, or else a plain
+// service's.
 func (w *watcher) probeEndpoint(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -273,7 +281,8 @@
 	w.record(address, serviceToWire(service), "", true)
 }
 
-// engineInfo returns nothing for an answer without content.
+// engineInfo returns nil for an answer without content, which means that nothing
+// changed.
 func engineInfo(i api.EngineInfo) *rpc.Endpoint {
 	if i.EndLayer == 0 {
 		return nil
@@ -281,8 +290,8 @@
 	return engineToWire(i)
 }
 
-// get reads path into out unless it has the tag that this host has seen. It
-// returns the tag.
+// get reads path into out, unless it still has the last ETag that this host has
+// seen; out then stays as it is. It returns the new ETag, or "" if nothing changed.
 func (w *watcher) get(ctx context.Context, address, path string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -1,4 +1,5 @@
-// Package entry is an entry host: it serves callers.
+// Package entry implements an entry host, which serves callers: it authenticates
+// them, admits their requests, and runs these on engines and plain services.
 package entry
 
 import (
@@ -49,10 +50,10 @@
 	nextID      atomic.Uint64
 }
 
-// Clients are an entry host's ways to call others.
+// Clients are the HTTP clients of an entry host.
 type Clients struct {
-	// Endpoints calls engines and plain services, Once calls that must not be
-	// repeated, and RPC the system's own processes.
+	// Endpoints calls engines and plain services. Once calls plain services with
+	// requests that must not be repeated. RPC calls the system's own processes.
 	Endpoints *http.Client
 	Once      *http.Client
 	RPC       *http.Client
@@ -90,7 +91,8 @@
 	return s, nil
 }
 
-// Start begins to fetch bundles and to beat.
+// Start starts the goroutines that fetch bundles, send heartbeats, probe
+// endpoints and remove idle client accounts.
 func (s *Server) Start() {
 	s.group.Go(s.syncer.Run)
 	s.group.Go(s.heartbeatLoop)
@@ -106,23 +108,24 @@
 	return mux
 }
 
-// Keeper returns the holder of the set in force.
+// Keeper returns the syncer of this host's active set of bundles.
 func (s *Server) Keeper() *rollout.Syncer {
 	return s.syncer
 }
 
-// Directory returns the view of the endpoints.
+// Directory returns this host's view of the endpoints and the other entry hosts.
 func (s *Server) Directory() *directory.Directory {
 	return s.dir
 }
 
-// Gate returns the queue in front of the engines.
+// Gate returns the admission queue in front of the engines.
 func (s *Server) Gate() *limits.AdmissionQueue {
 	return s.queue
 }
 
-// Drain makes the host leave: it takes no new work, and Drain returns once
-// every request in flight has ended or ctx has. It reports how many had not.
+// Drain makes the host leave: it announces that it takes no new work, and waits
+// until no request is in flight or ctx ends. It returns how many requests are
+// still in flight.
 func (s *Server) Drain(ctx context.Context) int64 {
 	s.leaving.Store(true)
 	s.heartbeat(ctx)
@@ -137,13 +140,14 @@
 
 const drainPoll = 20 * time.Millisecond
 
-// hostCount returns how many entry hosts there are, this one included.
+// hostCount returns the number of entry hosts, this one included.
 func (s *Server) hostCount() int {
 	return max(1, s.dir.Hosts())
 }
 
-// peers returns where other entry hosts are asked for sets: those that the
-// control hosts named last, then those of the settings.
+// peers returns the RPC addresses of the other entry hosts from which sets of
+// bundles can be fetched: those that the control hosts listed last, then those in
+// the settings.
 func (s *Server) peers() []string {
 	var list []string
 	for _, e := range s.dir.Entries() {
@@ -154,8 +158,9 @@
 	return append(list, s.cfg.Peers...)
 }
 
-// capacity returns how many requests this host lets in at once: its share of
-// the slots at the layer, over all models, of which there are the fewest.
+// capacity returns how many requests this host admits at once, at least one: its
+// equal share of the sum, over all models, of the slots at each model's layer with
+// the fewest slots.
 func (s *Server) capacity() int {
 	total := 0
 	for _, b := range s.syncer.Set().Bundles() {
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -14,10 +14,10 @@
 	"github.com/larchwinch/larchwinch/pkg/failure"
 )
 
-// maxServiceAnswer bounds an answer of a plain service.
+// maxServiceAnswer bounds the body of a plain service's answer, in bytes.
 const maxServiceAnswer = 16 << 20
 
-// call is one call of a plain service.
+// call is one caller's request to a plain service.
 type call struct {
 	account bundle.Account
 	service bundle.Service
@@ -61,7 +61,7 @@
 		w.Header().Set(api.HeaderRepeated, "true")
 	}
 	w.WriteHeader(answer.status)
-	_, _ = w.Write(answer.body) // the caller is gone if it fails
+	_, _ = w.Write(answer.body) // a write error means that the caller is gone
 }
 
 func (s *Server) readCall(r *http.Request, a bundle.Account) (*call, error) {
@@ -100,8 +100,8 @@
 	return false
 }
 
-// callService runs the call, claimed first if it must not be repeated. It
-// reports whether the answer is the first one's.
+// callService runs the call. It claims the call first if it must not be repeated,
+// and reports whether the answer is the recorded one of an earlier call.
 func (s *Server) callService(ctx context.Context, c *call) (*reply, bool, error) {
 	if !c.once {
 		answer, err := s.callRetryable(ctx, c)
@@ -125,7 +125,8 @@
 	return answer, false, nil
 }
 
-// claimPayload is what must be the same in a resend.
+// claimPayload returns the bytes that must be the same in a resend with one key:
+// method, service, path and body.
 func claimPayload(c *call) []byte {
 	return append([]byte(c.method+" "+c.service.Name+" "+c.path+"\n"), c.body...)
 }
@@ -142,8 +143,8 @@
 	}, nil
 }
 
-// callOnce sends the call to one endpoint. It tries another only as long as
-// no connection was made, so that no byte can have reached any.
+// callOnce sends an at-most-once call. It tries another endpoint only as long as
+// no connection was made, so that no byte can have reached any endpoint.
 func (s *Server) callOnce(ctx context.Context, c *call) (*reply, error) {
 	return s.tryEndpoints(ctx, c, func(err error) bool {
 		return neverSent(err)
@@ -152,14 +153,15 @@
 
 const maxTries = 3
 
-// callRetryable sends the call, to others too if one fails.
+// callRetryable sends the call, and retries it at other endpoints if one fails.
 func (s *Server) callRetryable(ctx context.Context, c *call) (*reply, error) {
 	return s.tryEndpoints(ctx, c, func(error) bool {
 		return true
 	})
 }
 
-// tryEndpoints tries endpoints, the least busy first, for as long as again allows.
+// tryEndpoints sends the call to up to maxTries endpoints, the least busy first,
+// until one answers. After a failure it goes on only if mayRetry allows.
 func (s *Server) tryEndpoints(ctx context.Context, c *call, mayRetry func(error) bool) (*reply, error) {
 	tried := map[string]bool{}
 	ran := failure.RanNo
@@ -218,9 +220,9 @@
 	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// clientFor returns the client that may make the call. One that must not be
-// repeated gets a connection of its own: on a kept one that the endpoint has
-// just closed, net/http itself would send some requests again.
+// clientFor returns the client for the call. A call that must not be repeated gets
+// a new connection: on an idle connection that the endpoint has just closed,
+// net/http itself would retry some requests.
 func (s *Server) clientFor(c *call) *http.Client {
 	if c.once {
 		return s.clients.Once
