--- a/pkg/control/admin.go
+++ b/pkg/control/admin.go
@@ -17,10 +17,12 @@
 	"github.com/larchwinch/larchwinch/pkg/replica"
 )
 
-// adminHandler serves one path of the administration API for an operator.
+// adminHandler serves one route of the administration API for an operator and
+// returns the JSON value of the answer.
 type adminHandler func(r *http.Request, operator config.Operator) (any, error)
 
-// route is one path of the administration API.
+// route is one method and path of the administration API, with the role that an
+// operator needs for it.
 type route struct {
 	method  string
 	path    string
@@ -92,8 +94,10 @@
 	}
 }
 
-// redirect sends an operator to the leader, if that is what err says is
-// needed and the leader is known, and answers err if not.
+// redirect redirects an operator to the leader if err is a NotLeaderError with a
+// known leader. Otherwise it answers with a failure: ControlUnavailable, not run, if
+// no leader is known; ControlUnavailable, unknown whether run, if leadership was
+// lost or the deadline passed; and err itself in all other cases.
 func redirect(w http.ResponseWriter, r *http.Request, err error) {
 	var notLeader *replica.NotLeaderError
 	switch {
@@ -111,7 +115,8 @@
 	}
 }
 
-// authorize returns who makes the request, if they have the role.
+// authorize returns the operator whose key the request carries, if that operator
+// has the role.
 func (s *Server) authorize(r *http.Request, role string) (config.Operator, error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/pkg/control/admin_bundles.go
+++ b/pkg/control/admin_bundles.go
@@ -65,7 +65,8 @@
 	return page
 }
 
-// latestVersion in the place of a version means the one in force.
+// latestVersion, in place of a version number, selects the newest accepted
+// version.
 const latestVersion = "latest"
 
 func (s *Server) bundleVersion(r *http.Request, _ config.Operator) (any, error) {
@@ -80,8 +81,8 @@
 	return nil, failure.New(failure.NotFound, "no version %s of bundle %q is kept", wanted, name)
 }
 
-// submitBundle accepts a signed version. Sending the same one again gives the
-// same answer, so a lost answer can be asked for again.
+// submitBundle accepts a signed version. Submitting the same version again gives
+// the same answer, so an operator whose answer was lost can retry.
 func (s *Server) submitBundle(r *http.Request, operator config.Operator) (any, error) {
 	signed := api.SignedBundle{}
 	if err := json.NewDecoder(r.Body).Decode(&signed); err != nil {
--- a/pkg/control/admin_hosts.go
+++ b/pkg/control/admin_hosts.go
@@ -59,8 +59,8 @@
 	return page, nil
 }
 
-// rollout shows how far the newest revision has come, failure domain by
-// failure domain.
+// rollout reports at how many entry hosts the newest revision is active, in total
+// and for each failure domain.
 func (s *Server) rollout(_ *http.Request, _ config.Operator) (any, error) {
 	out := api.Rollout{
 		Revision: s.stateMachine.Revision(),
@@ -97,7 +97,8 @@
 	return replicasToAPI(s.node.Status()), nil
 }
 
-// addReplica adds a replica, or answers as before if it is there already.
+// addReplica adds a replica to the members. If the id is already a member, it only
+// returns the present members.
 func (s *Server) addReplica(r *http.Request, _ config.Operator) (any, error) {
 	id, err := replicaID(r)
 	if err != nil {
--- a/pkg/control/admin_test.go
+++ b/pkg/control/admin_test.go
@@ -41,7 +41,7 @@
 	waitTimeout = 20 * time.Second
 )
 
-// cluster is control hosts in one process.
+// cluster is a set of control hosts in one process.
 type cluster struct {
 	group     *group.Group
 	servers   []*control.Server
@@ -49,7 +49,8 @@
 	private   string
 }
 
-// lateHandler is a handler that is set after its server listens.
+// lateHandler is a handler that is set after its server listens. Until then it
+// aborts every request.
 type lateHandler struct {
 	mu sync.Mutex
 	h  http.Handler
@@ -79,16 +80,16 @@
 		Handler: late,
 	}
 	g.Go(func(context.Context) {
-		_ = server.Serve(l) // it ends by Close
+		_ = server.Serve(l) // returns when Close is called
 	})
 	g.Go(func(ctx context.Context) {
 		<-ctx.Done()
-		_ = server.Close() // it is meant to break
+		_ = server.Close() // connections are closed on purpose
 	})
 	return l.Addr().String(), late
 }
 
-// withCluster runs f on three control hosts.
+// withCluster runs f with three control hosts that form a new cluster.
 func withCluster(f func(c *cluster)) {
 	const n = 3
 	c := &cluster{
@@ -118,7 +119,7 @@
 		admins[i].set(s.Admin())
 		c.servers = append(c.servers, s)
 		c.group.Go(func(ctx context.Context) {
-			_ = s.Run(ctx) // it ends with the group
+			_ = s.Run(ctx) // returns when the group stops
 		})
 	}
 	f(c)
@@ -147,7 +148,8 @@
 	return s
 }
 
-// bundleText is a bundle with one account, whose name and limit make it differ.
+// bundleText returns a bundle with one client account. Different account names or
+// limits make the contents differ.
 func bundleText(name string, version uint64, parent, account string, limit int) string {
 	return fmt.Sprintf(`name = %q
 version = %d
@@ -174,7 +176,7 @@
 	}
 }
 
-// submit posts as the operator with that key, following the leader.
+// submit posts a bundle with an operator's key, following redirects to the leader.
 func (c *cluster) submit(key string, b api.SignedBundle) (api.BundleVersion, error) {
 	v := api.BundleVersion{}
 	err := opclient.New(c.addresses, key).Post(context.Background(), api.AdminBundlesPath, b, &v)
@@ -192,12 +194,12 @@
 }
 
 var _ = Describe("bundles", func() {
-	It("are accepted once, in one chain, by those who may", func() {
+	It("are accepted once, in one chain of versions, from permitted operators only", func() {
 		withCluster(func(c *cluster) {
 			one := c.accept(bundleText("team-1", 1, "", "a", 1))
 			Expect(one.Version).To(Equal(uint64(1)))
 
-			By("the same again gets the same answer")
+			By("submitting the same version again gets the same answer")
 			again, err := c.submit(operatorKey, c.signed(bundleText("team-1", 1, "", "a", 1)))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again).To(Equal(one))
@@ -214,11 +216,11 @@
 				{name: "another parent", key: operatorKey, bundle: c.signed(bundleText("team-1", 2, bundle.Digest(nil), "a", 2)), kind: "parent_conflict", message: one.Digest},
 				{name: "no signature", key: operatorKey, bundle: api.SignedBundle{Content: bundleText("team-1", 2, one.Digest, "a", 2)}, kind: "signature_missing", message: "needs 1"},
 				{name: "a signature of other text", key: operatorKey, bundle: api.SignedBundle{Content: bundleText("team-1", 2, one.Digest, "a", 2), Signatures: c.signed("x").Signatures}, kind: "signature_missing", message: "0 valid"},
-				{name: "a reader", key: onCallKey, bundle: c.signed(bundleText("team-1", 2, one.Digest, "a", 2)), kind: "forbidden", message: "submit"},
+				{name: "an operator with the role read only", key: onCallKey, bundle: c.signed(bundleText("team-1", 2, one.Digest, "a", 2)), kind: "forbidden", message: "submit"},
 				{name: "an operator of other bundles", key: scopedKey, bundle: c.signed(bundleText("team-2", 1, "", "b", 2)), kind: "forbidden", message: "team-2"},
-				{name: "no operator", key: "nope", bundle: c.signed(bundleText("team-2", 1, "", "b", 2)), kind: "unauthenticated", message: "no operator"},
+				{name: "an unknown key", key: "nope", bundle: c.signed(bundleText("team-2", 1, "", "b", 2)), kind: "unauthenticated", message: "no operator"},
 				{name: "a name that another bundle has", key: operatorKey, bundle: c.signed(bundleText("team-2", 1, "", "a", 2)), kind: "bundle_invalid", message: "another bundle has this client account"},
-				{name: "nothing", key: operatorKey, bundle: c.signed(""), kind: "bundle_invalid", message: "empty"},
+				{name: "an empty bundle", key: operatorKey, bundle: c.signed(""), kind: "bundle_invalid", message: "empty"},
 			}
 			for _, r := range refused {
 				_, err := c.submit(r.key, r.bundle)
@@ -226,12 +228,12 @@
 				Expect(err.Error()).To(ContainSubstring(r.message), r.name)
 			}
 
-			By("going back is a new version with the old content")
+			By("a rollback is a new version with the old content")
 			two := c.accept(bundleText("team-1", 2, one.Digest, "a", 2))
 			three := c.accept(bundleText("team-1", 3, two.Digest, "a", 1))
 			Expect(three.Revision).To(Equal(one.Revision + 2))
 
-			By("the history shows it all, and who signed")
+			By("the history lists all versions with their parents and signers")
 			page := api.BundlePage{}
 			Expect(opclient.New(c.addresses, onCallKey).Get(context.Background(), api.AdminBundlesPath+"/team-1", &page)).To(Succeed())
 			Expect(page.Items).To(HaveLen(3))
@@ -240,7 +242,7 @@
 		})
 	})
 
-	It("lose no change and starve no one when operators race", func() {
+	It("lose no change and let every operator succeed when operators submit concurrently", func() {
 		withCluster(func(c *cluster) {
 			c.accept(bundleText("team-0", 1, "", "x", 1))
 			const operators, changes = 12, 5
@@ -265,8 +267,9 @@
 	})
 })
 
-// submitConcurrently makes an operator's changes to the shared bundle, each rebased until it
-// is accepted, and sends every other one twice.
+// submitConcurrently submits one operator's changes to the shared bundle while
+// others do the same. It rebases each change until it is accepted, and submits
+// every other one twice.
 func (c *cluster) submitConcurrently(account string, changes int) {
 	for n := range changes {
 		Eventually(func() error {
@@ -302,7 +305,7 @@
 }
 
 var _ = Describe("calls of the system's own processes", func() {
-	It("are refused if they lack what they need, and do no harm", func() {
+	It("are refused if a required field is missing, and leave the cluster working", func() {
 		withCluster(func(c *cluster) {
 			c.accept(bundleText("team-1", 1, "", "a", 1))
 			for _, s := range c.servers {
@@ -319,7 +322,7 @@
 })
 
 var _ = Describe("the OpenAPI description", func() {
-	It("has the handlers' paths, methods and roles, and no others", func() {
+	It("lists exactly the paths, methods and roles of the handlers", func() {
 		withCluster(func(c *cluster) {
 			resp, err := http.Get("http://" + c.addresses[0] + api.AdminOpenAPIPath)
 			Expect(err).NotTo(HaveOccurred())
@@ -344,7 +347,7 @@
 		})
 	})
 
-	It("answers what isn't there in the one error shape", func() {
+	It("comes with the common error body for unknown paths", func() {
 		withCluster(func(c *cluster) {
 			err := opclient.New(c.addresses[:1], operatorKey).Get(context.Background(), "/admin/v1/nope", nil)
 			Expect(err).To(MatchError(HavePrefix("not_found: ")))
--- a/pkg/control/convert.go
+++ b/pkg/control/convert.go
@@ -22,7 +22,8 @@
 	return m
 }
 
-// versionToWire makes what is proposed of what an operator submitted.
+// versionToWire converts a submitted bundle to the version that is proposed to the
+// replicas.
 func versionToWire(b *bundle.Bundle, s api.SignedBundle) *rpc.BundleVersion {
 	v := &rpc.BundleVersion{
 		Name:    b.Name,
--- a/pkg/control/forward.go
+++ b/pkg/control/forward.go
@@ -10,9 +10,9 @@
 	"github.com/twitchtv/twirp"
 )
 
-// A follower passes what only the leader can do on to it, once: a call that
-// was passed on before is refused, so that two replicas which each take the
-// other for the leader don't pass it to and fro.
+// A follower forwards calls that only the leader can serve to the leader. It
+// refuses a call that was already forwarded, so that two replicas that take each
+// other for the leader don't forward it back and forth.
 
 const forwardedHeader = "Larchwinch-Forwarded"
 
@@ -27,8 +27,9 @@
 	})
 }
 
-// forwardTarget returns the address to pass a call on to, after err, and the context
-// to do it with; or an error if it can't be passed on.
+// forwardTarget returns the URL to which a call that failed with err is forwarded
+// and the context for the forwarded call. It returns an error if the call can't be
+// forwarded.
 func (s *Server) forwardTarget(ctx context.Context, err error) (context.Context, string, error) {
 	var notLeader *replica.NotLeaderError
 	if !errors.As(err, &notLeader) {
--- a/pkg/control/measure_test.go
+++ b/pkg/control/measure_test.go
@@ -22,7 +22,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// process is one control host as a program.
+// process is one control host that runs as a program of its own.
 type process struct {
 	config string
 	cmd    *exec.Cmd
@@ -38,7 +38,8 @@
 	_ = p.cmd.Wait()
 }
 
-// startPrograms starts three control hosts on addresses of their own.
+// startPrograms starts three control hosts on loopback addresses of their own,
+// with new data folders.
 func startPrograms(t *testing.T) []*process {
 	var list []*process
 	for i := 1; i <= 3; i++ {
@@ -57,7 +58,7 @@
 	return list
 }
 
-// claimer claims through whichever host answers.
+// claimer sends claims to whichever control host answers.
 type claimer struct {
 	clients []rpc.Claims
 	n       int
@@ -72,7 +73,7 @@
 	return c
 }
 
-// claim claims a new key, going on to the next host when one doesn't answer.
+// claim claims a new key. It tries the hosts in turn until one grants the claim.
 func (c *claimer) claim() {
 	c.n++
 	for i := 0; ; i++ {
@@ -90,8 +91,8 @@
 	}
 }
 
-// leaderIndex returns which host leads: the one that answers a beat that may not
-// be passed on.
+// leaderIndex returns the index of the leader: the host that accepts a heartbeat
+// marked as already forwarded.
 func leaderIndex() int {
 	for {
 		for i := 1; i <= 3; i++ {
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestMeasureFailover measures, on real programs, for how long no claim is
-// accepted after the leader is killed or frozen.
+// TestMeasureFailover measures, with real programs, how long no claim is granted
+// after the leader is killed or frozen.
 func TestMeasureFailover(t *testing.T) {
 	RegisterTestingT(t)
 	f, err := os.Create("../../docs/measurements/failover.csv")
@@ -158,8 +159,8 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// TestMeasureClaims measures claims a second on real programs with that many
-// callers at once.
+// TestMeasureClaims measures, with real programs, the claims per second at several
+// numbers of concurrent callers.
 func TestMeasureClaims(t *testing.T) {
 	RegisterTestingT(t)
 	f, err := os.Create("../../docs/measurements/claims.csv")
--- a/pkg/control/openapi.go
+++ b/pkg/control/openapi.go
@@ -1,7 +1,7 @@
 package control
 
 import (
-	_ "embed" // for the committed description
+	_ "embed" // for openapi.json
 	"net/http"
 )
 
@@ -10,5 +10,5 @@
 
 func serveOpenAPI(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(openAPI) // the caller is gone if it fails
+	_, _ = w.Write(openAPI) // a write error means that the caller is gone
 }
--- a/pkg/control/presence.go
+++ b/pkg/control/presence.go
@@ -19,25 +19,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// hostGoneAfter is after how long without a beat an entry host isn't named to
-// callers any more.
+// hostGoneAfter is how long after its last heartbeat an entry host counts as gone
+// and is no longer listed to callers.
 const hostGoneAfter = 6 * time.Second
 
-// presence is what the leader knows of entry hosts and endpoints. It isn't
-// replicated: a new leader learns it anew, under a new epoch.
+// presence is the leader's knowledge of the entry hosts and endpoints. It isn't
+// replicated: a new leader starts with none and collects it from heartbeats and
+// the platform's list, under a new epoch, which is its term.
 type presence struct {
 	mu           sync.Mutex
 	epoch        uint64
-	listRead     bool // the platform's list was read in this epoch
+	listRead     bool // a non-empty list of the platform was read in this epoch
 	entries      map[string]*entryHost
-	version      uint64 // of entries; it rises when one changes
+	version      uint64 // of entries; increases when one changes
 	table        *membership.Table
 	assignments  map[string][]string
-	assignedFrom uint64 // digest of what watch was chosen of
+	assignedFrom uint64 // digest of the hosts and endpoints that assignments were computed from
 }
 
-// entryHost is one entry host. Its version is the table's when something that
-// other entry hosts must learn last changed.
+// entryHost is one entry host. Its version is the value of presence.version at the
+// last change that other entry hosts must learn.
 type entryHost struct {
 	info          *rpc.EntryHost
 	lastHeartbeat time.Time
@@ -89,7 +90,7 @@
 	return reply
 }
 
-// recordHeartbeat notes a beat of an entry host.
+// recordHeartbeat records a heartbeat of an entry host.
 func (p *presence) recordHeartbeat(now time.Time, info *rpc.EntryHost) {
 	e := p.entries[info.GetHost()]
 	if e == nil {
@@ -104,15 +105,17 @@
 	e.lastHeartbeat = now
 }
 
-// equalForPeers reports whether other entry hosts need not learn of a change.
-// The revision in force is left out: it changes everywhere with each bundle.
+// equalForPeers reports whether a and b are equal in everything that other entry
+// hosts must learn. The active revision is left out, because it changes at every
+// host with each bundle.
 func equalForPeers(a, b *rpc.EntryHost) bool {
 	return a.GetHost() == b.GetHost() && a.GetDomain() == b.GetDomain() &&
 		a.GetCallerAddress() == b.GetCallerAddress() && a.GetRpcAddress() == b.GetRpcAddress() &&
 		a.GetReady() == b.GetReady() && a.GetLeaving() == b.GetLeaving() && a.GetGone() == b.GetGone()
 }
 
-// entriesSince returns the entry hosts that changed since a version.
+// entriesSince returns the entry hosts that changed after version known, or all of
+// them if full is set.
 func (p *presence) entriesSince(known uint64, full bool) []*rpc.EntryHost {
 	var list []*rpc.EntryHost
 	for _, e := range p.entries {
@@ -123,7 +126,7 @@
 	return list
 }
 
-// expireHosts marks the hosts that were not heard of for long as gone.
+// expireHosts marks the hosts without a heartbeat for hostGoneAfter as gone.
 func (p *presence) expireHosts(now time.Time) {
 	for _, e := range p.entries {
 		if now.Sub(e.lastHeartbeat) <= hostGoneAfter || e.info.GetGone() {
@@ -137,19 +140,21 @@
 	}
 }
 
-// digest names a list, so that it is sent only where it isn't known.
+// digest returns a hash of a list, so that the list is sent only to hosts that
+// don't have it yet.
 func digest(list []string) uint64 {
 	return xxhash.Sum64String(strings.Join(list, "\n"))
 }
 
-// beginTerm forgets what was known in an earlier lead.
+// beginTerm drops everything recorded in another epoch.
 func (p *presence) beginTerm(epoch uint64) {
 	if epoch != p.epoch {
 		p.reset(epoch)
 	}
 }
 
-// presentHosts returns the entry hosts that were heard of lately, sorted.
+// presentHosts returns the entry hosts with a heartbeat within hostGoneAfter,
+// sorted by name.
 func (p *presence) presentHosts(now time.Time) []*rpc.EntryHost {
 	var list []*rpc.EntryHost
 	for _, e := range p.entries {
@@ -179,7 +184,8 @@
 	p.assign(now)
 }
 
-// assign chooses the watchers anew if hosts or endpoints came or went.
+// assign recomputes which entry hosts probe which endpoints if the set of hosts or
+// of endpoints has changed.
 func (p *presence) assign(now time.Time) {
 	var hosts []string
 	for _, e := range p.presentHosts(now) {
@@ -194,7 +200,8 @@
 	p.assignments = membership.Assign(endpoints, hosts)
 }
 
-// pollList reads the platform's list as long as this replica leads.
+// pollList reads the platform's host list periodically while this replica holds
+// the leader's lease.
 func (s *Server) pollList(ctx context.Context) {
 	s.whileLeading(ctx, listInterval, func() {
 		list, err := s.readList(ctx)
@@ -237,7 +244,7 @@
 		return list, errors.Errorf("host list: status %d", resp.StatusCode)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
-		logflags.Error(logflags.Membership, err, "the platform's host list can't be read")
+		logflags.Error(logflags.Membership, err, "cannot decode the platform's host list")
 		return list, errors.Wrap(err, "decode host list")
 	}
 	return list, nil
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -8,8 +8,8 @@
 )
 
 // Fetch implements rpc.Rollout. The leader confirms by a read barrier that
-// nothing newer was accepted. A follower passes the call on, and answers with
-// what it holds, unconfirmed, if the leader can't be reached.
+// nothing newer was accepted. A follower forwards the call, and if the leader
+// can't be reached it answers with its local set, unconfirmed.
 func (s *Server) Fetch(ctx context.Context, r *rpc.FetchRequest) (*rpc.FetchReply, error) {
 	s.waitNewer(ctx, r)
 	err := s.node.ReadBarrier(ctx)
@@ -31,8 +31,8 @@
 	return s.localReply(r.GetKnownRevision()), nil
 }
 
-// waitNewer waits until this replica holds a newer set than is known, but not
-// for longer than asked.
+// waitNewer waits until this replica holds a newer set than the caller knows, but
+// no longer than the caller asks for and at most maxFetchWait.
 func (s *Server) waitNewer(ctx context.Context, r *rpc.FetchRequest) {
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxFetchWait)
 	if wait == 0 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// localReply returns what changed since known, as this replica holds it. Bundles are
-// never removed, so what changed is all that the asker lacks.
+// localReply returns the bundles that changed after revision known, as this replica
+// holds them. Bundles are never removed, so these are all that the caller lacks.
 func (s *Server) localReply(known uint64) *rpc.FetchReply {
 	wire := s.stateMachine.Wire()
 	return &rpc.FetchReply{
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -1,5 +1,5 @@
-// Package control is a control host: one replica of the system's own state,
-// the services it gives entry hosts, and the administration API.
+// Package control implements a control host: one replica of the system's own
+// state, the RPC services for entry hosts, and the administration API.
 package control
 
 import (
@@ -46,10 +46,10 @@
 	metrics      *metrics.Set
 }
 
-// ErrNotInitialised says that a replica's data folder is empty and nothing
-// said that it may be.
-var ErrNotInitialised = errors.New("the data folder is empty; start with --new-cluster to found a cluster, " +
-	"or with --join if operators have added this id as a new replica. A replica that lost its disk must come back under a new id")
+// ErrNotInitialised is returned by New if the replica's data folder is empty and
+// Start allows neither a new cluster nor joining one.
+var ErrNotInitialised = errors.New("the data folder is empty; start with --new-cluster to bootstrap a cluster, " +
+	"or with --join if operators have added this id as a new replica. A replica that lost its disk must rejoin under a new id")
 
 // Start says how a replica with an empty data folder may start.
 type Start struct {
@@ -57,15 +57,16 @@
 	Join       bool
 }
 
-// Clients are a control host's ways to call others.
+// Clients are the HTTP clients of a control host.
 type Clients struct {
-	// Platform reads the host list, and RPC calls the system's own processes.
+	// Platform reads the platform's host list. RPC calls the system's own
+	// processes.
 	Platform *http.Client
 	RPC      *http.Client
 }
 
-// New opens the data folder and returns a control host; its transport's
-// goroutines run in g.
+// New opens the data folder and returns a control host. The goroutines of its
+// transport run in g.
 func New(cfg *config.Control, disk store.Disk, start Start, svc timer.Service, clients Clients, set *metrics.Set, g *group.Group) (*Server, error) {
 	trust, err := cfg.Build()
 	if err != nil {
@@ -104,7 +105,8 @@
 	return s, err
 }
 
-// Run works until ctx ends or the store fails.
+// Run runs the replica and the leader's periodic work until ctx ends or the store
+// fails.
 func (s *Server) Run(ctx context.Context) error {
 	g := group.New(ctx)
 	defer g.Stop()
@@ -112,11 +114,11 @@
 	g.Go(s.evaluatePresence)
 	g.Go(s.reportRole)
 	err := s.node.Run(ctx)
-	_ = s.store.Close() // everything acknowledged is synced
+	_ = s.store.Close() // everything acknowledged is already synced
 	return err
 }
 
-// Node returns the replica.
+// Node returns the control host's replica of the replicated log.
 func (s *Server) Node() *replica.Node {
 	return s.node
 }
@@ -162,13 +164,14 @@
 	return reply, nil
 }
 
-// unavailable turns a failure to reach a majority into an error of the table.
-// ran says what is known of the change.
+// unavailable wraps a failure to reach a majority as a ControlUnavailable failure.
+// ran tells whether the change may have been made.
 func unavailable(err error, ran failure.Ran) error {
 	return failure.Wrap(err, failure.ControlUnavailable, "no majority of the control replicas answered").WithRan(ran)
 }
 
-// reportRole follows the role, and logs when it changes.
+// reportRole updates the gauges periodically, and logs each change of the
+// replica's role.
 func (s *Server) reportRole(ctx context.Context) {
 	last := raft.Follower
 	timer.Loop(ctx, s.svc, evaluateInterval, func(time.Time) {
@@ -197,7 +200,8 @@
 	return 0
 }
 
-// twirpError gives an error to another process of the system.
+// twirpError converts an error to the Twirp error for another process of the
+// system.
 func twirpError(err error) error {
 	var notLeader *replica.NotLeaderError
 	switch {
--- a/pkg/route/bench_test.go
+++ b/pkg/route/bench_test.go
@@ -13,7 +13,7 @@
 
 const benchLayers = 80
 
-// withEndpoints returns a directory of n engines over ranges of ten layers.
+// withEndpoints returns a directory of n engines, each with a range of ten layers.
 func withEndpoints(n int) *directory.Directory {
 	d := directory.New(timer.NewSystem())
 	r := &rpc.BeatReply{
@@ -37,8 +37,8 @@
 	return d
 }
 
-// BenchmarkChoose gives the time of choosing a chain for one request among n
-// endpoints of seven models.
+// BenchmarkChoose measures choosing a chain for one request among n endpoints of
+// seven models.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -1,5 +1,5 @@
-// Package route chooses the endpoints of a request: for each layer of the
-// model exactly one, in order.
+// Package route chooses the endpoints for a request: a chain in which each layer of
+// the model is served by exactly one endpoint, in order.
 package route
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/larchwinch/larchwinch/pkg/directory"
 )
 
-// Policy names a way of choosing among endpoints that hold the same layers.
+// Policy is how a router chooses among endpoints that hold the same layers.
 type Policy string
 
-// The policies. Only ExpectedFinish is meant for production; the others are
-// what it is measured against.
+// The policies. Only ExpectedFinish is meant for production; the others serve as
+// baselines in measurements.
 const (
 	ExpectedFinish   Policy = "expected-finish"
 	LeastOutstanding Policy = "least-outstanding"
@@ -25,7 +25,7 @@
 	ByCapacity       Policy = "by-capacity"
 )
 
-// Chain is endpoints that cover a range of layers, in order.
+// Chain is a sequence of endpoints that together cover a range of layers, in order.
 type Chain []*directory.Endpoint
 
 // Addresses returns the endpoints' addresses.
@@ -48,8 +48,8 @@
 	nextIndex int
 }
 
-// New returns a router for a host in domain; hosts gives how many entry hosts
-// there are.
+// New returns a router for an entry host in the failure domain; hosts returns the
+// number of entry hosts.
 func New(policy Policy, domain string, hosts func() int, rnd *rand.Rand) *Router {
 	return &Router{
 		policy: policy,
@@ -59,16 +59,17 @@
 	}
 }
 
-// layerRange is the endpoints that hold the same layers.
+// layerRange is the range of layers [first, end) and the endpoints that hold
+// exactly these layers.
 type layerRange struct {
 	first     int
 	end       int
 	endpoints []*directory.Endpoint
 }
 
-// Choose returns the chain that covers layers [first, end) at the least cost,
-// or nil if none does. Endpoints in without are left out; those that failed a
-// short while ago are used only if there is no other way.
+// Choose returns the cheapest chain that it finds over layers [first, end), or nil
+// if no chain covers them. Endpoints in exclude are not used. Endpoints that failed
+// a short while ago are used only if there is no chain without them.
 func (r *Router) Choose(endpoints []*directory.Endpoint, first, end int, exclude map[string]bool) Chain {
 	var preferred, avoided []*directory.Endpoint
 	for _, e := range endpoints {
@@ -86,7 +87,8 @@
 	return r.cheapest(groupByRange(append(preferred, avoided...)), first, end)
 }
 
-// groupByRange groups endpoints by the layers they hold, in the layers' order.
+// groupByRange groups endpoints by the layers they hold, sorted by first layer and
+// then by end.
 func groupByRange(endpoints []*directory.Endpoint) []*layerRange {
 	type bounds struct {
 		first int
@@ -119,15 +121,17 @@
 	return list
 }
 
-// partialChain is the cheapest way found to a layer boundary.
+// partialChain is the cheapest chain found up to a layer boundary: its cost, its
+// last endpoint, and the boundary at which that endpoint begins.
 type partialChain struct {
 	cost float64
 	last *directory.Endpoint
 	from int
 }
 
-// cheapest finds the cheapest path over the layer boundaries. Since spans come
-// in the order of their first layer, one pass over them is enough.
+// cheapest finds the cheapest chain over the layer boundaries, with one endpoint
+// picked from each range. The ranges are sorted by their first layer, so one pass
+// over them is enough.
 func (r *Router) cheapest(ranges []*layerRange, first, end int) Chain {
 	best := map[int]partialChain{
 		first: {},
@@ -162,7 +166,7 @@
 	return c
 }
 
-// pick chooses one endpoint of a span by the policy, and says what it costs.
+// pick chooses one endpoint of a range by the policy and returns it with its cost.
 func (r *Router) pick(s *layerRange) (*directory.Endpoint, float64) {
 	switch r.policy {
 	case RoundRobin:
@@ -181,9 +185,9 @@
 	}
 }
 
-// sampleSize is among how many random endpoints of a span the cheapest is taken.
-// Looking at all of them would send every host to the same one when reports
-// are stale.
+// sampleSize is the number of random endpoints of a range from which the cheapest
+// is taken. If all were compared, every host would choose the same endpoint while
+// the load reports are stale.
 const sampleSize = 4
 
 func (r *Router) sample(endpoints []*directory.Endpoint, n int) []*directory.Endpoint {
@@ -201,7 +205,7 @@
 
 func (r *Router) least(endpoints []*directory.Endpoint, cost func(*directory.Endpoint) float64) *directory.Endpoint {
 	r.mu.Lock()
-	start := r.rand.IntN(len(endpoints)) // so that ties don't all fall to the first
+	start := r.rand.IntN(len(endpoints)) // a random start, so that ties don't always go to the first
 	r.mu.Unlock()
 	best := endpoints[start]
 	lowest := math.Inf(1)
@@ -219,22 +223,26 @@
 	return float64(e.Inflight())
 }
 
-// otherDomainDelay is what a stage in another failure domain costs more, before a
-// round-trip time is known.
+// otherDomainDelay is the assumed round-trip time to an endpoint in another failure
+// domain until one is measured.
 const otherDomainDelay = time.Millisecond
 
-// warmUpPeriod is how long an endpoint that has joined is given less work.
+// For warmUpPeriod an endpoint that has just joined gets less work: its cost is
+// multiplied by a factor that falls from warmUpFactor to 1.
 const (
 	warmUpPeriod = 5 * time.Second
 	warmUpFactor = 4
 )
 
-// fullPenalty keeps requests away from an endpoint whose slots seem to be taken.
+// fullPenalty multiplies the cost of an endpoint whose slots are estimated to be
+// all taken.
 const fullPenalty = 100
 
-// cost is about how long a step of one more request would take at the
-// endpoint, in microseconds: its own pass, and the passes of others that it
-// waits for once there are more sequences than fit into one.
+// cost estimates, in microseconds, how long a decode step of one more request would
+// take at the endpoint: the pass that the request is in, full passes in proportion
+// to the sequences per batch, which stand for the wait for other sequences, and the
+// round trip. With ByCapacity only the full passes count. An endpoint that is full
+// or has just joined costs more.
 func (r *Router) cost(e *directory.Endpoint) float64 {
 	info := e.Info()
 	layers := float64(info.GetEndLayer() - info.GetFirstLayer())
@@ -260,7 +268,7 @@
 }
 
 // PassTime returns how long a decode step through the endpoint takes under its
-// present load, and how much longer each prefilled position makes it.
+// present load, and by how much each prefilled position prolongs it.
 func (r *Router) PassTime(e *directory.Endpoint) (pass, position time.Duration) {
 	info := e.Info()
 	layers := float64(info.GetEndLayer() - info.GetFirstLayer())
@@ -270,8 +278,8 @@
 	return time.Duration(us * float64(time.Microsecond)), time.Duration(per * float64(time.Microsecond))
 }
 
-// Slots returns how many requests the engines have room for at the layer at
-// which they have the least; 0 if a layer is held by none.
+// Slots returns the sum of the engines' slots at the layer with the fewest slots;
+// 0 if some layer is held by no engine.
 func Slots(endpoints []*directory.Endpoint, layers int) int {
 	changes := make([]int, layers+1)
 	for _, e := range endpoints {
