--- a/pkg/entry/generate.go
+++ b/pkg/entry/generate.go
@@ -137,8 +137,9 @@
 	s.fail(w, a.Name, err)
 }
 
-// resolve looks up the pipeline and its model, checks the request against their
-// limits, and applies the headers for at-most-once requests and resumed streams.
+// resolve looks up the pipeline and its model, checks the request against the
+// pipeline's limit of tokens, and applies the headers for at-most-once requests and
+// resumed streams.
 func (s *Server) resolve(r *http.Request, g *generation, name string) error {
 	set := s.syncer.Set()
 	pipeline, ok := set.Pipeline(name)
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -195,7 +195,8 @@
 }
 
 // record stores the result of a probe, and wakes the heartbeat loop if something
-// changed. info is nil if the endpoint answered that nothing changed.
+// changed. info is nil if the endpoint answered that nothing changed, or did not
+// answer.
 func (w *watcher) record(address string, info *rpc.Endpoint, tag string, reachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -226,7 +227,7 @@
 
 // takeReports returns the results of the probes since the last report, or all
 // results if the epoch changed. An endpoint's info is included only if it was not
-// yet reported in that epoch.
+// yet reported in that epoch, or if the epoch is 0.
 func (w *watcher) takeReports(epoch uint64) []*rpc.EndpointReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -291,7 +292,8 @@
 }
 
 // get reads path into out, unless it still has the last ETag that this host has
-// seen; out then stays as it is. It returns the new ETag, or "" if nothing changed.
+// seen; out then stays as it is. It returns the answer's ETag, or "" if there is none
+// or nothing changed.
 func (w *watcher) get(ctx context.Context, address, path string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -161,7 +161,8 @@
 }
 
 // tryEndpoints sends the call to up to maxTries endpoints, the least busy first,
-// until one answers. After a failure it goes on only if mayRetry allows.
+// until one answers. After a failure it goes on only if mayRetry allows and ctx has
+// not ended.
 func (s *Server) tryEndpoints(ctx context.Context, c *call, mayRetry func(error) bool) (*reply, error) {
 	tried := map[string]bool{}
 	ran := failure.RanNo
