--- a/pkg/control/measure_test.go
+++ b/pkg/control/measure_test.go
@@ -22,7 +22,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// process is one control host as a program.
+// process is one control host that runs as a program of its own.
 type process struct {
 	config string
 	cmd    *exec.Cmd
@@ -38,7 +38,8 @@
 	_ = p.cmd.Wait()
 }
 
-// startPrograms starts three control hosts on addresses of their own.
+// startPrograms starts three control hosts on loopback addresses of their own,
+// with new data folders.
 func startPrograms(t *testing.T) []*process {
 	var list []*process
 	for i := 1; i <= 3; i++ {
@@ -57,7 +58,7 @@
 	return list
 }
 
-// claimer claims through whichever host answers.
+// claimer sends claims to whichever control host answers.
 type claimer struct {
 	clients []rpc.Claims
 	n       int
@@ -72,7 +73,7 @@
 	return c
 }
 
-// claim claims a new key, going on to the next host when one doesn't answer.
+// claim claims a new key. It tries the hosts in turn until one grants the claim.
 func (c *claimer) claim() {
 	c.n++
 	for i := 0; ; i++ {
@@ -90,9 +91,9 @@
 	}
 }
 
-// leaderOf returns which host leads: the one that answers a beat that may not
-// be passed on.
-func leaderOf() int {
+// leaderIndex returns the index of the leader: the host that accepts a heartbeat
+// marked as already forwarded.
+func leaderIndex() int {
 	for {
 		for i := 1; i <= 3; i++ {
 			req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://127.0.21.%d:7000/twirp/larchwinch.Presence/Beat", i), strings.NewReader(`{"host":{"host":"probe"}}`))
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestMeasureFailover measures, on real programs, for how long no claim is
-// accepted after the leader is killed or frozen.
+// TestMeasureFailover measures, with real programs, how long no claim is granted
+// after the leader is killed or frozen.
 func TestMeasureFailover(t *testing.T) {
 	RegisterTestingT(t)
 	f, err := os.Create("../../docs/measurements/failover.csv")
@@ -128,7 +129,7 @@
 			c.claim()
 		}
 		for range rounds {
-			p := list[leaderOf()]
+			p := list[leaderIndex()]
 			time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond)
 			began := time.Now()
 			switch fault {
@@ -150,16 +151,16 @@
 		for _, p := range list {
 			p.kill()
 		}
-		fmt.Fprintf(f, "%s,%d,%.1f,%.1f,%.1f,%.1f\n", fault, rounds, at(h, 50), at(h, 90), at(h, 99), float64(h.Max())/1000)
+		fmt.Fprintf(f, "%s,%d,%.1f,%.1f,%.1f,%.1f\n", fault, rounds, quantileMS(h, 50), quantileMS(h, 90), quantileMS(h, 99), float64(h.Max())/1000)
 	}
 }
 
-func at(h *hdrhistogram.Histogram, q float64) float64 {
+func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// TestMeasureClaims measures claims a second on real programs with that many
-// callers at once.
+// TestMeasureClaims measures, with real programs, the claims per second at several
+// numbers of concurrent callers.
 func TestMeasureClaims(t *testing.T) {
 	RegisterTestingT(t)
 	f, err := os.Create("../../docs/measurements/claims.csv")
@@ -169,7 +170,7 @@
 	list := startPrograms(t)
 	newClaimer().claim()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
-	leader := rpc.NewClaimsProtobufClient(fmt.Sprintf("http://127.0.21.%d:7000", leaderOf()+1), client)
+	leader := rpc.NewClaimsProtobufClient(fmt.Sprintf("http://127.0.21.%d:7000", leaderIndex()+1), client)
 	const length = 4 * time.Second
 	for _, callers := range []int{1, 10, 100, 400} {
 		h := hdrhistogram.New(1, 60_000_000, 3)
@@ -194,7 +195,7 @@
 			})
 		}
 		g.Wait()
-		fmt.Fprintf(f, "%d,%.0f,%.1f,%.1f\n", callers, float64(h.TotalCount())/length.Seconds(), at(h, 50), at(h, 99))
+		fmt.Fprintf(f, "%d,%.0f,%.1f,%.1f\n", callers, float64(h.TotalCount())/length.Seconds(), quantileMS(h, 50), quantileMS(h, 99))
 	}
 	for _, p := range list {
 		p.kill()
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -1,5 +1,5 @@
-// Package control is a control host: one replica of the system's own state,
-// the services it gives entry hosts, and the administration API.
+// Package control implements a control host: one replica of the system's own
+// state, the RPC services for entry hosts, and the administration API.
 package control
 
 import (
@@ -30,26 +30,26 @@
 	proposeTimeout     = 5 * time.Second
 	maxFetchWait       = 20 * time.Second
 	listInterval       = time.Second
-	judgeInterval      = 500 * time.Millisecond
+	evaluateInterval   = 500 * time.Millisecond
 )
 
 // Server is a control host.
 type Server struct {
-	cfg      *config.Control
-	svc      timer.Service
-	clients  Clients
-	trust    *bundle.Trust
-	machine  *state.Machine
-	store    *store.Store
-	node     *replica.Node
-	presence *presence
-	metrics  *metrics.Set
+	cfg          *config.Control
+	svc          timer.Service
+	clients      Clients
+	trust        *bundle.Trust
+	stateMachine *state.Machine
+	store        *store.Store
+	node         *replica.Node
+	presence     *presence
+	metrics      *metrics.Set
 }
 
-// ErrNotInitialised says that a replica's data folder is empty and nothing
-// said that it may be.
-var ErrNotInitialised = errors.New("the data folder is empty; start with --new-cluster to found a cluster, " +
-	"or with --join if operators have added this id as a new replica. A replica that lost its disk must come back under a new id")
+// ErrNotInitialised is returned by New if the replica's data folder is empty and
+// Start allows neither a new cluster nor joining one.
+var ErrNotInitialised = errors.New("the data folder is empty; start with --new-cluster to bootstrap a cluster, " +
+	"or with --join if operators have added this id as a new replica. A replica that lost its disk must rejoin under a new id")
 
 // Start says how a replica with an empty data folder may start.
 type Start struct {
@@ -57,15 +57,16 @@
 	Join       bool
 }
 
-// Clients are a control host's ways to call others.
+// Clients are the HTTP clients of a control host.
 type Clients struct {
-	// Platform reads the host list, and RPC calls the system's own processes.
+	// Platform reads the platform's host list. RPC calls the system's own
+	// processes.
 	Platform *http.Client
 	RPC      *http.Client
 }
 
-// New opens the data folder and returns a control host; its transport's
-// goroutines run in g.
+// New opens the data folder and returns a control host. The goroutines of its
+// transport run in g.
 func New(cfg *config.Control, disk store.Disk, start Start, svc timer.Service, clients Clients, set *metrics.Set, g *group.Group) (*Server, error) {
 	trust, err := cfg.Build()
 	if err != nil {
@@ -79,20 +80,20 @@
 		return nil, ErrNotInitialised
 	}
 	s := &Server{
-		cfg:      cfg,
-		svc:      svc,
-		clients:  clients,
-		trust:    trust,
-		machine:  state.New(cfg.ClaimWindow.Or(defaultClaimWindow).Milliseconds()),
-		store:    st,
-		presence: newPresence(),
-		metrics:  set,
+		cfg:          cfg,
+		svc:          svc,
+		clients:      clients,
+		trust:        trust,
+		stateMachine: state.New(cfg.ClaimWindow.Or(defaultClaimWindow).Milliseconds()),
+		store:        st,
+		presence:     newPresence(),
+		metrics:      set,
 	}
 	rc := replica.Config{
 		ID:        cfg.ID,
 		Tick:      cfg.Tick.Or(defaultTick),
 		Store:     st,
-		Machine:   s.machine,
+		Machine:   s.stateMachine,
 		Transport: replica.NewTwirpTransport(cfg.ID, clients.RPC, g),
 		Timer:     svc,
 		Seed:      uint64(svc.Now().UnixNano()),
@@ -104,19 +105,20 @@
 	return s, err
 }
 
-// Run works until ctx ends or the store fails.
+// Run runs the replica and the leader's periodic work until ctx ends or the store
+// fails.
 func (s *Server) Run(ctx context.Context) error {
 	g := group.New(ctx)
 	defer g.Stop()
 	g.Go(s.pollList)
-	g.Go(s.judge)
-	g.Go(s.countRole)
+	g.Go(s.evaluatePresence)
+	g.Go(s.reportRole)
 	err := s.node.Run(ctx)
-	_ = s.store.Close() // everything acknowledged is synced
+	_ = s.store.Close() // everything acknowledged is already synced
 	return err
 }
 
-// Node returns the replica.
+// Node returns the control host's replica of the replicated log.
 func (s *Server) Node() *replica.Node {
 	return s.node
 }
@@ -130,8 +132,8 @@
 		rpc.NewClaimsServer(s),
 		rpc.NewPresenceServer(s),
 	}
-	for _, one := range services {
-		mux.Handle(one.PathPrefix(), one)
+	for _, service := range services {
+		mux.Handle(service.PathPrefix(), service)
 	}
 	return markForwarded(mux)
 }
@@ -162,32 +164,33 @@
 	return reply, nil
 }
 
-// unavailable turns a failure to reach a majority into an error of the table.
-// ran says what is known of the change.
+// unavailable wraps a failure to reach a majority as a ControlUnavailable failure.
+// ran tells whether the change may have been made.
 func unavailable(err error, ran failure.Ran) error {
 	return failure.Wrap(err, failure.ControlUnavailable, "no majority of the control replicas answered").WithRan(ran)
 }
 
-// countRole follows the role, and logs when it changes.
-func (s *Server) countRole(ctx context.Context) {
+// reportRole updates the gauges periodically, and logs each change of the
+// replica's role.
+func (s *Server) reportRole(ctx context.Context) {
 	last := raft.Follower
-	timer.Loop(ctx, s.svc, judgeInterval, func(time.Time) {
+	timer.Loop(ctx, s.svc, evaluateInterval, func(time.Time) {
 		st := s.node.Status()
 		if st.Role != last {
 			logflags.Info(logflags.Raft, "role changed", "role", st.Role.String(), "term", st.Term)
 			last = st.Role
 		}
-		s.count(st)
+		s.updateGauges(st)
 	})
 }
 
-func (s *Server) count(st replica.Status) {
+func (s *Server) updateGauges(st replica.Status) {
 	s.metrics.Gauge("raft_term").Update(int64(st.Term))
 	s.metrics.Gauge("raft_commit").Update(int64(st.Commit))
 	s.metrics.Gauge("raft_leader").Update(boolGauge(st.Role == raft.Leader))
 	s.metrics.Gauge("log_bytes").Update(st.LogBytes)
-	s.metrics.Gauge("revision").Update(int64(s.machine.Revision()))
-	s.metrics.Gauge("claims").Update(int64(s.machine.Claims()))
+	s.metrics.Gauge("revision").Update(int64(s.stateMachine.Revision()))
+	s.metrics.Gauge("claims").Update(int64(s.stateMachine.Claims()))
 }
 
 func boolGauge(b bool) int64 {
@@ -197,11 +200,12 @@
 	return 0
 }
 
-// twirpError gives an error to another process of the system.
+// twirpError converts an error to the Twirp error for another process of the
+// system.
 func twirpError(err error) error {
-	var not *replica.NotLeaderError
+	var notLeader *replica.NotLeaderError
 	switch {
-	case errors.As(err, &not):
+	case errors.As(err, &notLeader):
 		return twirp.Unavailable.Error(err.Error())
 	case errors.Is(err, replica.ErrLost), errors.Is(err, context.DeadlineExceeded):
 		return twirp.DeadlineExceeded.Error(err.Error())
--- a/pkg/entry/claimer.go
+++ b/pkg/entry/claimer.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	claimTimeout   = 3 * time.Second
-	settleTimeout  = 2 * time.Second
-	settleAttempts = 20
-	settlePause    = 500 * time.Millisecond
+	claimTimeout     = 3 * time.Second
+	settleTimeout    = 2 * time.Second
+	settleAttempts   = 20
+	settleRetryDelay = 500 * time.Millisecond
 )
 
-// claimer claims requests that must not be repeated.
+// claimer records claims with the control hosts for requests that must run at
+// most once: a claim before the request is sent, its outcome afterwards.
 type claimer struct {
-	holder  string
-	control []string
-	client  *http.Client
-	runs    time.Duration
-	nonce   atomic.Uint64
+	holder         string
+	control        []string
+	client         *http.Client
+	requestTimeout time.Duration
+	nonce          atomic.Uint64
 }
 
-// newClaimer returns a claimer for requests that run for at most runs. Its
-// claims are held by this life of the host: after a restart it can't settle
-// what it claimed before.
-func newClaimer(host string, incarnation uint64, control []string, client *http.Client, runs time.Duration) *claimer {
+// newClaimer returns a claimer for requests that run no longer than
+// requestTimeout. Its claims belong to one incarnation of the host: after a
+// restart the host can't settle claims that it made before.
+func newClaimer(host string, incarnation uint64, control []string, client *http.Client, requestTimeout time.Duration) *claimer {
 	return &claimer{
-		holder:  host + "/" + strconv.FormatUint(incarnation, 36),
-		control: control,
-		client:  client,
-		runs:    runs,
+		holder:         host + "/" + strconv.FormatUint(incarnation, 36),
+		control:        control,
+		client:         client,
+		requestTimeout: requestTimeout,
 	}
 }
 
@@ -47,13 +48,15 @@
 	account string
 	key     string
 	nonce   uint64
-	// first is the first request's outcome, if there was one before.
-	first *rpc.Outcome
+	// recorded is the outcome of the first request with this key; nil if none
+	// is recorded.
+	recorded *rpc.Outcome
 }
 
-// claim records that the request is about to be sent. The claim returned is
-// granted, or settled before by the first request with the key. As long as
-// claim fails nothing was sent, and so the request did not run.
+// claim records that the request is about to be sent. Without an error, the
+// returned claim is either granted, or was already settled by the first request
+// with the key. If claim fails, nothing was sent, so the request did not run.
+// The claim is returned with an error as well.
 func (c *claimer) claim(ctx context.Context, account, key string, body []byte) (*claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -68,7 +71,7 @@
 		BodyDigest: bundle.Digest(body),
 		Entry:      c.holder,
 		Nonce:      out.nonce,
-		RunsMs:     uint32(c.runs.Milliseconds()),
+		RunsMs:     uint32(c.requestTimeout.Milliseconds()),
 	}
 	var reply *rpc.ClaimReply
 	err := netutil.InTurn(ctx, c.control, func(ctx context.Context, address string) (bool, error) {
@@ -79,13 +82,13 @@
 	if err != nil {
 		return out, failure.Wrap(err, failure.ControlUnavailable, "the request must not be repeated and could not be claimed")
 	}
-	out.first = reply.GetOutcome()
-	return out, judge(reply, key)
+	out.recorded = reply.GetOutcome()
+	return out, claimError(reply, key)
 }
 
-// judge returns what to tell the caller, or nil if the claim was granted or
-// its outcome is known.
-func judge(reply *rpc.ClaimReply, key string) error {
+// claimError converts the state of a claim to the error for the caller. It
+// returns nil if the claim was granted or its outcome is known.
+func claimError(reply *rpc.ClaimReply, key string) error {
 	switch reply.GetState() {
 	case rpc.ClaimState_CLAIM_GRANTED, rpc.ClaimState_CLAIM_SETTLED:
 		return nil
@@ -102,8 +105,9 @@
 	}
 }
 
-// settle records how a claimed request ended, trying for a while. An outcome
-// that says "no" frees the key.
+// settle records the outcome of a claimed request and reports whether a control
+// host accepted it. It makes up to settleAttempts attempts, each at every control
+// host in turn. An outcome whose Ran is "no" frees the key.
 func (c *claimer) settle(ctx context.Context, svc timer.Service, cl *claim, out *rpc.Outcome) bool {
 	r := &rpc.SettleRequest{
 		Account: cl.account,
@@ -118,7 +122,7 @@
 				return true
 			}
 		}
-		if timer.Sleep(ctx, svc, settlePause) != nil {
+		if timer.Sleep(ctx, svc, settleRetryDelay) != nil {
 			return false
 		}
 	}
--- a/pkg/entry/fixture_test.go
+++ b/pkg/entry/fixture_test.go
@@ -40,16 +40,18 @@
 	callerKey   = "lw_test_haabersti"
 	operatorKey = "lw_test_operator"
 	layers      = 6
-	patience    = 20 * time.Second
+	waitTimeout = 20 * time.Second
 )
 
-// testServer is an HTTP server whose address is known before its handler is.
+// testServer is an HTTP server that listens before its handler is set, so that
+// its address can be put into settings first. While it has no handler or is
+// disconnected it aborts every request.
 type testServer struct {
-	mu      sync.Mutex
-	handler http.Handler
-	server  *http.Server
-	address string
-	cutOff  bool
+	mu           sync.Mutex
+	handler      http.Handler
+	server       *http.Server
+	address      string
+	disconnected bool
 }
 
 func newTestServer(g *group.Group) *testServer {
@@ -62,11 +64,11 @@
 		Handler: s,
 	}
 	g.Go(func(context.Context) {
-		_ = s.server.Serve(l) // it ends by Close
+		_ = s.server.Serve(l) // returns when Close is called
 	})
 	g.Go(func(ctx context.Context) {
 		<-ctx.Done()
-		_ = s.server.Close() // it is meant to break
+		_ = s.server.Close() // connections are closed on purpose
 	})
 	return s
 }
@@ -74,9 +76,9 @@
 func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	h := s.handler
-	cut := s.cutOff
+	disconnected := s.disconnected
 	s.mu.Unlock()
-	if h == nil || cut {
+	if h == nil || disconnected {
 		panic(http.ErrAbortHandler)
 	}
 	h.ServeHTTP(w, r)
@@ -88,13 +90,13 @@
 	s.handler = h
 }
 
-func (s *testServer) cut(cut bool) {
+func (s *testServer) setDisconnected(disconnected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutOff = cut
+	s.disconnected = disconnected
 }
 
-// entryHost is one entry host of a system.
+// entryHost is one entry host of a test system.
 type entryHost struct {
 	callers *testServer
 	peers   *testServer
@@ -103,7 +105,7 @@
 	cfg     *config.Entry
 }
 
-// system is a whole larchwinch in one process.
+// system is a complete larchwinch system in one process.
 type system struct {
 	group    *group.Group
 	control  []*control.Server
@@ -119,7 +121,8 @@
 }
 
 // withSystem starts control hosts, entry hosts, two engines for each of three
-// layer ranges and a plain service, submits a bundle, and runs f.
+// layer ranges and a plain service, submits a bundle, waits until all entry hosts
+// are ready, runs f and stops everything.
 func withSystem(controls, entries int, f func(s *system)) {
 	s := &system{
 		group: group.New(context.Background()),
@@ -223,7 +226,7 @@
 		s.admin[i].set(c.Admin())
 		s.control = append(s.control, c)
 		s.group.Go(func(ctx context.Context) {
-			_ = c.Run(ctx) // it ends with the group
+			_ = c.Run(ctx) // returns when the group stops
 		})
 	}
 }
@@ -252,12 +255,13 @@
 	return e
 }
 
-// newClient makes the client of an entry host; measurements count its bytes.
+// newClient returns the HTTP client of an entry host. Measurements replace it to
+// count bytes.
 var newClient = func() *http.Client {
 	return &http.Client{}
 }
 
-// startEntry starts a new life of an entry host.
+// startEntry starts a new incarnation of an entry host.
 func (s *system) startEntry(e *entryHost) {
 	once, err := netutil.NewOnceClient("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -316,7 +320,7 @@
 	}
 }
 
-// submit submits a bundle until it is accepted.
+// submit posts a bundle to the control hosts until one accepts it.
 func (s *system) submit(text string) {
 	body, err := json.Marshal(s.signed(text))
 	Expect(err).NotTo(HaveOccurred())
@@ -327,7 +331,7 @@
 			}
 		}
 		return 0
-	}, patience, 20*time.Millisecond).Should(Equal(http.StatusOK))
+	}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 }
 
 func postAdmin(address string, body []byte) int {
@@ -347,12 +351,12 @@
 	return resp.StatusCode
 }
 
-// awaitReady waits until every entry host is ready and knows the endpoints.
+// awaitReady waits until every entry host is ready and knows all endpoints.
 func (s *system) awaitReady() {
 	for _, e := range s.entries {
 		Eventually(func() int {
 			return len(e.server.Directory().Stages("koit", "1")) + len(e.server.Directory().Service("staff-app"))
-		}, patience, 20*time.Millisecond).Should(Equal(7))
+		}, waitTimeout, 20*time.Millisecond).Should(Equal(7))
 		Eventually(func() int {
 			resp, err := http.Get("http://" + e.callers.address + api.ReadyPath)
 			if err != nil {
@@ -360,25 +364,26 @@
 			}
 			_ = resp.Body.Close()
 			return resp.StatusCode
-		}, patience, 20*time.Millisecond).Should(Equal(http.StatusOK))
+		}, waitTimeout, 20*time.Millisecond).Should(Equal(http.StatusOK))
 	}
 }
 
-// got is an answer read whole.
-type got struct {
+// response is an HTTP response, its body read completely.
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (g got) failure() api.ErrorBody {
+func (g response) failure() api.ErrorBody {
 	out := api.Error{}
 	Expect(json.Unmarshal([]byte(g.body), &out)).To(Succeed(), g.body)
 	return out.Error
 }
 
-// send sends a request as the client account, with headers as pairs.
-func (e *entryHost) send(method, path, body string, headers ...string) got {
+// send sends a request with the client account's key; headers are name-value
+// pairs.
+func (e *entryHost) send(method, path, body string, headers ...string) response {
 	req, err := http.NewRequest(method, "http://"+e.callers.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+callerKey)
@@ -390,7 +395,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	Expect(err).NotTo(HaveOccurred())
-	return got{
+	return response{
 		status: resp.StatusCode,
 		header: resp.Header,
 		body:   string(text),
--- a/pkg/entry/measure_test.go
+++ b/pkg/entry/measure_test.go
@@ -18,26 +18,26 @@
 	. "github.com/onsi/gomega"
 )
 
-// counted is a connection whose bytes are counted, both ways.
-type counted struct {
+// countingConn is a connection that adds the bytes read and written to a counter.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// countingClient counts what all entry hosts send and receive for control:
-// beats, probes and rollout.
+// countingClient returns a constructor of HTTP clients that count the bytes of
+// all entry hosts' control traffic: heartbeats, probes and rollout.
 func countingClient(bytes *atomic.Int64) func() *http.Client {
 	return func() *http.Client {
 		return &http.Client{
@@ -48,7 +48,7 @@
 					if err != nil {
 						return nil, err
 					}
-					return counted{Conn: c, bytes: bytes}, nil
+					return countingConn{Conn: c, bytes: bytes}, nil
 				},
 			},
 		}
@@ -68,9 +68,11 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// TestMeasureControl measures what entry hosts cost at rest and at a change,
-// as a slope over their number. Everything runs in one process, so that the
-// processor time of a host holds the leader's part for it too.
+// TestMeasureControl measures the control traffic, processor time and memory per
+// entry host, idle and at a change of a bundle, for several numbers of entry hosts: the
+// slope over the number is the cost of one more host.
+// Everything runs in one process, so the processor time per host includes the
+// leader's work for that host.
 func TestMeasureControl(t *testing.T) {
 	RegisterTestingT(t)
 	f, err := os.Create("../../docs/measurements/control.csv")
@@ -84,10 +86,10 @@
 		withSystem(3, n, func(s *system) {
 			time.Sleep(8 * time.Second)
 			used := heap() - before
-			const rest = 12
+			const idleSeconds = 12
 			b0, c0 := bytes.Load(), cpu()
-			time.Sleep(rest * time.Second)
-			restBytes, restCPU := float64(bytes.Load()-b0)/rest, (cpu()-c0)/rest
+			time.Sleep(idleSeconds * time.Second)
+			idleBytes, idleCPU := float64(bytes.Load()-b0)/idleSeconds, (cpu()-c0)/idleSeconds
 			var times []time.Duration
 			parent := bundle.Digest([]byte(s.bundleText(1, "")))
 			const changes = 7
@@ -98,15 +100,15 @@
 				parent = bundle.Digest([]byte(text))
 				at := time.Now()
 				s.submit(text)
-				for !s.everywhere(uint64(v)) {
+				for !s.activeEverywhere(uint64(v)) {
 					time.Sleep(time.Millisecond)
 				}
 				times = append(times, time.Since(at))
 			}
 			took := time.Since(began).Seconds()
-			changeBytes := (float64(bytes.Load()-b1) - restBytes*took) / changes
+			changeBytes := (float64(bytes.Load()-b1) - idleBytes*took) / changes
 			sortDurations(times)
-			fmt.Fprintf(f, "%d,%.0f,%d,%d,%.0f,%.1f,%.1f\n", n, restBytes/float64(n), restCPU.Microseconds()/int64(n), used/1024/int64(n),
+			fmt.Fprintf(f, "%d,%.0f,%d,%d,%.0f,%.1f,%.1f\n", n, idleBytes/float64(n), idleCPU.Microseconds()/int64(n), used/1024/int64(n),
 				changeBytes/float64(n), ms(times[changes/2]), ms(times[changes-1]))
 		})
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-func (s *system) everywhere(revision uint64) bool {
+func (s *system) activeEverywhere(revision uint64) bool {
 	for _, e := range s.entries {
 		if e.server.Keeper().Set().Revision() < revision {
 			return false
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -17,34 +17,35 @@
 )
 
 const (
-	beatInterval  = 2 * time.Second
-	beatTimeout   = time.Second
-	probeInterval = time.Second
-	probeTimeout  = 800 * time.Millisecond
-	// probeEvery is how many intervals pass between two probes of an endpoint
-	// that is well. One that isn't is probed at each.
+	heartbeatInterval = 2 * time.Second
+	heartbeatTimeout  = time.Second
+	probeInterval     = time.Second
+	probeTimeout      = 800 * time.Millisecond
+	// probeEvery is the number of probe intervals between two probes of an
+	// endpoint that is reachable and not suspected. Any other is probed at each.
 	probeEvery = 5
 )
 
-// beatLoop tells the control hosts that this one is there, and takes what
-// they know of the others and of the endpoints.
-func (s *Server) beatLoop(ctx context.Context) {
-	ticks := s.svc.Every(beatInterval)
+// heartbeatLoop sends heartbeats to the control hosts at a fixed interval, and at
+// once when the watcher has a change to report. The replies bring the state of
+// the other entry hosts and of the endpoints.
+func (s *Server) heartbeatLoop(ctx context.Context) {
+	ticks := s.svc.Every(heartbeatInterval)
 	defer ticks.Stop()
 	for {
-		s.beat(ctx)
-		s.gate.CapacityChanged()
-		s.countState()
+		s.heartbeat(ctx)
+		s.queue.CapacityChanged()
+		s.updateGauges()
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticks.C():
-		case <-s.watcher.news:
+		case <-s.watcher.wake:
 		}
 	}
 }
 
-// probeLoop probes the endpoints that this host watches.
+// probeLoop probes the endpoints that the control hosts assigned to this host.
 func (s *Server) probeLoop(ctx context.Context) {
 	ticks := s.svc.Every(probeInterval)
 	defer ticks.Stop()
@@ -58,22 +59,23 @@
 	}
 }
 
-// suspected reports whether some watcher couldn't reach an endpoint.
+// suspected reports whether the control hosts list the endpoint as suspect: some
+// watcher couldn't reach it.
 func (s *Server) suspected(address string) bool {
 	e := s.dir.Endpoint(address)
 	return e != nil && e.Info().GetState() == rpc.EndpointState_ENDPOINT_SUSPECT
 }
 
-func (s *Server) countState() {
-	waiting, running := s.gate.Counts()
+func (s *Server) updateGauges() {
+	waiting, running := s.queue.Counts()
 	s.metrics.Gauge("queue_waiting").Update(int64(waiting))
 	s.metrics.Gauge("queue_running").Update(int64(running))
 	s.metrics.Gauge("capacity").Update(int64(s.capacity()))
-	_, age := s.keeper.Confirmed()
+	_, age := s.syncer.Confirmed()
 	s.metrics.Gauge("revision_unconfirmed_ms").Update(age.Milliseconds())
 }
 
-func (s *Server) beat(ctx context.Context) {
+func (s *Server) heartbeat(ctx context.Context) {
 	epoch, version, entries := s.dir.Known()
 	ready, _ := s.ready()
 	r := &rpc.BeatRequest{
@@ -83,17 +85,17 @@
 			CallerAddress: s.cfg.CallerAddress,
 			RpcAddress:    s.cfg.RPCAddress,
 			Ready:         ready,
-			Revision:      s.keeper.Set().Revision(),
+			Revision:      s.syncer.Set().Revision(),
 			Leaving:       s.leaving.Load(),
 		},
 		Epoch:          epoch,
 		Version:        version,
 		EntriesVersion: entries,
 		WatchDigest:    s.watcher.digest(),
-		Reports:        s.watcher.reports(epoch),
+		Reports:        s.watcher.takeReports(epoch),
 	}
 	for _, address := range s.cfg.Control {
-		reply, err := s.beatOnce(ctx, address, r)
+		reply, err := s.sendHeartbeat(ctx, address, r)
 		if err == nil {
 			s.dir.Take(reply)
 			s.watcher.assign(reply.GetWatch(), reply.GetWatchDigest())
@@ -101,11 +103,11 @@
 		}
 		s.metrics.Counter("beat_failures").Inc(1)
 	}
-	s.watcher.undo()
+	s.watcher.markUnreported()
 }
 
-func (s *Server) beatOnce(ctx context.Context, address string, r *rpc.BeatRequest) (*rpc.BeatReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (s *Server) sendHeartbeat(ctx context.Context, address string, r *rpc.BeatRequest) (*rpc.BeatReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	return rpc.NewPresenceProtobufClient("http://"+address, s.clients.RPC).Beat(ctx, r)
 }
@@ -114,52 +116,54 @@
 type watcher struct {
 	client *http.Client
 	svc    timer.Service
-	// news wakes the beat when an endpoint has changed.
-	news chan struct{}
+	// wake makes heartbeatLoop send a heartbeat when an endpoint has changed.
+	wake chan struct{}
 
-	mu    sync.Mutex
-	list  []string
-	seen  map[string]*probed
-	epoch uint64 // of the leader that the reports were made to
-	// listDigest is the leader's name for list.
-	listDigest uint64
+	mu       sync.Mutex
+	assigned []string
+	seen     map[string]*probeState
+	epoch    uint64 // of the leader that got the last reports
+	// assignedDigest is the leader's digest of assigned.
+	assignedDigest uint64
 }
 
-// probed is what a watcher knows of one endpoint.
-type probed struct {
-	reachable bool
-	fresh     bool // probed since the last report
-	info      *rpc.Endpoint
-	tag       string // of info, as the endpoint gave it
-	told      uint64 // epoch in which info was reported
+// probeState is the result of the latest probes of one endpoint.
+type probeState struct {
+	reachable     bool
+	unsent        bool // probed since the last report
+	info          *rpc.Endpoint
+	etag          string // of info, as the endpoint sent it
+	reportedEpoch uint64 // epoch in which info was last reported
 }
 
 func newWatcher(client *http.Client, svc timer.Service) *watcher {
 	return &watcher{
 		client: client,
 		svc:    svc,
-		news:   make(chan struct{}, 1),
-		seen:   map[string]*probed{},
+		wake:   make(chan struct{}, 1),
+		seen:   map[string]*probeState{},
 	}
 }
 
-// digest names the list of endpoints that this host holds.
+// digest returns the digest of the assigned endpoints; 0 before the first
+// assignment.
 func (w *watcher) digest() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.listDigest
+	return w.assignedDigest
 }
 
-// assign takes the list of endpoints to watch, unless it is the one held.
+// assign replaces the list of endpoints to watch, unless digest shows that it is
+// the present one.
 func (w *watcher) assign(list []string, digest uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if digest == w.listDigest {
+	if digest == w.assignedDigest {
 		return
 	}
-	w.list = list
-	w.listDigest = digest
-	keep := map[string]*probed{}
+	w.assigned = list
+	w.assignedDigest = digest
+	keep := map[string]*probeState{}
 	for _, a := range list {
 		if p := w.seen[a]; p != nil {
 			keep[a] = p
@@ -168,11 +172,12 @@
 	w.seen = keep
 }
 
-// probe asks those assigned endpoints whose turn it is for what they are.
+// probe probes the assigned endpoints that are due in this turn, and returns when
+// all probes have ended.
 func (w *watcher) probe(ctx context.Context, turn uint64, suspected func(string) bool) {
 	w.mu.Lock()
 	var due []string
-	for _, a := range w.list {
+	for _, a := range w.assigned {
 		p := w.seen[a]
 		if p == nil || !p.reachable || (turn+xxhash.Sum64String(a))%probeEvery == 0 || suspected(a) {
 			due = append(due, a)
@@ -183,97 +188,102 @@
 	defer g.Stop()
 	for _, address := range due {
 		g.Go(func(ctx context.Context) {
-			w.ask(ctx, address)
+			w.probeEndpoint(ctx, address)
 		})
 	}
 	g.Wait()
 }
 
-// note takes what a probe brought. A probe that says that nothing changed
-// brings no info.
-func (w *watcher) note(address string, info *rpc.Endpoint, tag string, reachable bool) {
+// record stores the result of a probe, and wakes the heartbeat loop if something
+// changed. info is nil if the endpoint answered that nothing changed, or did not
+// answer.
+func (w *watcher) record(address string, info *rpc.Endpoint, tag string, reachable bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.seen[address]
 	if p == nil {
-		p = &probed{}
+		p = &probeState{}
 		w.seen[address] = p
 	}
 	changed := p.reachable != reachable
 	p.reachable = reachable
-	p.fresh = true
+	p.unsent = true
 	if info != nil && !proto.Equal(info, p.info) {
 		p.info = info
-		p.told = 0
+		p.reportedEpoch = 0
 		changed = true
 	}
 	if tag != "" {
-		p.tag = tag
+		p.etag = tag
 	}
 	if !changed {
 		return
 	}
 	select {
-	case w.news <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// reports returns what was seen since the last report; what an endpoint said
-// of itself only if the leader of that epoch wasn't told yet.
-func (w *watcher) reports(epoch uint64) []*rpc.EndpointReport {
+// takeReports returns the results of the probes since the last report, or all
+// results if the epoch changed. An endpoint's info is included only if it was not
+// yet reported in that epoch, or if the epoch is 0.
+func (w *watcher) takeReports(epoch uint64) []*rpc.EndpointReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	again := epoch != w.epoch
+	newEpoch := epoch != w.epoch
 	w.epoch = epoch
 	list := make([]*rpc.EndpointReport, 0, len(w.seen))
 	for address, p := range w.seen {
-		if !p.fresh && !again {
+		if !p.unsent && !newEpoch {
 			continue
 		}
-		p.fresh = false
+		p.unsent = false
 		r := &rpc.EndpointReport{
 			Address:   address,
 			Reachable: p.reachable,
 		}
-		if p.told != epoch || epoch == 0 {
+		if p.reportedEpoch != epoch || epoch == 0 {
 			r.Info = p.info
-			p.told = epoch
+			p.reportedEpoch = epoch
 		}
 		list = append(list, r)
 	}
 	return list
 }
 
-// undo makes the next report hold again what one that got lost held.
-func (w *watcher) undo() {
+// markUnreported makes the next report include everything that a lost report
+// held.
+func (w *watcher) markUnreported() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.epoch = 0
 	for _, p := range w.seen {
-		p.told = 0
+		p.reportedEpoch = 0
 	}
 }
 
-// ask reads an endpoint's info: an engine's, or else a plain service's.
-func (w *watcher) ask(ctx context.Context, address string) {
+// probeEndpoint reads and records an endpoint's info: an engine's, or else a plain
+// service's.
+func (w *watcher) probeEndpoint(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	engine := api.EngineInfo{}
 	tag, err := w.get(ctx, address, api.EngineInfoPath, &engine)
 	if err == nil {
-		w.note(address, engineInfo(engine), tag, true)
+		w.record(address, engineInfo(engine), tag, true)
 		return
 	}
 	service := api.ServiceInfo{}
 	if _, err := w.get(ctx, address, api.ServiceInfoPath, &service); err != nil {
-		w.note(address, nil, "", false)
+		w.record(address, nil, "", false)
 		return
 	}
-	w.note(address, serviceToWire(service), "", true)
+	w.record(address, serviceToWire(service), "", true)
 }
 
-// engineInfo returns nothing for an answer without content.
+// engineInfo returns nil for an answer without content, which means that nothing
+// changed.
 func engineInfo(i api.EngineInfo) *rpc.Endpoint {
 	if i.EndLayer == 0 {
 		return nil
@@ -281,14 +291,15 @@
 	return engineToWire(i)
 }
 
-// get reads path into out unless it has the tag that this host has seen. It
-// returns the tag.
+// get reads path into out, unless it still has the last ETag that this host has
+// seen; out then stays as it is. It returns the answer's ETag, or "" if there is none
+// or nothing changed.
 func (w *watcher) get(ctx context.Context, address, path string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return "", errors.Wrap(err, "request")
 	}
-	if tag := w.tag(address); tag != "" {
+	if tag := w.etag(address); tag != "" {
 		req.Header.Set("If-None-Match", tag)
 	}
 	req.Header.Set("User-Agent", "")
@@ -310,11 +321,11 @@
 	return resp.Header.Get("ETag"), nil
 }
 
-func (w *watcher) tag(address string) string {
+func (w *watcher) etag(address string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p := w.seen[address]; p != nil {
-		return p.tag
+		return p.etag
 	}
 	return ""
 }
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -1,5 +1,5 @@
-// Package route chooses the endpoints of a request: for each layer of the
-// model exactly one, in order.
+// Package route chooses the endpoints for a request: a chain in which each layer of
+// the model is served by exactly one endpoint, in order.
 package route
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/larchwinch/larchwinch/pkg/directory"
 )
 
-// Policy names a way of choosing among endpoints that hold the same layers.
+// Policy is how a router chooses among endpoints that hold the same layers.
 type Policy string
 
-// The policies. Only ExpectedFinish is meant for production; the others are
-// what it is measured against.
+// The policies. Only ExpectedFinish is meant for production; the others serve as
+// baselines in measurements.
 const (
 	ExpectedFinish   Policy = "expected-finish"
 	LeastOutstanding Policy = "least-outstanding"
@@ -25,7 +25,7 @@
 	ByCapacity       Policy = "by-capacity"
 )
 
-// Chain is endpoints that cover a range of layers, in order.
+// Chain is a sequence of endpoints that together cover a range of layers, in order.
 type Chain []*directory.Endpoint
 
 // Addresses returns the endpoints' addresses.
@@ -43,13 +43,13 @@
 	domain string
 	hosts  func() int
 
-	mu   sync.Mutex
-	rand *rand.Rand
-	turn int
+	mu        sync.Mutex
+	rand      *rand.Rand
+	nextIndex int
 }
 
-// New returns a router for a host in domain; hosts gives how many entry hosts
-// there are.
+// New returns a router for an entry host in the failure domain; hosts returns the
+// number of entry hosts.
 func New(policy Policy, domain string, hosts func() int, rnd *rand.Rand) *Router {
 	return &Router{
 		policy: policy,
@@ -59,56 +59,58 @@
 	}
 }
 
-// span is the endpoints that hold the same layers.
-type span struct {
-	first int
-	end   int
-	all   []*directory.Endpoint
+// layerRange is the range of layers [first, end) and the endpoints that hold
+// exactly these layers.
+type layerRange struct {
+	first     int
+	end       int
+	endpoints []*directory.Endpoint
 }
 
-// Choose returns the chain that covers layers [first, end) at the least cost,
-// or nil if none does. Endpoints in without are left out; those that failed a
-// short while ago are used only if there is no other way.
-func (r *Router) Choose(all []*directory.Endpoint, first, end int, without map[string]bool) Chain {
-	var good, rest []*directory.Endpoint
-	for _, e := range all {
+// Choose returns the cheapest chain that it finds over layers [first, end), or nil
+// if no chain covers them. Endpoints in exclude are not used. Endpoints that failed
+// a short while ago are used only if there is no chain without them.
+func (r *Router) Choose(endpoints []*directory.Endpoint, first, end int, exclude map[string]bool) Chain {
+	var preferred, avoided []*directory.Endpoint
+	for _, e := range endpoints {
 		switch {
-		case without[e.Address()]:
+		case exclude[e.Address()]:
 		case e.Avoided():
-			rest = append(rest, e)
+			avoided = append(avoided, e)
 		default:
-			good = append(good, e)
+			preferred = append(preferred, e)
 		}
 	}
-	if c := r.cheapest(spans(good), first, end); c != nil {
+	if c := r.cheapest(groupByRange(preferred), first, end); c != nil {
 		return c
 	}
-	return r.cheapest(spans(append(good, rest...)), first, end)
+	return r.cheapest(groupByRange(append(preferred, avoided...)), first, end)
 }
 
-// spans groups endpoints by the layers they hold, in the layers' order.
-func spans(all []*directory.Endpoint) []*span {
+// groupByRange groups endpoints by the layers they hold, sorted by first layer and
+// then by end.
+func groupByRange(endpoints []*directory.Endpoint) []*layerRange {
 	type bounds struct {
 		first int
 		end   int
 	}
-	by := map[bounds]*span{}
-	var list []*span
-	for _, e := range all {
+	byBounds := map[bounds]*layerRange{}
+	var list []*layerRange
+	for _, e := range endpoints {
 		b := bounds{
 			first: int(e.Info().GetFirstLayer()),
 			end:   int(e.Info().GetEndLayer()),
 		}
-		s := by[b]
+		s := byBounds[b]
 		if s == nil {
-			s = &span{
+			s = &layerRange{
 				first: b.first,
 				end:   b.end,
 			}
-			by[b] = s
+			byBounds[b] = s
 			list = append(list, s)
 		}
-		s.all = append(s.all, e)
+		s.endpoints = append(s.endpoints, e)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		if list[i].first != list[j].first {
@@ -119,20 +121,22 @@
 	return list
 }
 
-// reach is the cheapest way found to a layer boundary.
-type reach struct {
+// partialChain is the cheapest chain found up to a layer boundary: its cost, its
+// last endpoint, and the boundary at which that endpoint begins.
+type partialChain struct {
 	cost float64
 	last *directory.Endpoint
 	from int
 }
 
-// cheapest finds the cheapest path over the layer boundaries. Since spans come
-// in the order of their first layer, one pass over them is enough.
-func (r *Router) cheapest(list []*span, first, end int) Chain {
-	best := map[int]reach{
+// cheapest finds the cheapest chain over the layer boundaries, with one endpoint
+// picked from each range. The ranges are sorted by their first layer, so one pass
+// over them is enough.
+func (r *Router) cheapest(ranges []*layerRange, first, end int) Chain {
+	best := map[int]partialChain{
 		first: {},
 	}
-	for _, s := range list {
+	for _, s := range ranges {
 		at, ok := best[s.first]
 		if !ok || s.first < first || s.end > end {
 			continue
@@ -140,7 +144,7 @@
 		e, cost := r.pick(s)
 		old, known := best[s.end]
 		if total := at.cost + cost; !known || total < old.cost {
-			best[s.end] = reach{
+			best[s.end] = partialChain{
 				cost: total,
 				last: e,
 				from: s.first,
@@ -162,53 +166,53 @@
 	return c
 }
 
-// pick chooses one endpoint of a span by the policy, and says what it costs.
-func (r *Router) pick(s *span) (*directory.Endpoint, float64) {
+// pick chooses one endpoint of a range by the policy and returns it with its cost.
+func (r *Router) pick(s *layerRange) (*directory.Endpoint, float64) {
 	switch r.policy {
 	case RoundRobin:
 		r.mu.Lock()
-		r.turn++
-		e := s.all[r.turn%len(s.all)]
+		r.nextIndex++
+		e := s.endpoints[r.nextIndex%len(s.endpoints)]
 		r.mu.Unlock()
 		return e, 1
 	case LeastOutstanding:
-		return r.least(s.all, outstanding), 1
+		return r.least(s.endpoints, outstanding), 1
 	case TwoChoices:
-		return r.least(r.sample(s.all, 2), outstanding), 1
+		return r.least(r.sample(s.endpoints, 2), outstanding), 1
 	default:
-		e := r.least(r.sample(s.all, sampled), r.cost)
+		e := r.least(r.sample(s.endpoints, sampleSize), r.cost)
 		return e, r.cost(e)
 	}
 }
 
-// sampled is among how many random endpoints of a span the cheapest is taken.
-// Looking at all of them would send every host to the same one when reports
-// are stale.
-const sampled = 4
+// sampleSize is the number of random endpoints of a range from which the cheapest
+// is taken. If all were compared, every host would choose the same endpoint while
+// the load reports are stale.
+const sampleSize = 4
 
-func (r *Router) sample(all []*directory.Endpoint, n int) []*directory.Endpoint {
-	if len(all) <= n {
-		return all
+func (r *Router) sample(endpoints []*directory.Endpoint, n int) []*directory.Endpoint {
+	if len(endpoints) <= n {
+		return endpoints
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	chosen := make([]*directory.Endpoint, 0, n)
-	for _, i := range r.rand.Perm(len(all))[:n] {
-		chosen = append(chosen, all[i])
+	for _, i := range r.rand.Perm(len(endpoints))[:n] {
+		chosen = append(chosen, endpoints[i])
 	}
 	return chosen
 }
 
-func (r *Router) least(all []*directory.Endpoint, cost func(*directory.Endpoint) float64) *directory.Endpoint {
+func (r *Router) least(endpoints []*directory.Endpoint, cost func(*directory.Endpoint) float64) *directory.Endpoint {
 	r.mu.Lock()
-	start := r.rand.IntN(len(all)) // so that ties don't all fall to the first
+	start := r.rand.IntN(len(endpoints)) // a random start, so that ties don't always go to the first
 	r.mu.Unlock()
-	best := all[start]
-	low := math.Inf(1)
-	for i := range all {
-		e := all[(start+i)%len(all)]
-		if c := cost(e); c < low {
-			low = c
+	best := endpoints[start]
+	lowest := math.Inf(1)
+	for i := range endpoints {
+		e := endpoints[(start+i)%len(endpoints)]
+		if c := cost(e); c < lowest {
+			lowest = c
 			best = e
 		}
 	}
@@ -219,22 +223,26 @@
 	return float64(e.Inflight())
 }
 
-// farLink is what a stage in another failure domain costs more, before a
-// round-trip time is known.
-const farLink = time.Millisecond
+// otherDomainDelay is the assumed round-trip time to an endpoint in another failure
+// domain until one is measured.
+const otherDomainDelay = time.Millisecond
 
-// warmUp is how long an endpoint that has joined is given less work.
+// For warmUpPeriod an endpoint that has just joined gets less work: its cost is
+// multiplied by a factor that falls from warmUpFactor to 1.
 const (
-	warmUp     = 5 * time.Second
-	warmUpCost = 4
+	warmUpPeriod = 5 * time.Second
+	warmUpFactor = 4
 )
 
-// fullCost keeps requests away from an endpoint whose slots seem to be taken.
-const fullCost = 100
+// fullPenalty multiplies the cost of an endpoint whose slots are estimated to be
+// all taken.
+const fullPenalty = 100
 
-// cost is about how long a step of one more request would take at the
-// endpoint, in microseconds: its own pass, and the passes of others that it
-// waits for once there are more sequences than fit into one.
+// cost estimates, in microseconds, how long a decode step of one more request would
+// take at the endpoint: the pass that the request is in, full passes in proportion
+// to the sequences per batch, which stand for the wait for other sequences, and the
+// round trip. With ByCapacity only the full passes count. An endpoint that is full
+// or has just joined costs more.
 func (r *Router) cost(e *directory.Endpoint) float64 {
 	info := e.Info()
 	layers := float64(info.GetEndLayer() - info.GetFirstLayer())
@@ -244,23 +252,23 @@
 	own := layers * (float64(info.GetLayerUs()) + float64(info.GetSequenceUs())*math.Min(n, batch))
 	link := float64(e.RTT().Microseconds())
 	if link == 0 && info.GetDomain() != r.domain {
-		link = float64(farLink.Microseconds())
+		link = float64(otherDomainDelay.Microseconds())
 	}
 	c := own + full*n/batch + link
 	if r.policy == ByCapacity {
 		c = full * n / batch
 	}
 	if slots := float64(info.GetSlots()); slots > 0 && n > slots {
-		c *= fullCost
+		c *= fullPenalty
 	}
-	if age := e.Age(); age < warmUp {
-		c *= 1 + (warmUpCost-1)*(1-float64(age)/float64(warmUp))
+	if age := e.Age(); age < warmUpPeriod {
+		c *= 1 + (warmUpFactor-1)*(1-float64(age)/float64(warmUpPeriod))
 	}
 	return c
 }
 
 // PassTime returns how long a decode step through the endpoint takes under its
-// present load, and how much longer each prefilled position makes it.
+// present load, and by how much each prefilled position prolongs it.
 func (r *Router) PassTime(e *directory.Endpoint) (pass, position time.Duration) {
 	info := e.Info()
 	layers := float64(info.GetEndLayer() - info.GetFirstLayer())
@@ -270,21 +278,21 @@
 	return time.Duration(us * float64(time.Microsecond)), time.Duration(per * float64(time.Microsecond))
 }
 
-// Slots returns how many requests the engines have room for at the layer at
-// which they have the least; 0 if a layer is held by none.
-func Slots(all []*directory.Endpoint, layers int) int {
-	at := make([]int, layers+1)
-	for _, e := range all {
+// Slots returns the sum of the engines' slots at the layer with the fewest slots;
+// 0 if some layer is held by no engine.
+func Slots(endpoints []*directory.Endpoint, layers int) int {
+	changes := make([]int, layers+1)
+	for _, e := range endpoints {
 		info := e.Info()
 		first := min(int(info.GetFirstLayer()), layers)
 		end := min(int(info.GetEndLayer()), layers)
-		at[first] += int(info.GetSlots())
-		at[end] -= int(info.GetSlots())
+		changes[first] += int(info.GetSlots())
+		changes[end] -= int(info.GetSlots())
 	}
-	low, sum := math.MaxInt, 0
-	for _, change := range at[:layers] {
+	lowest, sum := math.MaxInt, 0
+	for _, change := range changes[:layers] {
 		sum += change
-		low = min(low, sum)
+		lowest = min(lowest, sum)
 	}
-	return max(0, low)
+	return max(0, lowest)
 }
