--- a/_tools/lost/main.go
+++ b/_tools/lost/main.go
@@ -25,25 +25,25 @@
 
 // class is a count of requests.
 type class struct {
-	Asked   int `json:"n"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	NotOwed int `json:"not_owed"`
+	Requested int `json:"n"`
+	Late      int `json:"late"`
+	Refused   int `json:"refused"`
+	Failed    int `json:"failed"`
+	Excluded  int `json:"not_owed"`
 }
 
 // row is a line of a report's table: a name and numbers, or a name and how many.
-type row struct {
+type tableRow struct {
 	name    string
 	numbers []float64
 }
 
-func readRow(raw json.RawMessage) (*row, error) {
+func readTableRow(raw json.RawMessage) (*tableRow, error) {
 	fields := []any{}
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return nil, err
 	}
-	r := &row{}
+	r := &tableRow{}
 	for _, f := range fields {
 		switch v := f.(type) {
 		case string:
@@ -59,7 +59,7 @@
 }
 
 // last returns the row's last number.
-func (r *row) last() float64 {
+func (r *tableRow) last() float64 {
 	return r.numbers[len(r.numbers)-1]
 }
 
@@ -67,20 +67,20 @@
 	// What the stricter measure takes off: a refusal that comes back in time
 	// counts as late, one that is refused again as a second refusal, and waiting
 	// to the end unserved as much.
-	refusedLoss = 0.375
-	againLoss   = 0.3
-	waitLoss    = 0.3
+	refusedLoss         = 0.375
+	repeatedRefusalLoss = 0.3
+	waitedLoss          = 0.3
 )
 
 // strict estimates the customers' measure: worth from a caller's first try only.
 // A report doesn't tell which request a try belongs to; a refusal that wasn't a
 // request's last try is taken to have come back.
 func (r *report) strict() (float64, error) {
-	owed := float64(max(1, r.All.Asked-r.All.NotOwed))
+	owed := float64(max(1, r.All.Requested-r.All.Excluded))
 	lastRefused := 0.0
 	waited := 0.0
 	for _, raw := range r.Last {
-		t, err := readRow(raw)
+		t, err := readTableRow(raw)
 		if err != nil {
 			return 0, err
 		}
@@ -91,16 +91,16 @@
 			waited = t.last()
 		}
 	}
-	cameBack := max(0, float64(r.Ends["503"])-lastRefused)
-	again := min(cameBack, lastRefused)
-	return r.Mean - (refusedLoss*(cameBack-again)+againLoss*again+waitLoss*waited)/owed, nil
+	retried := max(0, float64(r.Ends["503"])-lastRefused)
+	refusedAgain := min(retried, lastRefused)
+	return r.Mean - (refusedLoss*(retried-refusedAgain)+repeatedRefusalLoss*refusedAgain+waitedLoss*waited)/owed, nil
 }
 
 // losses returns what was lost by cause; it adds up to one less the worth.
 func (r *report) losses() (map[string]float64, error) {
 	lost := map[string]float64{}
 	for _, raw := range r.Parts {
-		t, err := readRow(raw)
+		t, err := readTableRow(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -112,7 +112,7 @@
 		lost[t.name] += loss
 	}
 	for _, raw := range r.Prices {
-		t, err := readRow(raw)
+		t, err := readTableRow(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -121,12 +121,12 @@
 	return lost, nil
 }
 
-// lateShare is how much of a request's worth is lost if it is late.
-const lateShare = 0.75
+// lateLoss is how much of a request's worth is lost if it is late.
+const lateLoss = 0.75
 
 // splitDay parts the whole day's loss by how requests ended.
 func (r *report) splitDay(lost map[string]float64, loss float64) {
-	late := lateShare * float64(r.All.Late)
+	late := lateLoss * float64(r.All.Late)
 	sum := late + float64(r.All.Refused+r.All.Failed)
 	if sum == 0 {
 		lost["whole day: other"] += loss
@@ -176,24 +176,24 @@
 }
 
 // least is the smallest loss that has a row of its own.
-const least = 0.002
+const minShownLoss = 0.002
 
 func show(total map[string]float64, worth, strict float64, n int) {
 	names := []string{}
-	rest := 0.0
+	other := 0.0
 	for name, v := range total {
-		if v < least {
-			rest += v
+		if v < minShownLoss {
+			other += v
 			continue
 		}
 		names = append(names, name)
 	}
 	sort.Slice(names, func(i, j int) bool { return total[names[i]] > total[names[j]] })
 	fmt.Printf("%d days: worth %.3f, credit by the stricter measure %.3f\n\n| lost | worth |\n|---|---|\n", n, worth, strict)
-	sum := rest
+	sum := other
 	for _, name := range names {
 		fmt.Printf("| %s | %.3f |\n", name, total[name])
 		sum += total[name]
 	}
-	fmt.Printf("| all else | %.3f |\n| sum | %.3f |\n", rest, sum)
+	fmt.Printf("| all else | %.3f |\n| sum | %.3f |\n", other, sum)
 }
--- a/pkg/cmds/fleetcmd/fleet.go
+++ b/pkg/cmds/fleetcmd/fleet.go
@@ -26,11 +26,11 @@
 	// gcPercent lets the heap grow to four times what is live: live heaps are
 	// a few MB, and the collector's work is processor time.
 	gcPercent = 300
-	// memoryShare of the host's memory makes the collector work harder.
-	memoryShare = 0.4
-	// logLines is the budget of lines a second: a host serves 7 requests a
+	// memoryLimitRatio of the host's memory makes the collector work harder.
+	memoryLimitRatio = 0.4
+	// maxLogLines is the budget of lines a second: a host serves 7 requests a
 	// second on the users' deployments, and thrice that in a burst.
-	logLines = 200
+	maxLogLines = 200
 	// metrics ports, as deploy/system.toml names them.
 	entryMetricsPort   = "9190"
 	controlMetricsPort = "9191"
@@ -90,75 +90,75 @@
 func newProcess(cfg *config.Fleet, file, role string) *process {
 	debug.SetGCPercent(gcPercent)
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryLimitRatio * (1 << 20)))
 	}
 	p := &process{
 		file:   file,
 		role:   role,
 		svc:    timer.NewSystem(),
 		set:    metrics.New(),
-		client: ownClient(cfg.IP),
+		client: rpcClient(cfg.IP),
 		group:  group.New(context.Background()),
 	}
 	p.cfg.Store(cfg)
-	p.log = eventlog.New(os.Stdout, p.svc, cfg.Host, logLines)
+	p.log = eventlog.New(os.Stdout, p.svc, cfg.Host, maxLogLines)
 	return p
 }
 
 const (
-	ownDial = 400 * time.Millisecond
-	ownIdle = 30 * time.Second
-	// ownConns is how many connections to one control host are kept.
-	ownConns = 8
+	rpcDialTimeout = 400 * time.Millisecond
+	rpcIdleTimeout = 30 * time.Second
+	// rpcIdleConns is how many connections to one control host are kept.
+	rpcIdleConns = 8
 )
 
-// ownClient returns the client for the system's own processes.
-func ownClient(ip string) *http.Client {
+// rpcClient returns the client for the system's own processes.
+func rpcClient(ip string) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:         netutil.Dialer(ip, ownDial).DialContext,
-			MaxIdleConnsPerHost: ownConns,
-			IdleConnTimeout:     ownIdle,
+			DialContext:         netutil.Dialer(ip, rpcDialTimeout).DialContext,
+			MaxIdleConnsPerHost: rpcIdleConns,
+			IdleConnTimeout:     rpcIdleTimeout,
 			DisableCompression:  true,
 		},
 		CheckRedirect: noRedirect,
 	}
 }
 
-// endpointDial bounds how long making a connection may take: an endpoint that
+// endpointDialTimeout bounds how long making a connection may take: an endpoint that
 // takes connections answers in a few ms, and a caller's goal is half a second.
-const endpointDial = 400 * time.Millisecond
+const endpointDialTimeout = 400 * time.Millisecond
 
 const (
-	// keptIdle is how long a connection to an endpoint is kept at rest. Endpoints
+	// endpointIdleTimeout is how long a connection to an endpoint is kept at rest. Endpoints
 	// close theirs after several seconds, and may forget one sooner.
-	keptIdle = 3 * time.Second
-	// keptStreams and keptReports bound the connections that rest for each
+	endpointIdleTimeout = 3 * time.Second
+	// streamIdleConns and keptReports bound the connections that rest for each
 	// endpoint: the streams that a host of nine begins there in a second, and one
 	// for the question that is under way.
-	keptStreams = 16
-	keptReports = 1
+	streamIdleConns = 16
+	reportIdleConns = 1
 )
 
 // endpointClients returns the clients for endpoints.
 func endpointClients(ip string) platform.Clients {
 	return platform.Clients{
 		Requests: endpointClient(ip, 0),
-		Streams:  endpointClient(ip, keptStreams),
-		Reports:  endpointClient(ip, keptReports),
+		Streams:  endpointClient(ip, streamIdleConns),
+		Reports:  endpointClient(ip, reportIdleConns),
 	}
 }
 
 // endpointClient returns a client that keeps so many connections at rest for each
 // endpoint. A new one costs the endpoint a millisecond.
-func endpointClient(ip string, kept int) *http.Client {
+func endpointClient(ip string, idleConns int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:         netutil.Dialer(ip, endpointDial).DialContext,
+			DialContext:         netutil.Dialer(ip, endpointDialTimeout).DialContext,
 			DisableCompression:  true,
-			DisableKeepAlives:   kept == 0,
-			MaxIdleConnsPerHost: kept,
-			IdleConnTimeout:     keptIdle,
+			DisableKeepAlives:   idleConns == 0,
+			MaxIdleConnsPerHost: idleConns,
+			IdleConnTimeout:     endpointIdleTimeout,
 		},
 		CheckRedirect: noRedirect,
 	}
@@ -189,10 +189,10 @@
 }
 
 const (
-	headTimeout = 10 * time.Second
-	// keepIdle is over four times the users' limit for a connection at rest.
-	keepIdle     = 65 * time.Second
-	maxHeadBytes = 64 << 10
+	readHeaderTimeout = 10 * time.Second
+	// serverIdleTimeout is over four times the users' limit for a connection at rest.
+	serverIdleTimeout = 65 * time.Second
+	maxHeaderBytes    = 64 << 10
 )
 
 func (s server) open() (net.Listener, *http.Server, error) {
@@ -202,8 +202,8 @@
 	}
 	return l, &http.Server{
 		Handler:           s.handler,
-		ReadHeaderTimeout: headTimeout,
-		IdleTimeout:       keepIdle,
-		MaxHeaderBytes:    maxHeadBytes,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       serverIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}, nil
 }
--- a/pkg/cmds/fleetcmd/run.go
+++ b/pkg/cmds/fleetcmd/run.go
@@ -26,10 +26,10 @@
 	// reloadInterval is how often the settings file is read: it may change
 	// without a signal.
 	reloadInterval = 2 * time.Second
-	// directoryKeep is how long callers are told to keep an answer; shorter
+	// directoryMaxAge is how long callers are told to keep an answer; shorter
 	// answers cost processor time, longer ones keep callers at hosts that left.
-	directoryKeep = 2 * time.Second
-	controlDrain  = 300 * time.Millisecond
+	directoryMaxAge  = 2 * time.Second
+	controlDrainTime = 300 * time.Millisecond
 )
 
 func serveControl(cfg *config.Fleet, file string) error {
@@ -60,8 +60,8 @@
 		{address: net.JoinHostPort(cfg.IP, cfg.ControlPort()), handler: fleetcontrol.Forwarded(s.RPC())},
 		{address: net.JoinHostPort(cfg.IP, controlMetricsPort), handler: p.set.Handler()},
 	}, s.Run, func(ctx context.Context) {
-		_ = timer.Sleep(ctx, p.svc, controlDrain) // calls under way get their answers
-	}, controlDrain)
+		_ = timer.Sleep(ctx, p.svc, controlDrainTime) // calls under way get their answers
+	}, controlDrainTime)
 }
 
 func serveEntry(cfg *config.Fleet, file string) error {
@@ -89,11 +89,11 @@
 	f.SetSources(g.Tracker(), g.Quarantine(), g.Backoffs(), g.Permits())
 	grace := cfg.Bounds.Grace.Or(time.Second)
 	host := fleetentry.NewHost(f, grace, p.svc, p.log)
-	keep := min(directoryKeep, cfg.Bounds.DirectoryKeep.Or(directoryKeep))
+	maxAge := min(directoryMaxAge, cfg.Bounds.DirectoryKeep.Or(directoryMaxAge))
 	return p.run([]server{
 		{address: cfg.Listen.Callers, handler: platform.NewCallerHandler(g, host, p.svc)},
 		{address: cfg.Listen.Ready, handler: platform.NewReadinessHandler(host)},
-		{address: cfg.Listen.Directory, handler: platform.NewDirectoryHandler(host, keep)},
+		{address: cfg.Listen.Directory, handler: platform.NewDirectoryHandler(host, maxAge)},
 		{address: net.JoinHostPort(cfg.IP, entryMetricsPort), handler: p.set.Handler()},
 	}, func(ctx context.Context) error {
 		f.Run(ctx)
--- a/pkg/cmds/loadcmd/fit.go
+++ b/pkg/cmds/loadcmd/fit.go
@@ -47,13 +47,13 @@
 	if err != nil || len(rows) < 2 {
 		return nil, nil, errors.Errorf("%s: no table: %v", file, err)
 	}
-	atX, atY := indexOf(rows[0], nameX), indexOf(rows[0], nameY)
-	if atX < 0 || atY < 0 {
+	columnX, columnY := indexOf(rows[0], nameX), indexOf(rows[0], nameY)
+	if columnX < 0 || columnY < 0 {
 		return nil, nil, errors.Errorf("%s has no columns %q and %q; it has %v", file, nameX, nameY, rows[0])
 	}
 	for _, row := range rows[1:] {
-		vx, errX := strconv.ParseFloat(row[atX], 64)
-		vy, errY := strconv.ParseFloat(row[atY], 64)
+		vx, errX := strconv.ParseFloat(row[columnX], 64)
+		vy, errY := strconv.ParseFloat(row[columnY], 64)
 		if errX != nil || errY != nil {
 			return nil, nil, errors.Errorf("%s: %v holds no numbers there", file, row)
 		}
--- a/pkg/cmds/loadcmd/load.go
+++ b/pkg/cmds/loadcmd/load.go
@@ -63,7 +63,7 @@
 	if err := report.WriteCSV(out, limit, true); err != nil {
 		return err
 	}
-	if err := o.files(report, limit); err != nil {
+	if err := o.writeFiles(report, limit); err != nil {
 		return err
 	}
 	if n, some := report.Wrong(); n > 0 {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (o options) files(report *load.Report, limit float64) error {
+func (o options) writeFiles(report *load.Report, limit float64) error {
 	if o.svg != "" {
 		if err := report.Plot(o.svg); err != nil {
 			return err
--- a/pkg/cmds/opcmd/ask.go
+++ b/pkg/cmds/opcmd/ask.go
@@ -19,21 +19,21 @@
 	"github.com/spf13/cobra"
 )
 
-// question is what the ask command sends.
-type question struct {
-	entries  []string
-	pipeline string
-	tokens   int
-	seed     int64
-	key      string
-	lastID   string
-	text     string
+// askRequest is what the ask command sends.
+type askRequest struct {
+	entries     []string
+	pipeline    string
+	tokens      int
+	seed        int64
+	key         string
+	lastEventID string
+	text        string
 }
 
-const askTries = 5
+const maxAskAttempts = 5
 
 func (o *options) askCommand() *cobra.Command {
-	q := question{}
+	q := askRequest{}
 	cmd := &cobra.Command{
 		Use:   "ask TEXT",
 		Short: "Send a caller's request and print the answer as it comes",
@@ -58,12 +58,12 @@
 
 // ask tries the entry hosts in turn. A stream that breaks is gone on with at
 // the next one, from the last event that came.
-func (o *options) ask(ctx context.Context, q *question) error {
+func (o *options) ask(ctx context.Context, q *askRequest) error {
 	var last error
-	for i := range askTries * len(q.entries) {
+	for i := range maxAskAttempts * len(q.entries) {
 		done, err := o.askOne(ctx, q.entries[i%len(q.entries)], q)
 		if done || err == nil {
-			return exit(err)
+			return withExitCode(err)
 		}
 		last = err
 		wait := failure.From(err).RetryAfter()
@@ -74,12 +74,12 @@
 			return err
 		}
 	}
-	return exit(last)
+	return withExitCode(last)
 }
 
 // askOne asks one entry host; done is true if asking again makes no sense.
-func (o *options) askOne(ctx context.Context, entry string, q *question) (done bool, err error) {
-	resp, err := sendQuestion(ctx, entry, o.key, q)
+func (o *options) askOne(ctx context.Context, entry string, q *askRequest) (done bool, err error) {
+	resp, err := sendAskRequest(ctx, entry, o.key, q)
 	if err != nil {
 		return q.key != "", err
 	}
@@ -89,12 +89,12 @@
 		return failure.From(err).RetryAfter() == 0, err
 	}
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return true, o.printWhole(resp)
+		return true, o.printAnswer(resp)
 	}
 	return o.printStream(resp, q)
 }
 
-func sendQuestion(ctx context.Context, entry, key string, q *question) (*http.Response, error) {
+func sendAskRequest(ctx context.Context, entry, key string, q *askRequest) (*http.Response, error) {
 	body := api.ChatRequest{
 		Model: q.pipeline,
 		Messages: []api.ChatMessage{{
@@ -119,13 +119,13 @@
 	if q.key != "" {
 		req.Header.Set(api.HeaderIdempotencyKey, q.key)
 	}
-	if q.lastID != "" {
-		req.Header.Set(api.HeaderLastEventID, q.lastID)
+	if q.lastEventID != "" {
+		req.Header.Set(api.HeaderLastEventID, q.lastEventID)
 	}
 	return http.DefaultClient.Do(req)
 }
 
-func (o *options) printWhole(resp *http.Response) error {
+func (o *options) printAnswer(resp *http.Response) error {
 	out := api.ChatCompletion{}
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		return errors.Wrap(err, "decode answer")
@@ -139,7 +139,7 @@
 }
 
 // printStream prints tokens as they come.
-func (o *options) printStream(resp *http.Response, q *question) (bool, error) {
+func (o *options) printStream(resp *http.Response, q *askRequest) (bool, error) {
 	sc := bufio.NewScanner(resp.Body)
 	for sc.Scan() {
 		line := sc.Text()
@@ -148,7 +148,7 @@
 			fmt.Fprintln(o.out)
 			return true, nil
 		case strings.HasPrefix(line, "id: "):
-			q.lastID = strings.TrimPrefix(line, "id: ")
+			q.lastEventID = strings.TrimPrefix(line, "id: ")
 		case strings.HasPrefix(line, ": path "):
 			fmt.Fprintf(o.out, "\n[path: %s]", strings.ReplaceAll(strings.TrimPrefix(line, ": path "), ",", " -> "))
 		case strings.HasPrefix(line, "data: "):
@@ -161,10 +161,10 @@
 }
 
 func (o *options) printChunk(data string) error {
-	bad := api.Error{}
-	if err := json.Unmarshal([]byte(data), &bad); err == nil && bad.Error.Kind != "" {
-		kind, _ := failure.KindNamed(bad.Error.Kind)
-		return failure.New(kind, "%s", bad.Error.Message).WithRan(failure.Ran(bad.Error.Ran))
+	failed := api.Error{}
+	if err := json.Unmarshal([]byte(data), &failed); err == nil && failed.Error.Kind != "" {
+		kind, _ := failure.KindNamed(failed.Error.Kind)
+		return failure.New(kind, "%s", failed.Error.Message).WithRan(failure.Ran(failed.Error.Ran))
 	}
 	c := api.ChatCompletion{}
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
--- a/pkg/cmds/opcmd/bundle.go
+++ b/pkg/cmds/opcmd/bundle.go
@@ -91,8 +91,8 @@
 				return err
 			}
 			return o.show(b, table{
-				head: []string{"BUNDLE", "VERSION", "DIGEST"},
-				rows: [][]string{{b.Name, strconv.FormatUint(b.Version, 10), bundle.Digest(text)}},
+				header: []string{"BUNDLE", "VERSION", "DIGEST"},
+				rows:   [][]string{{b.Name, strconv.FormatUint(b.Version, 10), bundle.Digest(text)}},
 			})
 		},
 	}
@@ -188,7 +188,7 @@
 				Signatures: sigs,
 			}, &v)
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			return o.show(v, versionTable([]api.BundleVersion{v}))
 		},
@@ -197,7 +197,7 @@
 
 func versionTable(list []api.BundleVersion) table {
 	t := table{
-		head: []string{"BUNDLE", "VERSION", "REVISION", "ACCEPTED", "SIGNED BY", "DIGEST"},
+		header: []string{"BUNDLE", "VERSION", "REVISION", "ACCEPTED", "SIGNED BY", "DIGEST"},
 	}
 	for _, v := range list {
 		t.rows = append(t.rows, []string{
@@ -219,7 +219,7 @@
 	if err != nil {
 		return v, err
 	}
-	return v, exit(c.Get(cmd.Context(), api.AdminBundlesPath+"/"+name+"/"+version, &v))
+	return v, withExitCode(c.Get(cmd.Context(), api.AdminBundlesPath+"/"+name+"/"+version, &v))
 }
 
 func (o *options) bundleShow() *cobra.Command {
@@ -266,7 +266,7 @@
 	for next := "0"; next != ""; {
 		page := api.BundlePage{}
 		if err := c.Get(cmd.Context(), path+"?page="+next, &page); err != nil {
-			return exit(err)
+			return withExitCode(err)
 		}
 		all = append(all, page.Items...)
 		next = page.Next
@@ -284,7 +284,7 @@
 			if err != nil {
 				return err
 			}
-			to, err := o.otherSide(cmd, args[0], args[2])
+			to, err := o.diffTarget(cmd, args[0], args[2])
 			if err != nil {
 				return err
 			}
@@ -305,7 +305,7 @@
 	}
 }
 
-func (o *options) otherSide(cmd *cobra.Command, name, which string) (api.BundleVersion, error) {
+func (o *options) diffTarget(cmd *cobra.Command, name, which string) (api.BundleVersion, error) {
 	if _, err := os.Stat(which); err != nil {
 		return o.fetchVersion(cmd, name, which)
 	}
--- a/pkg/cmds/opcmd/explain.go
+++ b/pkg/cmds/opcmd/explain.go
@@ -57,7 +57,7 @@
 
 func (o *options) showStory(lines []story.Line) error {
 	t := table{
-		head: []string{"TIME", "HOST", "EVENT", "WHAT"},
+		header: []string{"TIME", "HOST", "EVENT", "WHAT"},
 	}
 	var fields []map[string]any
 	for i := range lines {
--- a/pkg/cmds/opcmd/op.go
+++ b/pkg/cmds/opcmd/op.go
@@ -75,8 +75,8 @@
 	return opclient.New(o.admin, o.key), nil
 }
 
-// exit gives a failure of the API its exit code.
-func exit(err error) error {
+// withExitCode gives a failure of the API its exit code.
+func withExitCode(err error) error {
 	var f *failure.Error
 	if !errors.As(err, &f) {
 		return err
@@ -93,8 +93,8 @@
 
 // table is what a command prints to a person.
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
 // show prints v as JSON, or t as a table.
@@ -105,8 +105,8 @@
 		return enc.Encode(v)
 	}
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
-	if len(t.head) > 0 {
-		fmt.Fprintln(w, strings.Join(t.head, "\t"))
+	if len(t.header) > 0 {
+		fmt.Fprintln(w, strings.Join(t.header, "\t"))
 	}
 	for _, row := range t.rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
--- a/pkg/cmds/opcmd/status.go
+++ b/pkg/cmds/opcmd/status.go
@@ -28,7 +28,7 @@
 			}
 			r := api.Rollout{}
 			if err := c.Get(cmd.Context(), api.AdminRolloutPath, &r); err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			return o.show(r, rolloutTable(r))
 		},
@@ -38,7 +38,7 @@
 
 func rolloutTable(r api.Rollout) table {
 	t := table{
-		head: []string{"FAILURE DOMAIN", "HOSTS", "IN FORCE", "LOWEST REVISION"},
+		header: []string{"FAILURE DOMAIN", "HOSTS", "IN FORCE", "LOWEST REVISION"},
 	}
 	for _, s := range r.Sites {
 		t.rows = append(t.rows, []string{s.Domain, strconv.Itoa(s.Hosts), strconv.Itoa(s.InForce), strconv.FormatUint(s.LowestRevision, 10)})
@@ -67,7 +67,7 @@
 			}
 			s, err := readStatus(cmd, c)
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			if o.output == outputJSON {
 				return o.show(s, table{})
@@ -107,13 +107,13 @@
 func (o *options) showStatus(s status) error {
 	replicas := replicaTable(s.Replicas)
 	hosts := table{
-		head: []string{"ENTRY HOST", "FAILURE DOMAIN", "ADDRESS", "READY", "LEAVING", "REVISION"},
+		header: []string{"ENTRY HOST", "FAILURE DOMAIN", "ADDRESS", "READY", "LEAVING", "REVISION"},
 	}
 	for _, h := range s.Hosts {
-		hosts.rows = append(hosts.rows, []string{h.Host, h.Domain, h.Address, yes(h.Ready), yes(h.Leaving), strconv.FormatUint(h.Revision, 10)})
+		hosts.rows = append(hosts.rows, []string{h.Host, h.Domain, h.Address, yesNo(h.Ready), yesNo(h.Leaving), strconv.FormatUint(h.Revision, 10)})
 	}
 	endpoints := table{
-		head: []string{"ENDPOINT", "FAILURE DOMAIN", "STATE", "HOLDS", "ACCELERATOR"},
+		header: []string{"ENDPOINT", "FAILURE DOMAIN", "STATE", "HOLDS", "ACCELERATOR"},
 	}
 	for _, e := range s.Endpoints {
 		holds := "service " + e.Service
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
@@ -171,7 +171,7 @@
 			}
 			out := api.Replicas{}
 			if err := change(cmd, c, api.AdminReplicasPath+"/"+args[0], &out); err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			return o.show(out, replicaTable(out))
 		},
@@ -180,10 +180,10 @@
 
 func replicaTable(list api.Replicas) table {
 	t := table{
-		head: []string{"REPLICA", "ADDRESS", "ADMINISTRATION", "LEADS"},
+		header: []string{"REPLICA", "ADDRESS", "ADMINISTRATION", "LEADS"},
 	}
 	for _, r := range list.Items {
-		t.rows = append(t.rows, []string{strconv.FormatUint(r.ID, 10), r.Address, r.AdminAddress, yes(r.Leader)})
+		t.rows = append(t.rows, []string{strconv.FormatUint(r.ID, 10), r.Address, r.AdminAddress, yesNo(r.Leader)})
 	}
 	return t
 }
--- a/pkg/cmds/standincmd/fault.go
+++ b/pkg/cmds/standincmd/fault.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-const askTimeout = 5 * time.Second
+const callTimeout = 5 * time.Second
 
 func faultCommand() *cobra.Command {
 	f := engine.Fault{}
@@ -62,7 +62,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode")
 	}
-	resp, err := ask(ctx, http.MethodPost, url, text)
+	resp, err := call(ctx, http.MethodPost, url, text)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 }
 
 func getJSON(ctx context.Context, url string, out any) error {
-	resp, err := ask(ctx, http.MethodGet, url, nil)
+	resp, err := call(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// ask returns an answer of status 200; its body must be closed.
-func ask(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
+// call returns an answer of status 200; its body must be closed.
+func call(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
 	}
 	client := &http.Client{
-		Timeout: askTimeout,
+		Timeout: callTimeout,
 	}
 	resp, err := client.Do(req)
 	if err != nil {
--- a/pkg/fake/fakedisk/disk.go
+++ b/pkg/fake/fakedisk/disk.go
@@ -113,8 +113,8 @@
 	d.names[name].synced = len(data)
 }
 
-// op counts one operation, and crashes if it is its turn.
-func (d *Disk) op() error {
+// countOperation counts one operation, and crashes if it is its turn.
+func (d *Disk) countOperation() error {
 	if d.crashed {
 		return ErrCrashed
 	}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (d *Disk) change(f func(names map[string]*file)) {
+func (d *Disk) changeNames(f func(names map[string]*file)) {
 	f(d.names)
 	d.pending = append(d.pending, f)
 }
@@ -160,11 +160,11 @@
 
 // Create implements store.Disk.
 func (d *Disk) Create(name string) (store.File, error) {
-	if err := d.op(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return nil, err
 	}
 	f := &file{}
-	d.change(func(names map[string]*file) {
+	d.changeNames(func(names map[string]*file) {
 		names[name] = f
 	})
 	return &handle{
@@ -190,7 +190,7 @@
 
 // Truncate implements store.Disk.
 func (d *Disk) Truncate(name string, size int64) error {
-	if err := d.op(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	f := d.names[name]
@@ -201,10 +201,10 @@
 
 // Rename implements store.Disk.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.op(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.change(func(names map[string]*file) {
+	d.changeNames(func(names map[string]*file) {
 		if f, ok := names[from]; ok {
 			names[to] = f
 			delete(names, from)
@@ -215,10 +215,10 @@
 
 // Remove implements store.Disk.
 func (d *Disk) Remove(name string) error {
-	if err := d.op(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	d.change(func(names map[string]*file) {
+	d.changeNames(func(names map[string]*file) {
 		delete(names, name)
 	})
 	return nil
@@ -226,7 +226,7 @@
 
 // SyncFolder implements store.Disk.
 func (d *Disk) SyncFolder() error {
-	if err := d.op(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	for _, change := range d.pending {
@@ -244,7 +244,7 @@
 
 // Write implements io.Writer.
 func (h *handle) Write(p []byte) (int, error) {
-	if err := h.disk.op(); err != nil {
+	if err := h.disk.countOperation(); err != nil {
 		return 0, err
 	}
 	if h.disk.full {
@@ -256,7 +256,7 @@
 
 // Sync implements store.File.
 func (h *handle) Sync() error {
-	if err := h.disk.op(); err != nil {
+	if err := h.disk.countOperation(); err != nil {
 		return err
 	}
 	if h.disk.badSync {
--- a/pkg/fake/fakelink/proxy.go
+++ b/pkg/fake/fakelink/proxy.go
@@ -32,9 +32,9 @@
 
 // link is one connection through a proxy.
 type link struct {
-	mu    sync.Mutex
-	mute  [2]bool // by way
-	conns [2]net.Conn
+	mu         sync.Mutex
+	blackholed [2]bool // by way
+	conns      [2]net.Conn
 }
 
 // New returns a proxy on a loopback address, which carries until Close.
@@ -70,13 +70,13 @@
 
 // Silence makes every connection that is open now carry nothing any more in a
 // way. Neither end is told.
-func (p *Proxy) Silence(way Way) {
+func (p *Proxy) Silence(direction Way) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
 		l.mu.Lock()
-		l.mute[Forth] = l.mute[Forth] || way != Back
-		l.mute[Back] = l.mute[Back] || way != Forth
+		l.blackholed[Forth] = l.blackholed[Forth] || direction != Back
+		l.blackholed[Back] = l.blackholed[Back] || direction != Forth
 		l.mu.Unlock()
 	}
 }
@@ -105,20 +105,20 @@
 		p.mu.Lock()
 		p.links = append(p.links, l)
 		p.mu.Unlock()
-		p.group.Go(func(context.Context) { l.carry(Forth) })
-		p.group.Go(func(context.Context) { l.carry(Back) })
+		p.group.Go(func(context.Context) { l.forward(Forth) })
+		p.group.Go(func(context.Context) { l.forward(Back) })
 	}
 }
 
-// carry moves bytes one way until either end closes. A silent way still takes what
+// forward moves bytes one way until either end closes. A silent way still takes what
 // is sent, and loses it.
-func (l *link) carry(way Way) {
+func (l *link) forward(direction Way) {
 	defer l.close()
 	buf := make([]byte, 32<<10)
-	from, to := l.conns[way], l.conns[1-way]
+	from, to := l.conns[direction], l.conns[1-direction]
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !l.silent(way) {
+		if n > 0 && !l.isBlackholed(direction) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
@@ -129,10 +129,10 @@
 	}
 }
 
-func (l *link) silent(way Way) bool {
+func (l *link) isBlackholed(direction Way) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.mute[way]
+	return l.blackholed[direction]
 }
 
 func (l *link) close() {
--- a/pkg/group/try.go
+++ b/pkg/group/try.go
@@ -26,7 +26,7 @@
 		if v := recover(); v != nil {
 			err = &PanicError{
 				Value: v,
-				At:    panicked(),
+				At:    panicLocation(),
 			}
 		}
 	}()
@@ -38,17 +38,17 @@
 // the runtime above the deferred one.
 const maxFrames = 16
 
-// panicked returns where the panic that is being recovered from came about.
-func panicked() string {
+// panicLocation returns where the panic that is being recovered from came about.
+func panicLocation() string {
 	pcs := make([]uintptr, maxFrames)
 	frames := runtime.CallersFrames(pcs[:runtime.Callers(1, pcs)])
-	seen := false
+	inPanic := false
 	for {
 		frame, more := frames.Next()
 		switch {
 		case frame.Function == "runtime.gopanic":
-			seen = true
-		case seen && !inRuntime(frame.Function):
+			inPanic = true
+		case inPanic && !inRuntime(frame.Function):
 			return fmt.Sprintf("%s:%d", filepath.Base(frame.File), frame.Line)
 		}
 		if !more {
--- a/pkg/load/plot.go
+++ b/pkg/load/plot.go
@@ -25,7 +25,7 @@
 	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	t := r.total()
 	err := plotutil.AddLines(p,
-		"to the first token", curve(t.first.ValueAtQuantile),
+		"to the first token", curve(t.firstToken.ValueAtQuantile),
 		"between tokens", curve(t.gaps.ValueAtQuantile))
 	if err != nil {
 		return errors.Wrap(err, "plot")
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -26,13 +26,13 @@
 
 // accountReport is what one client account saw.
 type accountReport struct {
-	good    int
-	wrong   int
-	refused map[string]int
-	tokens  int
-	first   *hdrhistogram.Histogram
-	gaps    *hdrhistogram.Histogram
-	stalls  *hdrhistogram.Histogram
+	good       int
+	wrong      int
+	refused    map[string]int
+	tokens     int
+	firstToken *hdrhistogram.Histogram
+	gaps       *hdrhistogram.Histogram
+	stalls     *hdrhistogram.Histogram
 }
 
 // Report is what callers saw in one experiment.
@@ -41,15 +41,15 @@
 	from time.Time
 	to   time.Time
 
-	mu       sync.Mutex
-	accounts map[string]*accountReport
-	complain []string
-	tokens   int // that came in the counted time, of any request
+	mu         sync.Mutex
+	accounts   map[string]*accountReport
+	mismatches []string
+	tokens     int // that came in the counted time, of any request
 }
 
-// tokenSeen counts a token. Whole requests say little of throughput in a run
+// countToken counts a token. Whole requests say little of throughput in a run
 // that isn't much longer than they are.
-func (r *Report) tokenSeen(now time.Time) {
+func (r *Report) countToken(now time.Time) {
 	if now.Before(r.from) {
 		return
 	}
@@ -74,10 +74,10 @@
 		return hdrhistogram.New(1, histogramMax, histogramDigits)
 	}
 	return &accountReport{
-		refused: map[string]int{},
-		first:   h(),
-		gaps:    h(),
-		stalls:  h(),
+		refused:    map[string]int{},
+		firstToken: h(),
+		gaps:       h(),
+		stalls:     h(),
 	}
 }
 
@@ -92,14 +92,14 @@
 	case o.failed != nil:
 		a.refused[o.failed.Kind().String()]++
 		return
-	case o.wrong != "":
+	case o.mismatch != "":
 		a.wrong++
-		r.complain = append(r.complain, o.wrong+" ("+o.path+")")
+		r.mismatches = append(r.mismatches, o.mismatch+" ("+o.path+")")
 		return
 	}
 	a.good++
 	a.tokens += o.tokens
-	record(a.first, o.first)
+	record(a.firstToken, o.firstToken)
 	for _, g := range o.gaps {
 		record(a.gaps, g)
 		if g > stallAfter {
@@ -122,7 +122,7 @@
 		for k, n := range a.refused {
 			t.refused[k] += n
 		}
-		t.first.Merge(a.first)
+		t.firstToken.Merge(a.firstToken)
 		t.gaps.Merge(a.gaps)
 		t.stalls.Merge(a.stalls)
 	}
@@ -134,10 +134,10 @@
 func (r *Report) Wrong() (int, []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.complain), r.complain[:min(len(r.complain), 5)]
+	return len(r.mismatches), r.mismatches[:min(len(r.mismatches), 5)]
 }
 
-var csvHead = []string{
+var csvHeader = []string{
 	"experiment", "account", "seconds", "good", "wrong", "refused", "requests_per_s", "tokens_per_s",
 	"first_p50_ms", "first_p95_ms", "first_p99_ms", "between_p50_ms", "between_p95_ms", "between_p99_ms",
 	"stalls", "stall_p50_ms", "stall_p95_ms", "stall_max_ms", "all_tokens_per_s", "bound_tokens_per_s", "share_of_bound",
@@ -145,10 +145,10 @@
 
 // WriteCSV writes a row for each account and one for all. limit is the bound
 // in tokens a second, or 0 if it isn't known.
-func (r *Report) WriteCSV(w io.Writer, limit float64, head bool) error {
+func (r *Report) WriteCSV(w io.Writer, limit float64, header bool) error {
 	c := csv.NewWriter(w)
-	if head {
-		_ = c.Write(csvHead) // Flush reports it
+	if header {
+		_ = c.Write(csvHeader) // Flush reports it
 	}
 	names := make([]string, 0, len(r.accounts))
 	for name := range r.accounts {
@@ -174,7 +174,7 @@
 		r.exp.Name, name, number(seconds), strconv.Itoa(a.good), strconv.Itoa(a.wrong), strconv.Itoa(refused),
 		number(rate), number(float64(a.tokens) / seconds),
 	}
-	for _, h := range []*hdrhistogram.Histogram{a.first, a.gaps} {
+	for _, h := range []*hdrhistogram.Histogram{a.firstToken, a.gaps} {
 		for _, q := range []float64{50, 95, 99} {
 			row = append(row, millis(h.ValueAtQuantile(q)))
 		}
@@ -214,14 +214,14 @@
 			Batch:      r.exp.Batch,
 		})
 	}
-	w := r.work()
+	w := r.meanWork()
 	requests, err := bound.Requests(r.exp.Layers, engines, w)
 	return requests * w.Tokens, err
 }
 
-// work is the average request of the mix. A prompt has two tokens more than
+// meanWork is the average request of the mix. A prompt has two tokens more than
 // it has words: the role's, and the mark after it.
-func (r *Runner) work() bound.Work {
+func (r *Runner) meanWork() bound.Work {
 	w := bound.Work{}
 	for _, c := range r.exp.Classes {
 		w.PromptTokens += c.Share / r.total * float64(c.PromptWords+1)
--- a/pkg/load/request.go
+++ b/pkg/load/request.go
@@ -16,8 +16,8 @@
 	"github.com/larchwinch/larchwinch/pkg/standin/model"
 )
 
-// ask is one request.
-type ask struct {
+// request is one request.
+type request struct {
 	class  Class
 	entry  string
 	seed   int64
@@ -26,17 +26,17 @@
 
 // outcome is what came of one request.
 type outcome struct {
-	class  Class
-	failed *failure.Error // refused or failed
-	wrong  string         // not whole, or not its own
-	first  time.Duration
-	gaps   []time.Duration
-	tokens int
-	path   string
+	class      Class
+	failed     *failure.Error // refused or failed
+	mismatch   string         // not whole, or not its own
+	firstToken time.Duration
+	gaps       []time.Duration
+	tokens     int
+	path       string
 }
 
 // send sends a request and reads the whole answer.
-func (r *Runner) send(ctx context.Context, a ask) outcome {
+func (r *Runner) send(ctx context.Context, a request) outcome {
 	out := outcome{
 		class: a.class,
 	}
@@ -55,11 +55,11 @@
 	if out.failed != nil {
 		return out
 	}
-	out.wrong = r.compare(a, text, done)
+	out.mismatch = r.checkAnswer(a, text, done)
 	return out
 }
 
-func (r *Runner) post(ctx context.Context, a ask) (*http.Response, error) {
+func (r *Runner) post(ctx context.Context, a request) (*http.Response, error) {
 	body, err := json.Marshal(api.ChatRequest{
 		Model: a.class.Pipeline,
 		Messages: []api.ChatMessage{{
@@ -81,7 +81,7 @@
 	return r.client.Do(req)
 }
 
-const contentMark = `"delta":{"content":"`
+const contentPrefix = `"delta":{"content":"`
 
 // readStream reads tokens, and times them.
 func (r *Runner) readStream(resp *http.Response, began time.Time, out *outcome) (string, bool) {
@@ -101,21 +101,21 @@
 			kind, _ := failure.KindNamed(body.Error.Kind)
 			out.failed = failure.New(kind, "%s", body.Error.Message)
 			return "", false
-		case strings.Contains(line, contentMark):
-			_, rest, _ := strings.Cut(line, contentMark)
+		case strings.Contains(line, contentPrefix):
+			_, rest, _ := strings.Cut(line, contentPrefix)
 			word, _, _ := strings.Cut(rest, `"`)
 			text.WriteString(word)
 			now := time.Now()
-			r.report.tokenSeen(now)
-			last = out.timed(now, began, last)
+			r.report.countToken(now)
+			last = out.recordToken(now, began, last)
 		}
 	}
 	return text.String(), false
 }
 
-func (o *outcome) timed(now, began, last time.Time) time.Time {
+func (o *outcome) recordToken(now, began, last time.Time) time.Time {
 	if o.tokens == 0 {
-		o.first = now.Sub(began)
+		o.firstToken = now.Sub(began)
 	} else {
 		o.gaps = append(o.gaps, now.Sub(last))
 	}
@@ -123,8 +123,8 @@
 	return now
 }
 
-// compare returns what is wrong with an answer, or nothing.
-func (r *Runner) compare(a ask, text string, done bool) string {
+// checkAnswer returns what is wrong with an answer, or nothing.
+func (r *Runner) checkAnswer(a request, text string, done bool) string {
 	if !done {
 		return "not whole: the stream broke off"
 	}
--- a/pkg/load/runner.go
+++ b/pkg/load/runner.go
@@ -48,15 +48,15 @@
 // Run runs the experiment and returns its report. Requests that end in the
 // warm-up aren't counted, nor are those that end after the duration.
 func (r *Runner) Run(ctx context.Context) *Report {
-	warm := time.Duration(r.exp.WarmUp)
-	length := warm + time.Duration(r.exp.Duration)
+	warmUp := time.Duration(r.exp.WarmUp)
+	length := warmUp + time.Duration(r.exp.Duration)
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	r.report.from = r.svc.Now().Add(warm)
+	r.report.from = r.svc.Now().Add(warmUp)
 	g := group.New(ctx)
 	if r.exp.Mode == ModeClosed {
 		for range r.exp.Clients {
-			g.Go(r.askInTurn)
+			g.Go(r.closedLoopClient)
 		}
 	} else {
 		g.Go(func(ctx context.Context) {
@@ -68,11 +68,11 @@
 	return r.report
 }
 
-// askInTurn is one client of closed mode: it asks, waits for the answer, and
+// closedLoopClient is one client of closed mode: it asks, waits for the answer, and
 // asks again.
-func (r *Runner) askInTurn(ctx context.Context) {
+func (r *Runner) closedLoopClient(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.askPatiently(ctx, r.next())
+		r.sendWithRetries(ctx, r.next())
 	}
 }
 
@@ -85,13 +85,13 @@
 			return
 		}
 		g.Go(func(ctx context.Context) {
-			r.askPatiently(ctx, r.next())
+			r.sendWithRetries(ctx, r.next())
 		})
 	}
 }
 
-// askPatiently asks again after a refusal, when it was told to.
-func (r *Runner) askPatiently(ctx context.Context, a ask) {
+// sendWithRetries asks again after a refusal, when it was told to.
+func (r *Runner) sendWithRetries(ctx context.Context, a request) {
 	for try := 0; ; try++ {
 		out := r.send(ctx, a)
 		if ctx.Err() != nil {
@@ -111,7 +111,7 @@
 }
 
 // next draws the next request of the mix.
-func (r *Runner) next() ask {
+func (r *Runner) next() request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	class := r.exp.Classes[len(r.exp.Classes)-1]
@@ -123,7 +123,7 @@
 		}
 	}
 	r.sent++
-	return ask{
+	return request{
 		class:  class,
 		entry:  r.exp.Entries[r.sent%len(r.exp.Entries)],
 		seed:   r.rnd.Int64(),
--- a/pkg/netutil/inturn.go
+++ b/pkg/netutil/inturn.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// patience is how long one of several addresses may be silent before the next
+// attemptTimeout is how long one of several addresses may be silent before the next
 // is asked: many times what an answer takes, and a small share of any caller's
 // time. Addresses that were silent are asked once more, with all the time left.
-const patience = 500 * time.Millisecond
+const attemptTimeout = 500 * time.Millisecond
 
 // InTurn asks addresses one after the other until call says that it is done,
 // and returns the last call's error. call may be made twice with an address, so
@@ -17,7 +17,7 @@
 	var last error
 	for round := range 2 {
 		for _, address := range addresses {
-			done, err := one(ctx, address, round == 0 && len(addresses) > 1, call)
+			done, err := attempt(ctx, address, round == 0 && len(addresses) > 1, call)
 			if done {
 				return err
 			}
@@ -30,11 +30,11 @@
 	return last
 }
 
-func one(ctx context.Context, address string, brief bool, call func(ctx context.Context, address string) (bool, error)) (bool, error) {
-	if brief {
-		short, cancel := context.WithTimeout(ctx, patience)
+func attempt(ctx context.Context, address string, limited bool, call func(ctx context.Context, address string) (bool, error)) (bool, error) {
+	if limited {
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		defer cancel()
-		ctx = short
+		ctx = attemptCtx
 	}
 	return call(ctx, address)
 }
--- a/pkg/netutil/inturn_test.go
+++ b/pkg/netutil/inturn_test.go
@@ -15,8 +15,8 @@
 	RunSpecs(t, "netutil")
 }
 
-// silentUntil answers only after d, or when ctx ends.
-func silentUntil(ctx context.Context, d time.Duration) error {
+// waitFor answers only after d, or when ctx ends.
+func waitFor(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -32,7 +32,7 @@
 		began := time.Now()
 		err := InTurn(ctx, []string{"silent", "good"}, func(ctx context.Context, address string) (bool, error) {
 			if address == "silent" {
-				return false, silentUntil(ctx, time.Minute)
+				return false, waitFor(ctx, time.Minute)
 			}
 			return true, nil
 		})
@@ -47,7 +47,7 @@
 			if address == "down" {
 				return false, errors.New("down")
 			}
-			err := silentUntil(ctx, 2*patience)
+			err := waitFor(ctx, 2*attemptTimeout)
 			return err == nil, err
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -62,7 +62,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
 		Expect(InTurn(ctx, []string{"a"}, func(ctx context.Context, _ string) (bool, error) {
-			return false, silentUntil(ctx, time.Minute)
+			return false, waitFor(ctx, time.Minute)
 		})).To(MatchError(context.DeadlineExceeded))
 	})
 })
--- a/pkg/netutil/silent.go
+++ b/pkg/netutil/silent.go
@@ -13,9 +13,9 @@
 	// before a connection counts as lost: five retransmissions on a link of a few
 	// ms, and half of what a caller waits for the next event of a stream.
 	ackTimeout = time.Second
-	// probeEvery is how often a connection at rest is probed, and how long nothing
+	// probeInterval is how often a connection at rest is probed, and how long nothing
 	// may come back: a second is the least that the system takes.
-	probeEvery = time.Second
+	probeInterval = time.Second
 	// probeCount is how many probes may stay without an answer.
 	probeCount = 2
 )
@@ -31,16 +31,16 @@
 		},
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeEvery,
-			Interval: probeEvery,
+			Idle:     probeInterval,
+			Interval: probeInterval,
 			Count:    probeCount,
 		},
-		Control: limitSilence,
+		Control: setUserTimeout,
 	}
 }
 
-// limitSilence sets how long sent bytes may stay without an acknowledgement.
-func limitSilence(_, _ string, c syscall.RawConn) error {
+// setUserTimeout sets how long sent bytes may stay without an acknowledgement.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
--- a/pkg/standin/engine/batcher.go
+++ b/pkg/standin/engine/batcher.go
@@ -142,10 +142,10 @@
 			close(w.done)
 		}
 	}()
-	if err := timer.Sleep(ctx, b.cfg.Timer, b.faults.stretch(d)); err != nil {
+	if err := timer.Sleep(ctx, b.cfg.Timer, b.faults.slowDown(d)); err != nil {
 		return false
 	}
-	if err := b.faults.beforeStep(ctx); err != nil {
+	if err := b.faults.applyPassFaults(ctx); err != nil {
 		return false
 	}
 	b.mu.Lock()
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -28,7 +28,7 @@
 	return time.Duration(layers) * one
 }
 
-func (c Curve) times(x float64) Curve {
+func (c Curve) scaled(x float64) Curve {
 	scale := func(d time.Duration) time.Duration {
 		return time.Duration(float64(d) * x)
 	}
@@ -113,8 +113,8 @@
 const (
 	defaultSlots = 4096
 	defaultBatch = 256
-	// orphanAge is after how long without a call a session is dropped.
-	orphanAge     = 60 * time.Second
+	// orphanTimeout is after how long without a call a session is dropped.
+	orphanTimeout = 60 * time.Second
 	sweepInterval = 5 * time.Second
 )
 
@@ -128,7 +128,7 @@
 	}
 	curve, _ := CurveOf(cfg.Accelerator)
 	if cfg.Scale > 0 {
-		curve = curve.times(cfg.Scale)
+		curve = curve.scaled(cfg.Scale)
 	}
 	e := &Engine{
 		cfg:      cfg,
@@ -158,7 +158,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sessions = map[string]*session{}
-	e.ledger.forget()
+	e.ledger.reset()
 }
 
 // SetLeaving says in reports that the engine is leaving on plan.
@@ -206,7 +206,7 @@
 // sweep drops sessions that nobody calls any more.
 func (e *Engine) sweep(ctx context.Context) {
 	timer.Loop(ctx, e.cfg.Timer, sweepInterval, func(now time.Time) {
-		e.dropOrphans(now.Add(-orphanAge))
+		e.dropOrphans(now.Add(-orphanTimeout))
 	})
 }
 
@@ -227,12 +227,12 @@
 	shown api.EngineLoad
 }
 
-func (l *loadReport) get(now time.Time, lag time.Duration, fresh api.EngineLoad) api.EngineLoad {
+func (l *loadReport) get(now time.Time, lag time.Duration, current api.EngineLoad) api.EngineLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.at) >= lag {
 		l.at = now
-		l.shown = fresh
+		l.shown = current
 	}
 	return l.shown
 }
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -45,11 +45,11 @@
 	svc timer.Service
 	die func()
 
-	mu     sync.Mutex
-	now    Fault
-	thaw   time.Time
-	passes int
-	held   *api.EngineEvent
+	mu          sync.Mutex
+	active      Fault
+	frozenUntil time.Time
+	passes      int
+	delayed     *api.EngineEvent
 }
 
 func newFaults(svc timer.Service, die func()) *Faults {
@@ -63,31 +63,31 @@
 func (f *Faults) Set(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = fault
+	f.active = fault
 	f.passes = 0
-	f.held = nil
-	f.thaw = f.svc.Now().Add(time.Duration(fault.FreezeMS) * time.Millisecond)
+	f.delayed = nil
+	f.frozenUntil = f.svc.Now().Add(time.Duration(fault.FreezeMS) * time.Millisecond)
 }
 
 func (f *Faults) get() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.active
 }
 
-func (f *Faults) stretch(d time.Duration) time.Duration {
+func (f *Faults) slowDown(d time.Duration) time.Duration {
 	if slow := f.get().Slow; slow > 1 {
 		return time.Duration(float64(d) * slow)
 	}
 	return d
 }
 
-// beforeStep freezes or dies if asked to.
-func (f *Faults) beforeStep(ctx context.Context) error {
+// applyPassFaults freezes or dies if asked to.
+func (f *Faults) applyPassFaults(ctx context.Context) error {
 	f.mu.Lock()
 	f.passes++
-	dies := f.now.DieAfter > 0 && f.passes > f.now.DieAfter
-	wait := f.thaw.Sub(f.svc.Now())
+	dies := f.active.DieAfter > 0 && f.passes > f.active.DieAfter
+	wait := f.frozenUntil.Sub(f.svc.Now())
 	f.mu.Unlock()
 	if dies {
 		f.die()
@@ -108,32 +108,32 @@
 		}
 		return out(ev)
 	case fault.Reorder:
-		return f.swap(ev, out)
+		return f.reorder(ev, out)
 	default:
 		return out(ev)
 	}
 }
 
-func (f *Faults) swap(ev api.EngineEvent, out emit) error {
+func (f *Faults) reorder(ev api.EngineEvent, out emit) error {
 	f.mu.Lock()
-	held := f.held
-	if held == nil {
-		f.held = &ev
+	delayed := f.delayed
+	if delayed == nil {
+		f.delayed = &ev
 		f.mu.Unlock()
 		return nil
 	}
-	f.held = nil
+	f.delayed = nil
 	f.mu.Unlock()
 	if err := out(ev); err != nil {
 		return err
 	}
-	return out(*held)
+	return out(*delayed)
 }
 
-// beforeInfo waits while the engine is frozen: a frozen process answers nothing.
-func (f *Faults) beforeInfo(ctx context.Context) error {
+// waitWhileFrozen waits while the engine is frozen: a frozen process answers nothing.
+func (f *Faults) waitWhileFrozen(ctx context.Context) error {
 	f.mu.Lock()
-	wait := f.thaw.Sub(f.svc.Now())
+	wait := f.frozenUntil.Sub(f.svc.Now())
 	f.mu.Unlock()
 	return timer.Sleep(ctx, f.svc, max(wait, 0))
 }
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -30,7 +30,7 @@
 	if len(g.Emitted) > 0 {
 		passFrom = len(tokens) - 1
 	}
-	if reason := e.rebuildHead(ctx, s, g.Attempt, open.Seed, tokens[:passFrom]); reason != "" {
+	if reason := e.rebuildOwnCache(ctx, s, g.Attempt, open.Seed, tokens[:passFrom]); reason != "" {
 		return out(e.ownFault(reason))
 	}
 	if g.RebuildOnly {
@@ -42,19 +42,19 @@
 	return e.decode(ctx, s, g, tokens, passFrom, len(prompt), out)
 }
 
-// rebuildHead runs the positions that this stage lacks through its own layers.
-func (e *Engine) rebuildHead(ctx context.Context, s *session, attempt int, seed uint64, tokens []int) string {
+// rebuildOwnCache runs the positions that this stage lacks through its own layers.
+func (e *Engine) rebuildOwnCache(ctx context.Context, s *session, attempt int, seed uint64, tokens []int) string {
 	if len(tokens) == 0 {
 		return ""
 	}
-	_, reason := e.run(ctx, s, attempt, 0, embed(seed, 0, tokens), true)
+	_, reason := e.runPositions(ctx, s, attempt, 0, embed(seed, 0, tokens), true)
 	return reason
 }
 
 func (e *Engine) decode(ctx context.Context, s *session, g api.EngineGenerate, tokens []int, pos, promptLen int, out emit) error {
 	open := s.opened()
 	for index := len(g.Emitted); index < g.MaxTokens; index++ {
-		token, fault := e.stepOwn(ctx, s, g.Attempt, pos, embed(open.Seed, pos, tokens[pos:]))
+		token, fault := e.runAndForward(ctx, s, g.Attempt, pos, embed(open.Seed, pos, tokens[pos:]))
 		if fault != nil {
 			return out(api.EngineEvent{
 				Index: index,
@@ -98,10 +98,10 @@
 	}
 }
 
-// stepOwn runs positions on this stage, and passes them on unless this stage
+// runAndForward runs positions on this stage, and passes them on unless this stage
 // is the last.
-func (e *Engine) stepOwn(ctx context.Context, s *session, attempt, pos int, inputs []uint64) (int, *api.EngineFault) {
-	outputs, reason := e.run(ctx, s, attempt, pos, inputs, false)
+func (e *Engine) runAndForward(ctx context.Context, s *session, attempt, pos int, inputs []uint64) (int, *api.EngineFault) {
+	outputs, reason := e.runPositions(ctx, s, attempt, pos, inputs, false)
 	if reason != "" {
 		return 0, e.ownFault(reason).Fault
 	}
@@ -135,7 +135,7 @@
 		}
 	}
 	if st.Rebuild {
-		_, reason := e.run(ctx, s, st.Attempt, st.Pos, st.Acts, true)
+		_, reason := e.runPositions(ctx, s, st.Attempt, st.Pos, st.Acts, true)
 		if reason != "" {
 			return api.EngineStepped{
 				Fault: e.ownFault(reason).Fault,
@@ -143,7 +143,7 @@
 		}
 		return api.EngineStepped{}
 	}
-	token, fault := e.stepOwn(ctx, s, st.Attempt, st.Pos, st.Acts)
+	token, fault := e.runAndForward(ctx, s, st.Attempt, st.Pos, st.Acts)
 	return api.EngineStepped{
 		Token: token,
 		Fault: fault,
--- a/pkg/standin/engine/http.go
+++ b/pkg/standin/engine/http.go
@@ -32,7 +32,7 @@
 }
 
 func (e *Engine) serveInfo(w http.ResponseWriter, r *http.Request) {
-	if err := e.faults.beforeInfo(r.Context()); err != nil {
+	if err := e.faults.waitWhileFrozen(r.Context()); err != nil {
 		return
 	}
 	info := e.Info()
@@ -50,7 +50,7 @@
 	if !readJSON(w, r, &o) {
 		return
 	}
-	if err := e.faults.beforeInfo(r.Context()); err != nil {
+	if err := e.faults.waitWhileFrozen(r.Context()); err != nil {
 		return
 	}
 	if o.Model != e.cfg.Model || o.ModelVersion != e.cfg.ModelVersion {
@@ -129,7 +129,7 @@
 	if !readJSON(w, r, &o) {
 		return
 	}
-	if !e.orders.take(o, e.cfg.ChecksOrders) {
+	if !e.orders.accept(o, e.cfg.ChecksOrders) {
 		http.Error(w, "a newer order was taken", http.StatusConflict)
 	}
 }
--- a/pkg/standin/engine/ledger.go
+++ b/pkg/standin/engine/ledger.go
@@ -26,7 +26,7 @@
 	mu      sync.Mutex
 	entries map[string]*Entry
 	order   []string
-	lives   uint64
+	resets  uint64
 }
 
 // ledgerSize bounds the requests that the ledger remembers.
@@ -64,11 +64,11 @@
 	return all
 }
 
-// forget notes that the engine lost its sessions.
-func (l *Ledger) forget() {
+// reset notes that the engine lost its sessions.
+func (l *Ledger) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lives++
+	l.resets++
 	for _, e := range l.entries {
 		e.Lives++
 		e.Runs = nil
@@ -92,19 +92,19 @@
 	return e
 }
 
-// life returns which life the engine is in.
-func (l *Ledger) life() uint64 {
+// resetCount returns which life the engine is in.
+func (l *Ledger) resetCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lives
+	return l.resets
 }
 
 // ran notes positions that were run, and reports false, noting nothing, if the
 // life that ran them is over.
-func (l *Ledger) ran(life uint64, request string, pos, n int, rebuild bool) bool {
+func (l *Ledger) ran(resetCount uint64, request string, pos, n int, rebuild bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if life != l.lives {
+	if resetCount != l.resets {
 		return false
 	}
 	e := l.entry(request)
--- a/pkg/standin/engine/orders.go
+++ b/pkg/standin/engine/orders.go
@@ -12,11 +12,11 @@
 	mu       sync.Mutex
 	epoch    uint64
 	sequence uint64
-	taken    []api.EngineOrder
+	accepted []api.EngineOrder
 }
 
-// take notes an order, and reports whether it is obeyed.
-func (f *orderFence) take(o api.EngineOrder, checks bool) bool {
+// accept notes an order, and reports whether it is obeyed.
+func (f *orderFence) accept(o api.EngineOrder, checks bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	older := o.Epoch < f.epoch || (o.Epoch == f.epoch && o.Sequence <= f.sequence)
@@ -25,7 +25,7 @@
 	}
 	f.epoch = max(f.epoch, o.Epoch)
 	f.sequence = o.Sequence
-	f.taken = append(f.taken, o)
+	f.accepted = append(f.accepted, o)
 	return true
 }
 
@@ -33,5 +33,5 @@
 func (e *Engine) Orders() []api.EngineOrder {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
-	return append([]api.EngineOrder(nil), e.orders.taken...)
+	return append([]api.EngineOrder(nil), e.orders.accepted...)
 }
--- a/pkg/standin/engine/session.go
+++ b/pkg/standin/engine/session.go
@@ -15,28 +15,28 @@
 // position is run once, and asked for again gives the saved output; attempt
 // never falls, and a step of an older attempt changes nothing.
 type session struct {
-	mu      sync.Mutex
-	request string
-	attempt int
-	open    api.EngineOpen
-	kv      []uint64
-	inputs  []uint64
-	outputs []uint64
-	used    time.Time
-	usedMu  sync.Mutex
-	life    uint64 // of the engine that it belongs to
+	mu        sync.Mutex
+	request   string
+	attempt   int
+	open      api.EngineOpen
+	kv        []uint64
+	inputs    []uint64
+	outputs   []uint64
+	lastUse   time.Time
+	lastUseMu sync.Mutex
+	resets    uint64 // of the engine that it belongs to
 }
 
 func (s *session) touch(now time.Time) {
-	s.usedMu.Lock()
-	defer s.usedMu.Unlock()
-	s.used = now
+	s.lastUseMu.Lock()
+	defer s.lastUseMu.Unlock()
+	s.lastUse = now
 }
 
 func (s *session) lastUsed() time.Time {
-	s.usedMu.Lock()
-	defer s.usedMu.Unlock()
-	return s.used
+	s.lastUseMu.Lock()
+	defer s.lastUseMu.Unlock()
+	return s.lastUse
 }
 
 // openSession opens or takes over a session. It reports false for an attempt
@@ -52,7 +52,7 @@
 		s = &session{
 			request: o.Request,
 			kv:      make([]uint64, e.layers()),
-			life:    e.ledger.life(),
+			resets:  e.ledger.resetCount(),
 		}
 		e.sessions[o.Request] = s
 	}
@@ -91,9 +91,9 @@
 	delete(e.sessions, c.Request)
 }
 
-// run takes the inputs of positions from pos on and returns their outputs.
+// runPositions takes the inputs of positions from pos on and returns their outputs.
 // Positions that were run before aren't run again.
-func (e *Engine) run(ctx context.Context, s *session, attempt, pos int, inputs []uint64, rebuild bool) ([]uint64, string) {
+func (e *Engine) runPositions(ctx context.Context, s *session, attempt, pos int, inputs []uint64, rebuild bool) ([]uint64, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.touch(e.cfg.Timer.Now())
@@ -105,23 +105,23 @@
 	if pos > have {
 		return nil, api.FaultGap
 	}
-	known := min(have-pos, len(inputs))
-	for i := range known {
+	overlap := min(have-pos, len(inputs))
+	for i := range overlap {
 		if s.inputs[pos+i] != inputs[i] {
 			return nil, api.FaultDiverged
 		}
 	}
-	e.ledger.repeated(s.request, known)
-	fresh := inputs[known:]
-	if len(fresh) > 0 {
-		if err := e.batcher.pass(ctx, len(fresh), s.open.Priority); err != nil {
+	e.ledger.repeated(s.request, overlap)
+	added := inputs[overlap:]
+	if len(added) > 0 {
+		if err := e.batcher.pass(ctx, len(added), s.open.Priority); err != nil {
 			return nil, api.FaultLost
 		}
-		if !e.ledger.ran(s.life, s.request, have, len(fresh), rebuild) {
+		if !e.ledger.ran(s.resets, s.request, have, len(added), rebuild) {
 			return nil, api.FaultLost // the process that ran it is no more
 		}
 	}
-	for _, x := range fresh {
+	for _, x := range added {
 		s.inputs = append(s.inputs, x)
 		s.outputs = append(s.outputs, e.runLayers(s, x))
 	}
--- a/pkg/standin/hostlist/hostlist.go
+++ b/pkg/standin/hostlist/hostlist.go
@@ -25,17 +25,17 @@
 	svc timer.Service
 	lag time.Duration
 
-	mu      sync.Mutex
-	changes []change
-	shown   api.HostList
+	mu        sync.Mutex
+	changes   []change
+	published api.HostList
 }
 
 // New returns a list that shows first at once, and changes after lag.
 func New(svc timer.Service, lag time.Duration, first api.HostList) *List {
 	return &List{
-		svc:   svc,
-		lag:   lag,
-		shown: first,
+		svc:       svc,
+		lag:       lag,
+		published: first,
 	}
 }
 
@@ -55,10 +55,10 @@
 	defer l.mu.Unlock()
 	now := l.svc.Now()
 	for len(l.changes) > 0 && now.Sub(l.changes[0].at) >= l.lag {
-		l.shown = l.changes[0].list
+		l.published = l.changes[0].list
 		l.changes = l.changes[1:]
 	}
-	return l.shown
+	return l.published
 }
 
 // Handler returns the list's HTTP interface.
--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -146,12 +146,12 @@
 	if err != nil {
 		return
 	}
-	fault := s.begin()
-	defer s.end()
+	fault := s.beginCall()
+	defer s.endCall()
 	if fault.DropCall {
 		panic(http.ErrAbortHandler)
 	}
-	run := s.count(callKey(r, body))
+	run := s.countRun(callKey(r, body))
 	if err := timer.Sleep(r.Context(), s.svc, time.Duration(fault.DelayMS)*time.Millisecond); err != nil {
 		return
 	}
@@ -173,20 +173,20 @@
 	return r.URL.Path + " " + string(body)
 }
 
-func (s *Service) begin() Fault {
+func (s *Service) beginCall() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
 	return s.fault
 }
 
-func (s *Service) end() {
+func (s *Service) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-func (s *Service) count(key string) int {
+func (s *Service) countRun(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[key]++
--- a/pkg/timer/system.go
+++ b/pkg/timer/system.go
@@ -9,9 +9,9 @@
 // them. Steps of the time of day don't move it.
 type System struct {
 	start time.Time
-	// boot reads a clock that counts suspension; first is what it read at start.
-	boot  func() time.Duration
-	first time.Duration
+	// bootTime reads a clock that counts suspension; first is what it read at start.
+	bootTime    func() time.Duration
+	bootAtStart time.Duration
 }
 
 // NewSystem returns the service that follows the machine's clock.
@@ -21,16 +21,16 @@
 
 func newSystem(boot func() time.Duration) System {
 	return System{
-		start: time.Now(),
-		boot:  boot,
-		first: boot(),
+		start:       time.Now(),
+		bootTime:    boot,
+		bootAtStart: boot(),
 	}
 }
 
 // Now implements Service. Its monotonic reading counts suspension. It costs 0.2
 // microseconds more than time.Now (BenchmarkNow).
 func (s System) Now() time.Time {
-	return s.start.Add(s.boot() - s.first)
+	return s.start.Add(s.bootTime() - s.bootAtStart)
 }
 
 // Wall implements Service.
