--- a/pkg/standin/engine/batcher.go
+++ b/pkg/standin/engine/batcher.go
@@ -10,8 +10,8 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// work is one sequence's share of a pass: one position to decode, or several
-// to prefill.
+// work is what one sequence contributes to a pass: one position to decode, or
+// several to prefill.
 type work struct {
 	positions int
 	priority  int
@@ -19,8 +19,8 @@
 	done      chan struct{}
 }
 
-// batcher runs passes one after the other; what arrives during a pass joins
-// the next one. That is continuous batching.
+// batcher implements continuous batching: passes run one after the other, and
+// work that arrives during a pass joins the next one.
 type batcher struct {
 	cfg    Config
 	curve  Curve
@@ -44,7 +44,8 @@
 	}
 }
 
-// pass waits until the positions have gone through a pass.
+// pass enqueues the positions and waits until they have gone through a pass. If
+// ctx ends before their pass begins, they are withdrawn.
 func (b *batcher) pass(ctx context.Context, positions, priority int) error {
 	w := &work{
 		positions: positions,
@@ -60,7 +61,7 @@
 	if b.remove(w) {
 		return ctx.Err()
 	}
-	<-w.done // it is in a pass, which can't be taken back
+	<-w.done // its pass has begun and can't be cancelled
 	return nil
 }
 
@@ -76,7 +77,7 @@
 	}
 }
 
-// remove takes work back, and reports whether no pass had begun with it.
+// remove withdraws waiting work. It returns false if a pass has begun with it.
 func (b *batcher) remove(gone *work) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,7 +115,8 @@
 	}
 }
 
-// next takes the sequences of the next pass, by priority and then by arrival.
+// next dequeues the work for the next pass, at most cfg.Batch sequences, by
+// descending priority and then by arrival.
 func (b *batcher) next() []*work {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a model engine: it holds a range of a
-// model's layers, batches continuously on a published cost curve, keeps a KV
-// cache for each request, and fails as it is told to.
+// Package engine is a fake model engine: it holds a range of a model's layers,
+// batches continuously on a published cost curve, keeps a KV cache for each
+// request, and injects the faults that it is asked for.
 package engine
 
 import (
@@ -39,7 +39,7 @@
 	}
 }
 
-// The curves of the three kinds of accelerator that the stand-ins know.
+// The curves of the three kinds of accelerator that the fake engine knows.
 var curves = []namedCurve{
 	{name: "large", curve: Curve{Base: 150 * time.Microsecond, PerSequence: 2 * time.Microsecond, PerToken: 600 * time.Nanosecond}},
 	{name: "medium", curve: Curve{Base: 300 * time.Microsecond, PerSequence: 5 * time.Microsecond, PerToken: 1500 * time.Nanosecond}},
@@ -51,7 +51,8 @@
 	curve Curve
 }
 
-// CurveOf returns the curve of a kind of accelerator, and whether it is known.
+// CurveOf returns the curve of a kind of accelerator, and whether the kind is
+// known.
 func CurveOf(accelerator string) (Curve, bool) {
 	for _, c := range curves {
 		if c.name == accelerator {
@@ -70,7 +71,7 @@
 	return names
 }
 
-// Config is what an Engine is made of.
+// Config configures an Engine.
 type Config struct {
 	Address      string
 	Model        string
@@ -80,21 +81,21 @@
 	Accelerator  string
 	Incarnation  uint64
 	Slots        int // sessions that may be open at once
-	Batch        int // sequences in one pass at most
-	// Scale multiplies the published curve, if above 0.
+	Batch        int // maximum number of sequences in one pass
+	// Scale multiplies the cost curve, if above 0.
 	Scale float64
-	// ReportLag is by how much load reports lag.
+	// ReportLag is how old a reported load may be before it is refreshed.
 	ReportLag time.Duration
 	// ChecksOrders says whether the engine refuses orders from before.
 	ChecksOrders bool
 	Timer        timer.Service
 	// Client calls the next stage.
 	Client *http.Client
-	// Die ends the process, or what stands for it in a test.
+	// Die ends the process; tests substitute a function of their own.
 	Die func()
 }
 
-// Engine is a running stand-in.
+// Engine is a running fake engine.
 type Engine struct {
 	cfg     Config
 	curve   Curve
@@ -118,7 +119,7 @@
 	sweepInterval = 5 * time.Second
 )
 
-// New returns an engine whose goroutines run in g.
+// New returns an engine and starts its goroutines in g.
 func New(cfg Config, g *group.Group) *Engine {
 	if cfg.Slots == 0 {
 		cfg.Slots = defaultSlots
@@ -149,7 +150,8 @@
 	return e.ledger
 }
 
-// SetFault replaces the faults that are asked for.
+// SetFault replaces the injected faults. Forget takes effect at once: it drops
+// every session.
 func (e *Engine) SetFault(f Fault) {
 	e.faults.Set(f)
 	if !f.Forget {
@@ -161,14 +163,14 @@
 	e.ledger.reset()
 }
 
-// SetLeaving says in reports that the engine is leaving on plan.
+// SetLeaving sets whether the engine reports a planned departure.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// Info returns what the engine says of itself.
+// Info returns the engine's description and its load.
 func (e *Engine) Info() api.EngineInfo {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -203,7 +205,7 @@
 	return e.sessions[request]
 }
 
-// sweep drops sessions that nobody calls any more.
+// sweep periodically drops sessions that have not been used for orphanTimeout.
 func (e *Engine) sweep(ctx context.Context) {
 	timer.Loop(ctx, e.cfg.Timer, sweepInterval, func(now time.Time) {
 		e.dropOrphans(now.Add(-orphanTimeout))
@@ -220,7 +222,7 @@
 	}
 }
 
-// loadReport remembers a load and shows it until it is older than the lag.
+// loadReport caches a load and returns it until it is older than the lag.
 type loadReport struct {
 	mu    sync.Mutex
 	at    time.Time
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -9,19 +9,20 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// FaultPath is where a stand-in is asked for a fault; LedgerPath is where it
-// shows what it ran.
+// FaultPath is the HTTP path that sets the injected faults, LedgerPath the one
+// that returns the ledger, and LeavingPath the one that makes the engine report
+// that it is leaving.
 const (
 	FaultPath   = "/standin/fault"
 	LedgerPath  = "/standin/ledger"
 	LeavingPath = "/standin/leaving"
 )
 
-// Fault asks a stand-in to fail. The zero value ends every fault.
+// Fault describes the faults to inject. The zero value ends every fault.
 type Fault struct {
-	// DieAfter ends the process after so many passes, if above 0.
+	// DieAfter ends the process after this number of passes, if above 0.
 	DieAfter int `json:"die_after"`
-	// FreezeMS stops all passes for so long, in milliseconds.
+	// FreezeMS stops all passes for this time, in milliseconds.
 	FreezeMS int `json:"freeze_ms"`
 	// Slow multiplies the time of each pass, if above 1.
 	Slow float64 `json:"slow"`
@@ -30,17 +31,18 @@
 	Reorder   bool `json:"reorder"`
 	// Corrupt emits every event with a wrong index.
 	Corrupt bool `json:"corrupt"`
-	// Cut closes every connection as it comes in.
+	// Cut closes the connection of every request without an answer, except
+	// requests that set faults.
 	Cut bool `json:"cut"`
 	// CutOut fails every call to the next stage.
 	CutOut bool `json:"cut_out"`
-	// Full refuses every new session, as if each slot were taken.
+	// Full rejects every new session, as if each slot were taken.
 	Full bool `json:"full"`
 	// Forget drops every session, as a restart does.
 	Forget bool `json:"forget"`
 }
 
-// Faults holds the faults that are asked for.
+// Faults holds the injected faults. It is safe for concurrent use.
 type Faults struct {
 	svc timer.Service
 	die func()
@@ -59,7 +61,7 @@
 	}
 }
 
-// Set replaces the faults that are asked for.
+// Set replaces the injected faults.
 func (f *Faults) Set(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +84,8 @@
 	return d
 }
 
-// applyPassFaults freezes or dies if asked to.
+// applyPassFaults counts a pass, ends the process if the count exceeds DieAfter,
+// and waits while the engine is frozen.
 func (f *Faults) applyPassFaults(ctx context.Context) error {
 	f.mu.Lock()
 	f.passes++
@@ -95,7 +98,7 @@
 	return timer.Sleep(ctx, f.svc, max(wait, 0))
 }
 
-// emit passes an event on, spoilt as asked.
+// emit sends an event with the injected faults applied to it.
 func (f *Faults) emit(ev api.EngineEvent, out emit) error {
 	fault := f.get()
 	switch {
@@ -130,7 +133,8 @@
 	return out(*delayed)
 }
 
-// waitWhileFrozen waits while the engine is frozen: a frozen process answers nothing.
+// waitWhileFrozen waits until the engine is no longer frozen: a frozen process
+// answers nothing.
 func (f *Faults) waitWhileFrozen(ctx context.Context) error {
 	f.mu.Lock()
 	wait := f.frozenUntil.Sub(f.svc.Now())
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -13,7 +13,8 @@
 	"github.com/larchwinch/larchwinch/pkg/standin/model"
 )
 
-// emit sends one event to the entry host; it fails once that is gone.
+// emit sends one event to the entry host. It fails once the host has
+// disconnected.
 type emit func(ev api.EngineEvent) error
 
 // generate drives a request from the first stage: it passes each position's
@@ -42,7 +43,8 @@
 	return e.decode(ctx, s, g, tokens, passFrom, len(prompt), out)
 }
 
-// rebuildOwnCache runs the positions that this stage lacks through its own layers.
+// rebuildOwnCache runs those of the tokens' positions that this stage lacks
+// through its own layers.
 func (e *Engine) rebuildOwnCache(ctx context.Context, s *session, attempt int, seed uint64, tokens []int) string {
 	if len(tokens) == 0 {
 		return ""
@@ -98,8 +100,8 @@
 	}
 }
 
-// runAndForward runs positions on this stage, and passes them on unless this stage
-// is the last.
+// runAndForward runs positions on this stage and sends the outputs to the next
+// one. On the last stage it samples a token instead.
 func (e *Engine) runAndForward(ctx context.Context, s *session, attempt, pos int, inputs []uint64) (int, *api.EngineFault) {
 	outputs, reason := e.runPositions(ctx, s, attempt, pos, inputs, false)
 	if reason != "" {
@@ -126,7 +128,7 @@
 	return time.Duration(o.NextTimeoutMS)*time.Millisecond + time.Duration(positions*o.NextPositionUS)*time.Microsecond
 }
 
-// step serves a call of the stage before.
+// step handles a call from the previous stage.
 func (e *Engine) step(ctx context.Context, st api.EngineStep) api.EngineStepped {
 	s := e.session(st.Request)
 	if s == nil {
@@ -150,7 +152,7 @@
 	}
 }
 
-// replay sends the saved outputs to a replacement of the next stage.
+// replay sends this stage's saved outputs to a replacement of the next stage.
 func (e *Engine) replay(ctx context.Context, r api.EngineReplay) api.EngineReplayed {
 	s := e.session(r.Request)
 	if s == nil {
@@ -179,7 +181,8 @@
 	}
 }
 
-// callNext posts to another stage; a fault names that stage.
+// callNext posts to another stage. The fault that it returns, if any, carries
+// that stage's address.
 func (e *Engine) callNext(ctx context.Context, address, path string, timeout time.Duration, in, out any) *api.EngineFault {
 	if timeout > 0 {
 		var cancel context.CancelFunc
@@ -204,7 +207,7 @@
 	}
 }
 
-var errCutOut = errors.New("asked to fail calls to the next stage")
+var errCutOut = errors.New("injected fault: calls to the next stage fail")
 
 func post(ctx context.Context, client *http.Client, url string, in, out any) error {
 	body, err := json.Marshal(in)
--- a/pkg/standin/engine/http.go
+++ b/pkg/standin/engine/http.go
@@ -159,5 +159,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // it fails only if the caller has disconnected
 }
--- a/pkg/standin/engine/ledger.go
+++ b/pkg/standin/engine/ledger.go
@@ -2,26 +2,28 @@
 
 import "sync"
 
-// Entry is what a stage ran for one request.
+// Entry records what a stage ran for one request.
 type Entry struct {
 	Request string `json:"request"`
-	// Runs counts, by position, how often the stage's layers ran.
+	// Runs counts, by position, how often the stage's layers ran since the
+	// engine last lost its sessions.
 	Runs []int `json:"runs"`
-	// Lives is how often the engine lost its sessions since; Runs counts from
-	// the last time on.
+	// Lives is how often the engine has lost its sessions since the entry was
+	// made.
 	Lives int `json:"lives"`
 	// Rebuilt is how many of those runs filled the KV cache of a replacement.
 	Rebuilt int `json:"rebuilt"`
 	// Imported is how many positions came with an imported KV cache.
 	Imported int `json:"imported"`
-	// Repeated counts positions that were asked for again and not run again.
+	// Repeated counts positions that were requested again and answered from the
+	// saved outputs.
 	Repeated int `json:"repeated"`
-	// Stale counts steps of older attempts, which were refused.
+	// Stale counts steps of older attempts, which were rejected.
 	Stale int `json:"stale"`
 }
 
-// Ledger is the record that tests hold against what callers were told. It
-// outlives the sessions.
+// Ledger records what the engine ran, for tests to compare with what callers
+// received. It outlives the sessions.
 type Ledger struct {
 	mu      sync.Mutex
 	entries map[string]*Entry
@@ -29,7 +31,7 @@
 	resets  uint64
 }
 
-// ledgerSize bounds the requests that the ledger remembers.
+// ledgerSize is the maximum number of requests in the ledger.
 const ledgerSize = 20_000
 
 func newLedger() *Ledger {
@@ -38,7 +40,7 @@
 	}
 }
 
-// Get returns what was run for a request, and whether anything was.
+// Get returns a copy of a request's entry, and whether there is one.
 func (l *Ledger) Get(request string) (Entry, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +53,7 @@
 	return c, true
 }
 
-// All returns every entry, oldest first.
+// All returns copies of all entries, oldest first.
 func (l *Ledger) All() []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +66,7 @@
 	return all
 }
 
-// reset notes that the engine lost its sessions.
+// reset records that the engine lost its sessions.
 func (l *Ledger) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,15 +94,15 @@
 	return e
 }
 
-// resetCount returns which life the engine is in.
+// resetCount returns how often the engine has lost its sessions.
 func (l *Ledger) resetCount() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.resets
 }
 
-// ran notes positions that were run, and reports false, noting nothing, if the
-// life that ran them is over.
+// ran records positions that were run. If the engine has lost its sessions since
+// its reset count was resetCount, it records nothing and returns false.
 func (l *Ledger) ran(resetCount uint64, request string, pos, n int, rebuild bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/standin/engine/orders.go
+++ b/pkg/standin/engine/orders.go
@@ -6,8 +6,8 @@
 	"github.com/larchwinch/larchwinch/pkg/api"
 )
 
-// orderFence remembers the newest order and, if the engine checks, refuses
-// those from before it.
+// orderFence records the newest order and, if the engine checks orders, rejects
+// those that are not newer.
 type orderFence struct {
 	mu       sync.Mutex
 	epoch    uint64
@@ -15,7 +15,8 @@
 	accepted []api.EngineOrder
 }
 
-// accept notes an order, and reports whether it is obeyed.
+// accept records an order and reports whether it is accepted. With checks, an
+// order that isn't newer than the last one by epoch and sequence is rejected.
 func (f *orderFence) accept(o api.EngineOrder, checks bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +30,7 @@
 	return true
 }
 
-// Orders returns the orders that the engine obeyed, in order.
+// Orders returns the accepted orders, oldest first.
 func (e *Engine) Orders() []api.EngineOrder {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
--- a/pkg/standin/engine/session.go
+++ b/pkg/standin/engine/session.go
@@ -12,8 +12,8 @@
 // session is one request's state on this stage.
 //
 // Invariants: kv holds the state after exactly len(inputs) positions; a
-// position is run once, and asked for again gives the saved output; attempt
-// never falls, and a step of an older attempt changes nothing.
+// position is run once, and a repeated request for it returns the saved output;
+// attempt never decreases, and a step of an older attempt changes nothing.
 type session struct {
 	mu        sync.Mutex
 	request   string
@@ -24,7 +24,7 @@
 	outputs   []uint64
 	lastUse   time.Time
 	lastUseMu sync.Mutex
-	resets    uint64 // of the engine that it belongs to
+	resets    uint64 // the ledger's reset count when the session was made
 }
 
 func (s *session) touch(now time.Time) {
@@ -39,8 +39,9 @@
 	return s.lastUse
 }
 
-// openSession opens or takes over a session. It reports false for an attempt
-// that is older than the session's.
+// openSession opens a session, or takes over an open one for a newer attempt.
+// The first boolean is whether it did; it is false for an attempt older than the
+// session's. The second is whether it failed because every slot is taken.
 func (e *Engine) openSession(o api.EngineOpen) (api.EngineOpened, bool, bool) {
 	e.mu.Lock()
 	s := e.sessions[o.Request]
@@ -91,8 +92,9 @@
 	delete(e.sessions, c.Request)
 }
 
-// runPositions takes the inputs of positions from pos on and returns their outputs.
-// Positions that were run before aren't run again.
+// runPositions takes the inputs of the positions from pos on and returns their
+// outputs. Positions that were run before are not run again. If it fails, it
+// returns the reason instead, one of the api.Fault constants.
 func (e *Engine) runPositions(ctx context.Context, s *session, attempt, pos int, inputs []uint64, rebuild bool) ([]uint64, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +120,7 @@
 			return nil, api.FaultLost
 		}
 		if !e.ledger.ran(s.resets, s.request, have, len(added), rebuild) {
-			return nil, api.FaultLost // the process that ran it is no more
+			return nil, api.FaultLost // the sessions were lost during the pass
 		}
 	}
 	for _, x := range added {
@@ -135,7 +137,7 @@
 	return x
 }
 
-// saved returns the outputs from position from on.
+// saved returns the saved outputs from position from on.
 func (s *session) saved(from int) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +169,8 @@
 	}
 }
 
-// importKV fills an open session that has run nothing yet.
+// importKV fills an open session that has run nothing yet. It reports whether
+// the session holds at least the positions of kv afterwards.
 func (e *Engine) importKV(kv api.EngineKV) bool {
 	s := e.session(kv.Request)
 	if s == nil || kv.FirstLayer != e.cfg.FirstLayer || kv.EndLayer != e.cfg.EndLayer {
--- a/pkg/standin/hostlist/hostlist.go
+++ b/pkg/standin/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist is a stand-in for the platform's list of live and leaving
-// hosts, which lags behind the truth.
+// Package hostlist is a fake of the platform's list of live and leaving hosts,
+// which lags behind the actual list.
 package hostlist
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// SetPath is where the truth is set, with an api.HostList.
+// SetPath is the HTTP path that sets the actual list, an api.HostList.
 const SetPath = "/standin/hosts"
 
 type change struct {
@@ -20,7 +20,8 @@
 	list api.HostList
 }
 
-// List is a running stand-in. It shows each change once it is older than lag.
+// List is a running fake. It publishes each change once the change is older than
+// lag.
 type List struct {
 	svc timer.Service
 	lag time.Duration
@@ -30,7 +31,7 @@
 	published api.HostList
 }
 
-// New returns a list that shows first at once, and changes after lag.
+// New returns a list that publishes first at once, and later changes after lag.
 func New(svc timer.Service, lag time.Duration, first api.HostList) *List {
 	return &List{
 		svc:       svc,
@@ -39,7 +40,7 @@
 	}
 }
 
-// Set changes the truth.
+// Set changes the actual list.
 func (l *List) Set(list api.HostList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +50,7 @@
 	})
 }
 
-// Shown returns what the list shows now.
+// Shown returns the published list.
 func (l *List) Shown() api.HostList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +67,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.HostListPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(l.Shown()) // the caller is gone if it fails
+		_ = json.NewEncoder(w).Encode(l.Shown()) // it fails only if the caller has disconnected
 	})
 	mux.HandleFunc("POST "+SetPath, func(w http.ResponseWriter, r *http.Request) {
 		list := api.HostList{}
--- a/pkg/standin/model/model.go
+++ b/pkg/standin/model/model.go
@@ -1,7 +1,7 @@
-// Package model is the arithmetic that stands in for a language model. Each
-// layer folds what it has seen into a digest, so that a layer that is left
-// out, run twice or run out of order changes every token that follows: an
-// answer that equals Reference is proof that none was.
+// Package model is a fake language model. Each layer hashes its inputs into its
+// state, so that a layer that is left out, run twice or run out of order changes
+// every token that follows: an answer that equals Reference proves that every
+// layer ran exactly once and in order at each position.
 package model
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Embed turns the token at position pos into the first layer's input.
+// Embed returns the first layer's input for the token at position pos.
 func Embed(seed uint64, pos, token int) uint64 {
 	return mix(seed, uint64(pos), uint64(token))
 }
@@ -25,13 +25,13 @@
 	return newKV, y
 }
 
-// Sample turns the last layer's output into a token.
+// Sample returns the token for the last layer's output.
 func Sample(y uint64) int {
 	return int(y % uint64(len(words)))
 }
 
-// Reference returns the n tokens that a model of that many layers generates
-// after prompt.
+// Reference returns the n tokens that a model with this number of layers
+// generates after prompt.
 func Reference(layers int, seed uint64, prompt []int, n int) []int {
 	kv := make([]uint64, layers)
 	out := make([]int, 0, n)
@@ -53,7 +53,8 @@
 	return out
 }
 
-// Tokenize turns text into tokens, one a word.
+// Tokenize returns one token for each word of text, and a single 0 if there are
+// no words.
 func Tokenize(text string) []int {
 	fields := strings.Fields(text)
 	tokens := make([]int, 0, len(fields)+1)
--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in for a plain service, such as a booking
-// server. It counts how often each call ran, which is the oracle of the tests
-// on requests that must not be repeated.
+// Package service is a fake plain service, such as a booking service. It counts
+// how often each call ran, which tests use to check that requests that must not
+// be retried ran at most once.
 package service
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Paths of the stand-in beside those of a plain service.
+// HTTP paths that the fake has in addition to those of a plain service.
 const (
 	FaultPath   = "/standin/fault"
 	CountsPath  = "/standin/counts"
 	LeavingPath = "/standin/leaving"
 )
 
-// Fault asks the service to fail. The zero value ends every fault.
+// Fault describes the faults to inject. The zero value ends every fault.
 type Fault struct {
 	// DelayMS delays each answer, in milliseconds, after the call has run.
 	DelayMS int `json:"delay_ms"`
@@ -38,7 +38,7 @@
 	Runs int    `json:"runs"`
 }
 
-// Service is a running stand-in.
+// Service is a running fake service.
 type Service struct {
 	name        string
 	incarnation uint64
@@ -51,7 +51,7 @@
 	leaving bool
 }
 
-// New returns a service of that name.
+// New returns a service with this name.
 func New(name string, incarnation uint64, svc timer.Service) *Service {
 	return &Service{
 		name:        name,
@@ -61,14 +61,14 @@
 	}
 }
 
-// SetFault replaces the faults that are asked for.
+// SetFault replaces the injected faults.
 func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Runs returns how often the call with that key ran.
+// Runs returns how often the call with this key ran.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +90,8 @@
 	return counts
 }
 
-// Handler returns the service's HTTP interface. Every path but its own is a
-// call, which it answers with what it was sent.
+// Handler returns the service's HTTP interface. Every path other than the
+// service's own is a call, whose response contains the body that was received.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+api.ServiceInfoPath, s.serveInfo)
@@ -133,7 +133,7 @@
 	writeJSON(w, s.Counts())
 }
 
-// answer is what a call returns.
+// answer is the body of a call's response.
 type answer struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
@@ -195,5 +195,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // it fails only if the caller has disconnected
 }
