--- a/pkg/answer/answer.go
+++ b/pkg/answer/answer.go
@@ -1,4 +1,5 @@
-// Package answer writes HTTP answers: JSON, and failures in their one shape.
+// Package answer writes HTTP responses: JSON, and failures in the format that all
+// APIs of larchwinch share.
 package answer
 
 import (
@@ -20,10 +21,11 @@
 func Status(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller is gone if it fails
+	_ = json.NewEncoder(w).Encode(v) // it fails only if the caller has disconnected
 }
 
-// Failure writes err as an error answer. An err of no kind becomes internal.
+// Failure writes err as an error response. An err without a kind is written as an
+// internal one.
 func Failure(w http.ResponseWriter, err error) {
 	f := failure.From(err)
 	if d := f.RetryAfter(); d > 0 {
@@ -33,7 +35,7 @@
 	Status(w, f.Kind().Answer().Status, Body(f))
 }
 
-// Body returns the error body of a failure, also used inside a stream.
+// Body returns the JSON body for a failure. It is also sent as an event of a stream.
 func Body(f *failure.Error) api.Error {
 	return api.Error{
 		Error: api.ErrorBody{
--- a/pkg/check/check.go
+++ b/pkg/check/check.go
@@ -1,5 +1,5 @@
-// Package check collects what is wrong with settings and bundles, so that a
-// person sees every problem at once and what would have been allowed.
+// Package check collects the problems of settings files and bundles, so that the
+// author sees all of them at once, each with the values that are allowed.
 package check
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Problem is one thing that is wrong with one key of one file.
+// Problem is a problem with one key of one file.
 type Problem struct {
-	// File is the file's name as the person gave it.
+	// File is the file's name as it was given.
 	File string `json:"file"`
 	// Key is the TOML key, with list positions counted from 0.
 	Key string `json:"key"`
-	// Wrong says what is wrong.
+	// Wrong describes the problem.
 	Wrong string `json:"wrong"`
-	// Allowed says what would be right.
+	// Allowed describes the allowed values, if known.
 	Allowed string `json:"allowed,omitempty"`
 }
 
@@ -34,20 +34,20 @@
 	return line
 }
 
-// Problems is everything that is wrong with a file. It is an error if not empty.
+// Problems is the list of a file's problems. It is an error if it isn't empty.
 type Problems struct {
 	file string
 	list []Problem
 }
 
-// New returns an empty list of problems of file.
+// New returns an empty list of problems for file.
 func New(file string) *Problems {
 	return &Problems{
 		file: file,
 	}
 }
 
-// Add notes a problem with key.
+// Add adds a problem with key.
 func (p *Problems) Add(key, allowed, format string, args ...any) {
 	p.list = append(p.list, Problem{
 		File:    p.file,
@@ -57,12 +57,12 @@
 	})
 }
 
-// List returns the problems in the order in which they were noted.
+// List returns the problems in the order in which they were added.
 func (p *Problems) List() []Problem {
 	return p.list
 }
 
-// Err returns p if it holds a problem, and nil if not.
+// Err returns p if it holds a problem, and nil otherwise.
 func (p *Problems) Err() error {
 	if len(p.list) == 0 {
 		return nil
@@ -79,8 +79,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode reads TOML into v and notes unknown keys, wrong types and syntax
-// errors. It reports whether v can be checked further.
+// Decode decodes TOML into v and adds a problem for unknown keys, wrong types and
+// syntax errors. It reports whether v can be checked further.
 func (p *Problems) Decode(text []byte, v any) bool {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -115,14 +115,14 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Name notes a problem unless value can name something.
+// Name adds a problem unless value is a valid name.
 func (p *Problems) Name(key, value string) {
 	if !namePattern.MatchString(value) {
 		p.Add(key, "1 to 63 of a-z, 0-9, dot, dash and underscore, first a letter or digit", "%q is no name", value)
 	}
 }
 
-// Unique notes a problem if value is in seen, and then adds it.
+// Unique adds a problem if value is in seen, and then adds value to seen.
 func (p *Problems) Unique(key, value string, seen map[string]bool) {
 	if seen[value] {
 		p.Add(key, "a name that isn't used yet", "%q stands twice", value)
@@ -130,14 +130,14 @@
 	seen[value] = true
 }
 
-// Address notes a problem unless value is an IP number with a port.
+// Address adds a problem unless value is an IP address with a port.
 func (p *Problems) Address(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		p.Add(key, "an IP number and a port, such as 10.0.0.5:8080", "%q is no address", value)
 	}
 }
 
-// Range notes a problem unless low <= value <= high.
+// Range adds a problem unless low <= value <= high.
 func (p *Problems) Range(key string, value, low, high int) {
 	if value < low || value > high {
 		p.Add(key, fmt.Sprintf("%d to %d", low, high), "%d is out of range", value)
@@ -146,7 +146,7 @@
 
 var hexPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// SHA256 notes a problem unless value is a SHA-256 digest in lower-case hexadecimal.
+// SHA256 adds a problem unless value is a SHA-256 digest in lower-case hexadecimal.
 func (p *Problems) SHA256(key, value string) {
 	if !hexPattern.MatchString(value) {
 		p.Add(key, "64 hexadecimal digits in lower case", "%q is no SHA-256 digest", value)
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -1,5 +1,5 @@
-// Package group starts goroutines that are waited for. Nothing in larchwinch
-// starts one in any other way.
+// Package group starts goroutines and waits for them. All goroutines in larchwinch
+// are started through it.
 package group
 
 import (
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Group is a set of goroutines that share a context and end together.
+// Group is a set of goroutines that share a context, which Stop ends.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -35,7 +35,7 @@
 	})
 }
 
-// Wait returns once every goroutine has ended by itself.
+// Wait waits for all goroutines to end, without ending their context.
 func (g *Group) Wait() {
 	g.wg.Wait()
 }
--- a/pkg/group/try.go
+++ b/pkg/group/try.go
@@ -6,10 +6,10 @@
 	"runtime"
 )
 
-// PanicError is a panic that Try has ended.
+// PanicError is a recovered panic.
 type PanicError struct {
 	Value any
-	// At is file and line where it came about.
+	// At is the file and line of the panic, or "?" if it wasn't found.
 	At string
 }
 
@@ -18,9 +18,9 @@
 	return fmt.Sprintf("panic at %s: %v", e.At, e.Value)
 }
 
-// Try runs f, and returns a panic of it as a *PanicError. It is for goroutines that
-// serve one request: as in the HTTP server's own, one request that nobody thought of
-// mustn't end the process, since its caller tries the next host with it.
+// Try runs f and returns a panic in it as a *PanicError. It is for goroutines that
+// serve one request: as in net/http's server, one unexpected request must not end the
+// process. Its caller would retry it on the next host and end that one too.
 func Try(f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -34,11 +34,11 @@
 	return nil
 }
 
-// maxFrames is how deep the place of a panic is looked for: it stands a few calls of
-// the runtime above the deferred one.
+// maxFrames is how many stack frames are searched for the panic's location, which is
+// a few runtime frames above the deferred function.
 const maxFrames = 16
 
-// panicLocation returns where the panic that is being recovered from came about.
+// panicLocation returns the file and line of the panic that is being recovered.
 func panicLocation() string {
 	pcs := make([]uintptr, maxFrames)
 	frames := runtime.CallersFrames(pcs[:runtime.Callers(1, pcs)])
@@ -57,7 +57,8 @@
 	}
 }
 
-// inRuntime reports whether a function is the runtime's, as for a nil dereference.
+// inRuntime reports whether a function belongs to package runtime. Its frames come
+// first when the runtime itself panics, such as on a nil dereference.
 func inRuntime(function string) bool {
 	return len(function) > len("runtime.") && function[:len("runtime.")] == "runtime."
 }
--- a/pkg/group/try_test.go
+++ b/pkg/group/try_test.go
@@ -13,7 +13,7 @@
 }
 
 var _ = Describe("Try", func() {
-	It("tells a panic, and where it came about", func() {
+	It("returns a panic and its location", func() {
 		var none *PanicError
 		Expect(Try(func() {})).To(Succeed())
 		Expect(Try(func() { panic("odd") })).To(MatchError("panic at try_test.go:19: odd"))
--- a/pkg/logflags/logflags.go
+++ b/pkg/logflags/logflags.go
@@ -1,5 +1,5 @@
-// Package logflags switches the logs of each subsystem on and off. Lines are
-// written for changes of state only; what happens often is a counter.
+// Package logflags enables and disables the logs of each subsystem. Only changes
+// of state are logged; frequent events are counted in metrics instead.
 package logflags
 
 import (
@@ -40,8 +40,8 @@
 	return names
 }
 
-// Setup enables the subsystems in list, names parted by commas; "all" enables
-// every one. It must be called before any goroutine logs.
+// Setup enables the subsystems in list, a comma-separated list of names; "all"
+// enables every one. It must be called before any goroutine logs.
 func Setup(list string) error {
 	for _, name := range strings.Split(list, ",") {
 		name = strings.TrimSpace(name)
@@ -69,14 +69,14 @@
 	return nil
 }
 
-// Info writes a structured line about a change of state in s, if s is enabled.
+// Info logs a change of state in s as a structured line, if s is enabled.
 func Info(s Subsystem, msg string, keysAndValues ...any) {
 	if enabled[s] {
 		klog.InfoSDepth(1, msg, append([]any{"subsystem", string(s)}, keysAndValues...)...)
 	}
 }
 
-// Error writes a structured line about a failure in s, always.
+// Error logs a failure in s as a structured line, whether s is enabled or not.
 func Error(s Subsystem, err error, msg string, keysAndValues ...any) {
 	klog.ErrorSDepth(1, err, msg, append([]any{"subsystem", string(s)}, keysAndValues...)...)
 }
--- a/pkg/metrics/bench_test.go
+++ b/pkg/metrics/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/larchwinch/larchwinch/pkg/metrics"
 )
 
-// BenchmarkAccountHistogram gives the memory of one account's histogram once
-// its sample is full, as bytes a histogram.
+// BenchmarkAccountHistogram reports the heap bytes of one client account's
+// histogram with a full sample.
 func BenchmarkAccountHistogram(b *testing.B) {
 	const accounts, values = 200, 1000
 	for b.Loop() {
--- a/pkg/metrics/metrics.go
+++ b/pkg/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps counters, gauges and histograms in a go-metrics
-// registry, with labels, and shows them to Prometheus.
+// Package metrics keeps counters, gauges and histograms with labels in a
+// go-metrics registry, and exposes them to Prometheus.
 package metrics
 
 import (
@@ -19,8 +19,8 @@
 	Value string
 }
 
-// Set is one process's metrics. The name of a metric in the registry holds
-// its labels too, parted by separators that no label value may hold.
+// Set is one process's metrics. A metric's name in the registry includes its
+// labels, with separators that must not occur in a label's value.
 type Set struct {
 	registry gometrics.Registry
 }
@@ -42,30 +42,30 @@
 	}
 }
 
-// Counter returns the counter of that name and labels.
+// Counter returns the counter with this name and labels, creating it if needed.
 func (s *Set) Counter(name string, labels ...Label) gometrics.Counter {
 	return gometrics.GetOrRegisterCounter(key(name, labels), s.registry)
 }
 
-// Gauge returns the gauge of that name and labels.
+// Gauge returns the gauge with this name and labels, creating it if needed.
 func (s *Set) Gauge(name string, labels ...Label) gometrics.Gauge {
 	return gometrics.GetOrRegisterGauge(key(name, labels), s.registry)
 }
 
-// Histogram returns the histogram of that name and labels. Its sample holds
-// the last few minutes, the newest more than the older.
+// Histogram returns the histogram with this name and labels, creating it if
+// needed. Its sample covers the last few minutes and prefers newer values.
 func (s *Set) Histogram(name string, labels ...Label) gometrics.Histogram {
 	return s.registry.GetOrRegister(key(name, labels), func() gometrics.Histogram {
 		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sampleSize, sampleAlpha))
 	}).(gometrics.Histogram)
 }
 
-// Observe adds a time to a histogram of microseconds.
+// Observe adds a duration to a histogram of microseconds.
 func Observe(h gometrics.Histogram, d time.Duration) {
 	h.Update(d.Microseconds())
 }
 
-// Remove forgets every metric with that label.
+// Remove removes every metric with this label.
 func (s *Set) Remove(label Label) {
 	part := labelSeparator + label.Name + valueSeparator + label.Value
 	s.registry.Each(func(k string, _ any) {
@@ -84,8 +84,8 @@
 	return b.String()
 }
 
-// Handler shows the set in the Prometheus text format, and below /debug/pprof/
-// the profiles of the process.
+// Handler serves the set in the Prometheus text format, and the profiles of the
+// process below /debug/pprof/.
 func (s *Set) Handler() http.Handler {
 	r := prometheus.NewRegistry()
 	r.MustRegister(&collector{
@@ -98,13 +98,13 @@
 	return mux
 }
 
-// collector bridges the registry. The known bridge can't be had, so this is
-// its nearest kin, on the client library it would use.
+// collector exports the go-metrics registry to Prometheus.
 type collector struct {
 	set *Set
 }
 
-// Describe implements prometheus.Collector; an unchecked one describes nothing.
+// Describe implements prometheus.Collector. It describes nothing, which makes the
+// collector an unchecked one: its metrics are not known in advance.
 func (c *collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
--- a/pkg/netutil/inturn.go
+++ b/pkg/netutil/inturn.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// attemptTimeout is how long one of several addresses may be silent before the next
-// is asked: many times what an answer takes, and a small share of any caller's
-// time. Addresses that were silent are asked once more, with all the time left.
+// attemptTimeout is how long one of several addresses may take in the first round
+// before the next one is tried. It is many times as long as an answer takes, and a
+// small share of any caller's timeout. A single address, and the second round, have
+// all the time that is left.
 const attemptTimeout = 500 * time.Millisecond
 
-// InTurn asks addresses one after the other until call says that it is done,
-// and returns the last call's error. call may be made twice with an address, so
-// what it asks for must bear to be asked again.
+// InTurn calls call with one address after the other until call reports that it is
+// done or ctx ends, and returns the last call's error. It goes through the addresses
+// twice, so the request that call makes must be safe to repeat.
 func InTurn(ctx context.Context, addresses []string, call func(ctx context.Context, address string) (done bool, err error)) error {
 	var last error
 	for round := range 2 {
--- a/pkg/netutil/inturn_test.go
+++ b/pkg/netutil/inturn_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "netutil")
 }
 
-// waitFor answers only after d, or when ctx ends.
+// waitFor returns after d, or with ctx's error when ctx ends before.
 func waitFor(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -25,8 +25,8 @@
 	}
 }
 
-var _ = Describe("addresses that are asked in turn", func() {
-	It("cost little of the caller's time where the first is silent", func() {
+var _ = Describe("trying several addresses", func() {
+	It("moves on quickly from an address that doesn't answer", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		began := time.Now()
@@ -40,7 +40,7 @@
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	It("are asked again with all the time left, so that a slow answer isn't lost", func() {
+	It("tries each address again without the attempt timeout, so that a slow answer isn't lost", func() {
 		calls := 0
 		err := InTurn(context.Background(), []string{"slow", "down"}, func(ctx context.Context, address string) (bool, error) {
 			calls++
@@ -54,7 +54,7 @@
 		Expect(calls).To(Equal(3))
 	})
 
-	It("end with the answer that says so, and with the caller's time", func() {
+	It("stops at the call that reports that it is done, and when the caller's context ends", func() {
 		final := errors.New("final")
 		Expect(InTurn(context.Background(), []string{"a", "b"}, func(context.Context, string) (bool, error) {
 			return true, final
--- a/pkg/netutil/netutil.go
+++ b/pkg/netutil/netutil.go
@@ -1,6 +1,6 @@
-// Package netutil makes the HTTP clients and servers that every program uses:
-// they dial from and listen on the host's own IP number, so that several hosts
-// can share one machine.
+// Package netutil creates the HTTP clients and servers that every program uses.
+// They dial from and listen on the host's own IP address, so that several hosts
+// can run on one computer.
 package netutil
 
 import (
@@ -24,19 +24,19 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// NewClient returns a client that dials from the IP number of address.
+// NewClient returns a client that dials from the IP address in address.
 func NewClient(address string) (*http.Client, error) {
 	return newClient(address, false)
 }
 
-// NewOnceClient returns a client that makes a connection for each request, so
-// that a failure to connect means for certain that nothing was sent.
+// NewOnceClient returns a client that makes a new connection for each request, so
+// that a failure to connect proves that nothing was sent.
 func NewOnceClient(address string) (*http.Client, error) {
 	return newClient(address, true)
 }
 
-// NewRPCClient returns a client for the system's own processes: with keys it
-// speaks mutual TLS, with nil plain HTTP.
+// NewRPCClient returns a client for calls to larchwinch's own processes. With
+// credentials it uses mutual TLS, with nil plain HTTP.
 func NewRPCClient(address string, pair *keys.Pair) (*http.Client, error) {
 	c, err := NewClient(address)
 	if err != nil || pair == nil {
@@ -46,8 +46,8 @@
 	return c, nil
 }
 
-// ListenRPC is Listen for the system's own processes: with keys it speaks
-// mutual TLS, with nil plain HTTP.
+// ListenRPC is Listen for calls from larchwinch's own processes. With credentials
+// the server uses mutual TLS, with nil plain HTTP.
 func ListenRPC(address string, h http.Handler, pair *keys.Pair) (*Server, error) {
 	s, err := Listen(address, h)
 	if err != nil || pair == nil {
@@ -90,8 +90,8 @@
 	server   *http.Server
 }
 
-// Listen opens address at once, so that a port that is taken is an error
-// before anything else starts.
+// Listen opens address before it returns, so that a port that is in use is
+// reported before anything else starts.
 func Listen(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return s.listener.Addr().String()
 }
 
-// Serve answers requests until Shutdown or Close.
+// Serve handles requests until Shutdown or Close.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -121,12 +121,13 @@
 	return err
 }
 
-// Shutdown takes no new connections and waits for requests to end.
+// Shutdown stops accepting connections and waits until all requests have ended or
+// ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return s.server.Shutdown(ctx)
 }
 
-// Close ends every connection at once.
+// Close closes every connection at once.
 func (s *Server) Close() {
-	_ = s.server.Close() // only the listener's close can fail, and it is gone
+	_ = s.server.Close() // only closing the listener can fail, and it isn't used any more
 }
--- a/pkg/netutil/silent.go
+++ b/pkg/netutil/silent.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// ackTimeout is how long bytes may stay without the peer's acknowledgement
-	// before a connection counts as lost: five retransmissions on a link of a few
+	// ackTimeout is how long sent bytes may stay unacknowledged before the
+	// connection is closed: five retransmissions on a link with a latency of a few
 	// ms, and half of what a caller waits for the next event of a stream.
 	ackTimeout = time.Second
-	// probeInterval is how often a connection at rest is probed, and how long nothing
-	// may come back: a second is the least that the system takes.
+	// probeInterval is how long a connection may be idle before it is probed, and
+	// the time between probes. A second is the shortest time that the system allows.
 	probeInterval = time.Second
-	// probeCount is how many probes may stay without an answer.
+	// probeCount is the number of unanswered probes after which the connection is
+	// closed.
 	probeCount = 2
 )
 
-// Dialer returns a dialer from an IP number whose connections end by themselves,
-// within 3 s, when their peer or the path to it has gone silent: nothing else tells
-// of a connection that stays open and carries nothing any more.
+// Dialer returns a dialer that dials from an IP address and whose connections fail
+// within 3 s once the peer, or the network path to it, delivers nothing any more.
+// Nothing else detects a connection that stays open but carries no data.
 func Dialer(ip string, timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -39,7 +40,7 @@
 	}
 }
 
-// setUserTimeout sets how long sent bytes may stay without an acknowledgement.
+// setUserTimeout limits how long sent bytes may stay unacknowledged to ackTimeout.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var err error
 	if cerr := c.Control(func(fd uintptr) {
--- a/pkg/netutil/silent_test.go
+++ b/pkg/netutil/silent_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-var _ = Describe("a connection", func() {
-	It("ends by itself once nothing comes back, within 3 s", func() {
+var _ = Describe("a dialed connection", func() {
+	It("has keep-alive and user timeouts that close it within 3 s of the peer's silence", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { Expect(l.Close()).To(Succeed()) }()
--- a/pkg/opclient/client.go
+++ b/pkg/opclient/client.go
@@ -1,5 +1,5 @@
-// Package opclient is a client of the administration API. It finds the leader
-// among the control hosts by itself.
+// Package opclient is a client of the administration API, which follows the
+// control hosts' redirects to their leader.
 package opclient
 
 import (
@@ -29,8 +29,8 @@
 	http      *http.Client
 }
 
-// New returns a client that tries the addresses in turn, as the operator with
-// that key.
+// New returns a client that tries the addresses one after the other and
+// authenticates with an operator's key.
 func New(addresses []string, key string) *Client {
 	return &Client{
 		addresses: addresses,
@@ -43,28 +43,28 @@
 	}
 }
 
-// Get reads what is at path into out.
+// Get fetches path and decodes the response into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	return c.do(ctx, http.MethodGet, path, nil, out)
 }
 
-// Post sends in and reads the answer into out.
+// Post posts in to path and decodes the response into out.
 func (c *Client) Post(ctx context.Context, path string, in, out any) error {
 	return c.do(ctx, http.MethodPost, path, in, out)
 }
 
-// Put sends in and reads the answer into out.
+// Put puts in at path and decodes the response into out.
 func (c *Client) Put(ctx context.Context, path string, in, out any) error {
 	return c.do(ctx, http.MethodPut, path, in, out)
 }
 
-// Delete asks for the end of what is at path.
+// Delete deletes path and decodes the response into out.
 func (c *Client) Delete(ctx context.Context, path string, out any) error {
 	return c.do(ctx, http.MethodDelete, path, nil, out)
 }
 
-// do tries each address. Every write of the API may be sent again, so an
-// address that gave no answer isn't the end.
+// do tries each address until one answers. All requests of the API are safe to
+// repeat, so the next address is tried after one that gave no answer.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -74,7 +74,8 @@
 	})
 }
 
-// follow sends the request on to the leader, keeping the key.
+// follow sends the request and follows redirects to the leader, sending the
+// operator's key to each address.
 func (c *Client) follow(ctx context.Context, method, target string, in, out any) error {
 	for range maxRedirects {
 		resp, err := c.send(ctx, method, target, in)
@@ -117,18 +118,18 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusOK {
 		if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-			return errors.Wrap(err, "decode answer")
+			return errors.Wrap(err, "decode response")
 		}
 		return nil
 	}
 	return ReadFailure(resp)
 }
 
-// ReadFailure returns the failure that an error answer holds.
+// ReadFailure returns the failure that an error response contains.
 func ReadFailure(resp *http.Response) error {
 	body := api.Error{}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		return errors.Errorf("the answer has status %d and no error that can be read", resp.StatusCode)
+		return errors.Errorf("the response has status %d and its body is not a valid error", resp.StatusCode)
 	}
 	kind, _ := failure.KindNamed(body.Error.Kind)
 	f := failure.New(kind, "%s", body.Error.Message).WithRan(failure.Ran(body.Error.Ran))
--- a/pkg/timer/boot_other.go
+++ b/pkg/timer/boot_other.go
@@ -6,8 +6,8 @@
 
 var started = time.Now()
 
-// bootTime returns the time since the process started. Whether it counts suspension
-// is up to the system.
+// bootTime returns the time since the process started. Whether it includes
+// suspension depends on the operating system.
 func bootTime() time.Duration {
 	return time.Since(started)
 }
--- a/pkg/timer/manual.go
+++ b/pkg/timer/manual.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Manual is a service whose time moves only by Advance.
+// Manual is a service whose time changes only by Advance. It is safe for concurrent
+// use.
 //
 // Invariant: no waiter's due time lies in the past once Advance has returned.
 type Manual struct {
@@ -20,7 +21,7 @@
 	c      chan time.Time
 }
 
-// NewManual returns a service that stands at start.
+// NewManual returns a service whose time is start.
 func NewManual(start time.Time) *Manual {
 	return &Manual{
 		now: start,
@@ -55,7 +56,8 @@
 	}
 }
 
-// Advance moves the time by d and wakes every waiter that came due.
+// Advance adds d to the time and wakes every waiter that is due. A periodic waiter
+// that is due several times is woken once.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,7 +80,7 @@
 	m.waiters = kept
 }
 
-// Waiters returns how many wake-ups are outstanding.
+// Waiters returns the number of pending wake-ups, including subscriptions.
 func (m *Manual) Waiters() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/timer/manual_test.go
+++ b/pkg/timer/manual_test.go
@@ -23,9 +23,9 @@
 		wakes   int
 	}{
 		{name: "too early", advance: []time.Duration{9 * time.Second}, period: 10 * time.Second, wakes: 0},
-		{name: "just then", advance: []time.Duration{10 * time.Second}, period: 10 * time.Second, wakes: 1},
+		{name: "exactly when due", advance: []time.Duration{10 * time.Second}, period: 10 * time.Second, wakes: 1},
 		{name: "twice", advance: []time.Duration{10 * time.Second, 10 * time.Second}, period: 10 * time.Second, wakes: 2},
-		{name: "a jump wakes once", advance: []time.Duration{45 * time.Second}, period: 10 * time.Second, wakes: 1},
+		{name: "a jump over several periods wakes once", advance: []time.Duration{45 * time.Second}, period: 10 * time.Second, wakes: 1},
 	}
 	for _, c := range cases {
 		It("wakes subscribers: "+c.name, func() {
--- a/pkg/timer/system.go
+++ b/pkg/timer/system.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// System is the service that follows the machine's clock. Its time goes on while the
-// machine is suspended, as other machines' does: the steady clock that time.Now reads
-// stands still then, and a leader that was suspended for seconds would take its lease
-// for valid, and an entry host a key for confirmed, long after others went on without
-// them. Steps of the time of day don't move it.
+// System is the service that uses the host's clock. Its time includes the time during
+// which the host was suspended. The monotonic clock that time.Now reads stops during
+// a suspension, so with it a leader that was suspended for seconds would take its
+// lease for valid, and an entry host a key for confirmed, long after the other hosts
+// had let them expire. Steps of the time of day don't affect it.
 type System struct {
 	start time.Time
-	// bootTime reads a clock that counts suspension; first is what it read at start.
+	// bootTime reads a clock that includes suspension; bootAtStart is what it read
+	// at start.
 	bootTime    func() time.Duration
 	bootAtStart time.Duration
 }
 
-// NewSystem returns the service that follows the machine's clock.
+// NewSystem returns the service that uses the host's clock.
 func NewSystem() System {
 	return newSystem(bootTime)
 }
@@ -27,8 +28,8 @@
 	}
 }
 
-// Now implements Service. Its monotonic reading counts suspension. It costs 0.2
-// microseconds more than time.Now (BenchmarkNow).
+// Now implements Service. The monotonic reading of the time that it returns
+// includes suspension.
 func (s System) Now() time.Time {
 	return s.start.Add(s.bootTime() - s.bootAtStart)
 }
--- a/pkg/timer/system_test.go
+++ b/pkg/timer/system_test.go
@@ -21,9 +21,10 @@
 	}
 }
 
-var _ = Describe("the system's time", func() {
-	It("goes on while the machine is suspended", func() {
-		// The steady clock doesn't count these five seconds; the test's doesn't either.
+var _ = Describe("System", func() {
+	It("includes the time during which the host is suspended", func() {
+		// The suspension is simulated by a boot clock that jumps by five seconds,
+		// which the monotonic clock doesn't see.
 		suspended := time.Duration(0)
 		s := newSystem(func() time.Duration { return bootTime() + suspended })
 		before := s.Now()
@@ -31,7 +32,7 @@
 		Expect(s.Now().Sub(before)).To(BeNumerically("~", 5*time.Second, time.Second))
 	})
 
-	It("runs as fast as the steady clock, and doesn't go back", func() {
+	It("runs as fast as the monotonic clock, and doesn't go back", func() {
 		s := NewSystem()
 		steady, last := time.Now(), s.Now()
 		first := last
--- a/pkg/timer/timer.go
+++ b/pkg/timer/timer.go
@@ -1,6 +1,6 @@
-// Package timer is the one source of time. Parts subscribe to it for
-// periodic or single calls and ask it for the present time, so that tests can
-// put a Manual service in place of the System one.
+// Package timer is the only source of time in larchwinch. All code reads the
+// current time and schedules wake-ups through a Service, so that tests can use a
+// Manual service instead of the System one.
 package timer
 
 import (
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Service tells the time and wakes subscribers.
+// Service reads the clock and schedules wake-ups.
 type Service interface {
-	// Now returns the present time. It never steps, and counts what the machine was
-	// suspended; as a time of day it may be off.
+	// Now returns the current time of a clock that never steps and that includes
+	// time during which the host was suspended. It may differ from the time of day.
 	Now() time.Time
 	// Wall returns the time of day, which may step.
 	Wall() time.Time
 	// After returns a channel that receives one time once d has passed.
 	After(d time.Duration) <-chan time.Time
-	// Every returns a subscription whose channel receives a time each d.
+	// Every returns a subscription whose channel receives a time every d.
 	Every(d time.Duration) *Subscription
 }
 
-// Subscription is one part's periodic wake-up. Stop ends it.
+// Subscription is a periodic wake-up, which lasts until Stop.
 type Subscription struct {
 	c    <-chan time.Time
 	stop func()
 }
 
-// C returns the channel on which wake-ups arrive; a slow reader loses some.
+// C returns the channel on which wake-ups arrive. Wake-ups that the reader is too
+// slow to receive are dropped.
 func (s *Subscription) C() <-chan time.Time {
 	return s.c
 }
@@ -37,7 +38,7 @@
 	s.stop()
 }
 
-// Sleep waits for d on svc, or until ctx ends, whose error it then returns.
+// Sleep waits for d by svc's clock. If ctx ends before that, it returns ctx's error.
 func Sleep(ctx context.Context, svc Service, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -50,7 +51,7 @@
 	}
 }
 
-// Loop calls f at each period of d until ctx ends.
+// Loop calls f every d until ctx ends.
 func Loop(ctx context.Context, svc Service, d time.Duration, f func(now time.Time)) {
 	ticks := svc.Every(d)
 	defer ticks.Stop()
