--- a/pkg/fake/fakedisk/disk.go
+++ b/pkg/fake/fakedisk/disk.go
@@ -1,5 +1,5 @@
-// Package fakedisk is a disk in memory that forgets, in a crash, what was not
-// synced. It implements store.Disk for tests.
+// Package fakedisk is a disk in memory that loses in a crash what was not synced,
+// except for a random part. It implements store.Disk for tests.
 package fakedisk
 
 import (
@@ -10,28 +10,28 @@
 	"github.com/larchwinch/larchwinch/pkg/store"
 )
 
-// ErrCrashed is returned by everything between a crash and Restart.
-var ErrCrashed = errors.New("the machine has crashed")
+// ErrCrashed is returned by all operations between a crash and Restart.
+var ErrCrashed = errors.New("the host has crashed")
 
 // ErrFull is returned by writes once the disk is full.
 var ErrFull = errors.New("no space left on device")
 
-// file is one file's content and how much of it is synced.
+// file is a file's content and how many bytes of it are synced.
 type file struct {
 	data   []byte
 	synced int
 }
 
-// Disk is the fake. The folder's names have a durable copy, which SyncFolder
-// brings up to date; in a crash a random number of the name changes since
-// then is kept, in their order.
+// Disk is the fake disk. The folder's names have a durable copy, which SyncFolder
+// updates. A crash applies a random number of the name changes since then to the
+// durable copy, in their order, and drops the others.
 type Disk struct {
 	rnd     *rand.Rand
 	names   map[string]*file
 	durable map[string]*file
 	pending []func(names map[string]*file)
 	crashed bool
-	crashIn int // operations until a crash; 0 for none
+	crashIn int // operations until a crash, 0 for no crash
 	full    bool
 	badSync bool
 }
@@ -45,18 +45,18 @@
 	}
 }
 
-// CrashIn makes the disk crash at the nth write, sync or change of names from
-// now on; 0 for never.
+// CrashIn makes the disk crash at the nth write, truncation, sync or change of names
+// from now on; 0 means never.
 func (d *Disk) CrashIn(n int) {
 	d.crashIn = n
 }
 
-// SetFull makes writes fail, or not any more.
+// SetFull sets whether writes fail with ErrFull.
 func (d *Disk) SetFull(full bool) {
 	d.full = full
 }
 
-// SetBadSync makes syncs fail, or not any more.
+// SetBadSync sets whether syncs of files fail.
 func (d *Disk) SetBadSync(bad bool) {
 	d.badSync = bad
 }
@@ -66,7 +66,7 @@
 	return d.crashed
 }
 
-// Crash loses what wasn't synced, but for a random part.
+// Crash loses what was not synced, except for a random part.
 func (d *Disk) Crash() {
 	d.crashed = true
 	kept := 0
@@ -89,31 +89,31 @@
 	}
 }
 
-// Restart lets the disk be used again after a crash.
+// Restart makes the disk usable again after a crash.
 func (d *Disk) Restart() {
 	d.crashed = false
 	d.crashIn = 0
 }
 
-// Wipe loses everything.
+// Wipe deletes everything.
 func (d *Disk) Wipe() {
 	d.names = map[string]*file{}
 	d.durable = map[string]*file{}
 	d.pending = nil
 }
 
-// Flip changes one bit of a file.
+// Flip flips one bit of the byte at offset in a file.
 func (d *Disk) Flip(name string, offset int) {
 	d.names[name].data[offset] ^= 1
 }
 
-// SetData replaces a file's content.
+// SetData replaces a file's content; the new content counts as synced.
 func (d *Disk) SetData(name string, data []byte) {
 	d.names[name].data = data
 	d.names[name].synced = len(data)
 }
 
-// countOperation counts one operation, and crashes if it is its turn.
+// countOperation counts an operation, and crashes if it is the one that CrashIn set.
 func (d *Disk) countOperation() error {
 	if d.crashed {
 		return ErrCrashed
--- a/pkg/fake/fakelink/proxy.go
+++ b/pkg/fake/fakelink/proxy.go
@@ -1,5 +1,5 @@
-// Package fakelink stands in for a path between two hosts whose open connections
-// can go silent for good, without a reset, while new ones work.
+// Package fakelink is a fake network path between two hosts. Its open connections
+// can be made to drop all data without a reset, while new connections work.
 package fakelink
 
 import (
@@ -13,14 +13,14 @@
 // Way is a direction of a connection.
 type Way int
 
-// The ways that can go silent.
+// The directions in which data can be dropped.
 const (
-	Forth Way = iota // from who connected
+	Forth Way = iota // from the side that connected to the target
 	Back
 	Both
 )
 
-// Proxy carries connections to a target. It is safe for use by several goroutines.
+// Proxy forwards connections to a target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -33,11 +33,11 @@
 // link is one connection through a proxy.
 type link struct {
 	mu         sync.Mutex
-	blackholed [2]bool // by way
+	blackholed [2]bool // by direction
 	conns      [2]net.Conn
 }
 
-// New returns a proxy on a loopback address, which carries until Close.
+// New returns a proxy on a loopback address, which forwards until Close.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,14 +52,14 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
 
 // Close ends every connection.
 func (p *Proxy) Close() {
-	_ = p.listener.Close() // accept ends with it
+	_ = p.listener.Close() // accept returns once the listener is closed
 	p.mu.Lock()
 	for _, l := range p.links {
 		l.close()
@@ -68,8 +68,8 @@
 	p.group.Stop()
 }
 
-// Silence makes every connection that is open now carry nothing any more in a
-// way. Neither end is told.
+// Silence makes every connection that is open now drop all further data in a
+// direction. Neither end is notified.
 func (p *Proxy) Silence(direction Way) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// Opened returns how many connections were made through the proxy.
+// Opened returns how many connections have been made through the proxy.
 func (p *Proxy) Opened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,7 @@
 		}
 		to, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = from.Close() // the target is gone, and so is this
+			_ = from.Close() // the target doesn't accept connections
 			continue
 		}
 		l := &link{
@@ -110,8 +110,8 @@
 	}
 }
 
-// forward moves bytes one way until either end closes. A silent way still takes what
-// is sent, and loses it.
+// forward copies bytes in one direction until either end closes. A blackholed
+// direction still accepts data and drops it.
 func (l *link) forward(direction Way) {
 	defer l.close()
 	buf := make([]byte, 32<<10)
--- a/pkg/load/experiment.go
+++ b/pkg/load/experiment.go
@@ -1,5 +1,5 @@
-// Package load sends requests as callers do, checks every answer against the
-// stand-ins' model, and reports what callers saw.
+// Package load sends requests as callers do, checks every answer against the fake
+// engines' model, and reports what callers observed.
 package load
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/larchwinch/larchwinch/pkg/config"
 )
 
-// Experiment is what to send, read from a TOML file.
+// Experiment describes the load to send. It is read from a TOML file.
 type Experiment struct {
 	Name     string          `toml:"name"`
 	Entries  []string        `toml:"entries"`
@@ -20,19 +20,21 @@
 	Duration config.Duration `toml:"duration"`
 	WarmUp   config.Duration `toml:"warm_up"`
 	Seed     uint64          `toml:"seed"`
-	// Rate is requests a second in open mode, Clients how many ask in turn in
-	// closed mode.
+	// Rate is the number of requests a second in open mode. Clients is the number
+	// of clients in closed mode, each of which sends one request after the other.
 	Rate    float64 `toml:"rate"`
 	Clients int     `toml:"clients"`
-	// Retries is how often a client asks again after a refusal, as told to.
+	// Retries is how often a client retries a request that was refused or failed,
+	// after the time that the failure asks it to wait.
 	Retries int     `toml:"retries"`
 	Classes []Class `toml:"class"`
-	// Engines are where the engines' curves are read for the bound.
+	// Engines are the addresses of the engines whose cost curves give the bound on
+	// the throughput.
 	Engines []string `toml:"engines"`
 	Batch   int      `toml:"batch"`
 }
 
-// Class is one part of the mix.
+// Class is one kind of request in the mix. The classes' shares needn't add up to 1.
 type Class struct {
 	Account     string  `toml:"account"`
 	Key         string  `toml:"key"`
@@ -40,11 +42,12 @@
 	Share       float64 `toml:"share"`
 	PromptWords int     `toml:"prompt_words"`
 	Tokens      int     `toml:"tokens"`
-	// Repeated is the part of prompts that begin like one sent before.
+	// Repeated is the fraction of prompts that all begin with the same text.
 	Repeated float64 `toml:"repeated"`
 }
 
-// The modes of an experiment.
+// The modes of an experiment: open sends requests at a given rate, closed lets each
+// client wait for its answer before it sends the next one.
 const (
 	ModeOpen   = "open"
 	ModeClosed = "closed"
--- a/pkg/load/plot.go
+++ b/pkg/load/plot.go
@@ -14,8 +14,8 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// Plot draws the share of times to the first token and between tokens below
-// each time, to an SVG file.
+// Plot draws the cumulative distributions of the time to the first token and of the
+// time between tokens, to an SVG file.
 func (r *Report) Plot(file string) error {
 	p := plot.New()
 	p.Title.Text = r.exp.Name + ", larchwinch " + version.Number
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -20,11 +20,11 @@
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
-	// stallAfter is the gap between two tokens that counts as a stall.
+	// stallAfter is the time between two tokens beyond which it counts as a stall.
 	stallAfter = 150 * time.Millisecond
 )
 
-// accountReport is what one client account saw.
+// accountReport holds the figures of one client account.
 type accountReport struct {
 	good       int
 	wrong      int
@@ -35,7 +35,7 @@
 	stalls     *hdrhistogram.Histogram
 }
 
-// Report is what callers saw in one experiment.
+// Report holds what callers observed in one experiment.
 type Report struct {
 	exp  *Experiment
 	from time.Time
@@ -44,11 +44,11 @@
 	mu         sync.Mutex
 	accounts   map[string]*accountReport
 	mismatches []string
-	tokens     int // that came in the counted time, of any request
+	tokens     int // received in the counted time, of all requests
 }
 
-// countToken counts a token. Whole requests say little of throughput in a run
-// that isn't much longer than they are.
+// countToken counts a token when it arrives. Counting completed requests alone
+// would misstate the throughput of a run that is not much longer than a request.
 func (r *Report) countToken(now time.Time) {
 	if now.Before(r.from) {
 		return
@@ -109,10 +109,10 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(d.Microseconds(), histogramMax)) // within the range
+	_ = h.RecordValue(min(d.Microseconds(), histogramMax)) // the value is within the histogram's range
 }
 
-// Total returns all accounts' figures together.
+// total returns the sum of all accounts' figures.
 func (r *Report) total() *accountReport {
 	t := newAccountReport()
 	for _, a := range r.accounts {
@@ -129,8 +129,8 @@
 	return t
 }
 
-// Wrong returns how many answers were not whole or not their own, and a few
-// of the complaints.
+// Wrong returns how many answers were incomplete or differed from the reference,
+// and descriptions of the first few.
 func (r *Report) Wrong() (int, []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,8 +143,9 @@
 	"stalls", "stall_p50_ms", "stall_p95_ms", "stall_max_ms", "all_tokens_per_s", "bound_tokens_per_s", "share_of_bound",
 }
 
-// WriteCSV writes a row for each account and one for all. limit is the bound
-// in tokens a second, or 0 if it isn't known.
+// WriteCSV writes a row for each account and one for all. limit is the bound on
+// the throughput in tokens a second, or 0 if it is unknown. With header, the column
+// names come first.
 func (r *Report) WriteCSV(w io.Writer, limit float64, header bool) error {
 	c := csv.NewWriter(w)
 	if header {
@@ -196,8 +197,8 @@
 	return strconv.FormatFloat(float64(us)/1000, 'f', 1, 64)
 }
 
-// Bound reads the engines' curves and computes the most tokens a second that
-// they can generate of this experiment's mix.
+// Bound reads the engines' cost curves and computes the maximum number of tokens a
+// second that they can generate with this experiment's mix.
 func (r *Runner) Bound(ctx context.Context) (float64, error) {
 	var engines []bound.Engine
 	for _, address := range r.exp.Engines {
@@ -219,8 +220,8 @@
 	return requests * w.Tokens, err
 }
 
-// meanWork is the average request of the mix. A prompt has two tokens more than
-// it has words: the role's, and the mark after it.
+// meanWork returns the work of the mix's average request. A prompt has one token
+// more than it has words.
 func (r *Runner) meanWork() bound.Work {
 	w := bound.Work{}
 	for _, c := range r.exp.Classes {
--- a/pkg/load/request.go
+++ b/pkg/load/request.go
@@ -16,7 +16,7 @@
 	"github.com/larchwinch/larchwinch/pkg/standin/model"
 )
 
-// request is one request.
+// request is a request to send.
 type request struct {
 	class  Class
 	entry  string
@@ -24,18 +24,18 @@
 	prompt string
 }
 
-// outcome is what came of one request.
+// outcome is the result of one request.
 type outcome struct {
 	class      Class
 	failed     *failure.Error // refused or failed
-	mismatch   string         // not whole, or not its own
+	mismatch   string         // how the answer differs from the reference answer
 	firstToken time.Duration
 	gaps       []time.Duration
 	tokens     int
 	path       string
 }
 
-// send sends a request and reads the whole answer.
+// send sends a request and reads the complete answer.
 func (r *Runner) send(ctx context.Context, a request) outcome {
 	out := outcome{
 		class: a.class,
@@ -83,7 +83,8 @@
 
 const contentPrefix = `"delta":{"content":"`
 
-// readStream reads tokens, and times them.
+// readStream reads a stream of tokens and records their times in out. It returns
+// the text and whether the stream was complete.
 func (r *Runner) readStream(resp *http.Response, began time.Time, out *outcome) (string, bool) {
 	var text strings.Builder
 	last := began
@@ -123,17 +124,18 @@
 	return now
 }
 
-// checkAnswer returns what is wrong with an answer, or nothing.
+// checkAnswer compares an answer with the reference answer. It returns what is
+// wrong, or an empty string.
 func (r *Runner) checkAnswer(a request, text string, done bool) string {
 	if !done {
-		return "not whole: the stream broke off"
+		return "incomplete answer: the stream ended early"
 	}
 	var want strings.Builder
 	for _, t := range model.Reference(r.exp.Layers, uint64(a.seed), model.Tokenize("user: "+a.prompt+"\n"), a.class.Tokens) {
 		want.WriteString(model.Word(t))
 	}
 	if text != want.String() {
-		return "not its own: the text differs"
+		return "wrong answer: the text differs from the reference"
 	}
 	return ""
 }
--- a/pkg/load/runner.go
+++ b/pkg/load/runner.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Run runs the experiment and returns its report. Requests that end in the
-// warm-up aren't counted, nor are those that end after the duration.
+// Run runs the experiment and returns its report. Requests that end during the
+// warm-up or after the duration are not counted.
 func (r *Runner) Run(ctx context.Context) *Report {
 	warmUp := time.Duration(r.exp.WarmUp)
 	length := warmUp + time.Duration(r.exp.Duration)
@@ -68,8 +68,8 @@
 	return r.report
 }
 
-// closedLoopClient is one client of closed mode: it asks, waits for the answer, and
-// asks again.
+// closedLoopClient is one client of closed mode: it sends a request, waits for the
+// answer, and sends the next one.
 func (r *Runner) closedLoopClient(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.sendWithRetries(ctx, r.next())
@@ -90,12 +90,14 @@
 	}
 }
 
-// sendWithRetries asks again after a refusal, when it was told to.
+// sendWithRetries sends a request and retries it as often as the experiment says,
+// each time after the failure's retry-after time. It waits that time after the
+// last failure too.
 func (r *Runner) sendWithRetries(ctx context.Context, a request) {
 	for try := 0; ; try++ {
 		out := r.send(ctx, a)
 		if ctx.Err() != nil {
-			return // cut off by the end of the experiment
+			return // interrupted by the end of the experiment
 		}
 		r.report.add(r.svc.Now(), out)
 		if out.failed == nil || try >= r.exp.Retries {
@@ -110,7 +112,7 @@
 	}
 }
 
-// next draws the next request of the mix.
+// next draws a random request from the mix. Entry hosts are used in rotation.
 func (r *Runner) next() request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -86,7 +86,8 @@
 	Scale float64
 	// ReportLag is how old a reported load may be before it is refreshed.
 	ReportLag time.Duration
-	// ChecksOrders says whether the engine refuses orders from before.
+	// ChecksOrders is whether the engine rejects orders that are not newer than the
+	// newest one accepted.
 	ChecksOrders bool
 	Timer        timer.Service
 	// Client calls the next stage.
--- a/pkg/standin/engine/session.go
+++ b/pkg/standin/engine/session.go
@@ -120,7 +120,7 @@
 			return nil, api.FaultLost
 		}
 		if !e.ledger.ran(s.resets, s.request, have, len(added), rebuild) {
-			return nil, api.FaultLost // the sessions were lost during the pass
+			return nil, api.FaultLost // the engine lost its sessions after this one was opened
 		}
 	}
 	for _, x := range added {
@@ -169,8 +169,9 @@
 	}
 }
 
-// importKV fills an open session that has run nothing yet. It reports whether
-// the session holds at least the positions of kv afterwards.
+// importKV fills an open session that has run nothing yet. It reports whether there
+// is an open session, kv is for this stage's layers, and the session holds at least
+// the positions of kv afterwards.
 func (e *Engine) importKV(kv api.EngineKV) bool {
 	s := e.session(kv.Request)
 	if s == nil || kv.FirstLayer != e.cfg.FirstLayer || kv.EndLayer != e.cfg.EndLayer {
