--- a/_tools/lost/main.go
+++ b/_tools/lost/main.go
@@ -1,6 +1,6 @@
-// Command lost reads reports of days that the users' bench wrote and prints, for
-// each day and in the mean, where worth was lost: the rows add up to one less the
-// worth. Beside it stands the customers' stricter measure.
+// Command lost reads reports of days that the users' benchmark wrote, and prints by
+// cause how much worth was lost in the mean of the days. The rows add up to one minus
+// the worth. It also prints an estimate of the customers' stricter measure.
 //
 // Usage: go run ./lost REPORT...
 package main
@@ -12,18 +12,18 @@
 	"sort"
 )
 
-// report is what the tool needs of a report.
+// report is the part of a report that the tool reads.
 type report struct {
 	Worth  float64           `json:"G"`
 	Mean   float64           `json:"served"` // share of the worth of all requests
 	Parts  []json.RawMessage `json:"parts"`  // name, weight, value
 	Prices []json.RawMessage `json:"prices"` // name, amount, worth
 	All    class             `json:"all"`
-	Ends   map[string]int    `json:"ends"`        // tries by how they ended
-	Last   []json.RawMessage `json:"unserved_by"` // how the last try ended, count
+	Ends   map[string]int    `json:"ends"`        // number of tries by their outcome
+	Last   []json.RawMessage `json:"unserved_by"` // outcome of a request's last try, count
 }
 
-// class is a count of requests.
+// class counts requests by outcome.
 type class struct {
 	Requested int `json:"n"`
 	Late      int `json:"late"`
@@ -32,7 +32,7 @@
 	Excluded  int `json:"not_owed"`
 }
 
-// row is a line of a report's table: a name and numbers, or a name and how many.
+// tableRow is a row of a report's table: a name and one or more numbers.
 type tableRow struct {
 	name    string
 	numbers []float64
@@ -53,7 +53,7 @@
 		}
 	}
 	if r.name == "" || len(r.numbers) == 0 {
-		return nil, fmt.Errorf("not a row: %s", raw)
+		return nil, fmt.Errorf("not a table row with a name and a number: %s", raw)
 	}
 	return r, nil
 }
@@ -64,17 +64,17 @@
 }
 
 const (
-	// What the stricter measure takes off: a refusal that comes back in time
-	// counts as late, one that is refused again as a second refusal, and waiting
-	// to the end unserved as much.
+	// The deductions of the stricter measure: a refused request that is retried in
+	// time counts as late, one that is refused again as a second refusal, and
+	// waiting unserved until the deadline costs as much as a second refusal.
 	refusedLoss         = 0.375
 	repeatedRefusalLoss = 0.3
 	waitedLoss          = 0.3
 )
 
-// strict estimates the customers' measure: worth from a caller's first try only.
-// A report doesn't tell which request a try belongs to; a refusal that wasn't a
-// request's last try is taken to have come back.
+// strict estimates the customers' measure, which counts the worth of a caller's first
+// try only. A report doesn't contain the request that a try belongs to, so a
+// refusal that was not a request's last try is assumed to have been retried.
 func (r *report) strict() (float64, error) {
 	owed := float64(max(1, r.All.Requested-r.All.Excluded))
 	lastRefused := 0.0
@@ -96,7 +96,7 @@
 	return r.Mean - (refusedLoss*(retried-refusedAgain)+repeatedRefusalLoss*refusedAgain+waitedLoss*waited)/owed, nil
 }
 
-// losses returns what was lost by cause; it adds up to one less the worth.
+// losses returns the lost worth by cause. The sum is one minus the worth.
 func (r *report) losses() (map[string]float64, error) {
 	lost := map[string]float64{}
 	for _, raw := range r.Parts {
@@ -121,10 +121,10 @@
 	return lost, nil
 }
 
-// lateLoss is how much of a request's worth is lost if it is late.
+// lateLoss is the share of a request's worth that is lost if it is late.
 const lateLoss = 0.75
 
-// splitDay parts the whole day's loss by how requests ended.
+// splitDay divides the whole day's loss among late, refused and failed requests.
 func (r *report) splitDay(lost map[string]float64, loss float64) {
 	late := lateLoss * float64(r.All.Late)
 	sum := late + float64(r.All.Refused+r.All.Failed)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// least is the smallest loss that has a row of its own.
+// minShownLoss is the smallest loss that is printed in a row of its own.
 const minShownLoss = 0.002
 
 func show(total map[string]float64, worth, strict float64, n int) {
--- a/cmd/larchwinch-control/main.go
+++ b/cmd/larchwinch-control/main.go
@@ -1,4 +1,4 @@
-// Command larchwinch-control holds a replica of the system's own state.
+// Command larchwinch-control runs a replica of larchwinch's own state.
 package main
 
 import (
--- a/cmd/larchwinch-standin/main.go
+++ b/cmd/larchwinch-standin/main.go
@@ -1,4 +1,5 @@
-// Command larchwinch-standin stands in for model engines, plain services and the platform.
+// Command larchwinch-standin runs fakes of model engines, of plain services and of
+// the platform's host list.
 package main
 
 import (
--- a/pkg/cmds/cmdutil/run.go
+++ b/pkg/cmds/cmdutil/run.go
@@ -1,5 +1,5 @@
-// Package cmdutil is what the programs' commands share: exit codes, signals
-// and servers in a run group.
+// Package cmdutil holds what the programs' commands share: exit codes, signal
+// handling and servers in a run group.
 package cmdutil
 
 import (
@@ -19,13 +19,13 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes, as documented in docs/cli.
+// The programs' exit codes.
 const (
 	ExitOK       = 0
 	ExitFailed   = 1 // the work failed
 	ExitUsage    = 2 // the command line or a settings file is wrong
-	ExitRefused  = 3 // the system refused, and would again
-	ExitComeBack = 4 // the system refused for now; try again later
+	ExitRefused  = 3 // the request was rejected, and a retry would be too
+	ExitComeBack = 4 // the request was rejected for now; try again later
 )
 
 // ExitError carries an exit code.
@@ -39,12 +39,12 @@
 	return e.Err.Error()
 }
 
-// Unwrap returns what went wrong.
+// Unwrap returns the underlying error.
 func (e *ExitError) Unwrap() error {
 	return e.Err
 }
 
-// Usage marks err as one of the command line or of settings.
+// Usage marks err as an error in the command line or in a settings file.
 func Usage(err error) error {
 	return &ExitError{
 		Code: ExitUsage,
@@ -52,7 +52,8 @@
 	}
 }
 
-// Main runs a command and returns the exit code.
+// Main runs a command, prints its error to standard error and returns the exit
+// code.
 func Main(cmd *cobra.Command) int {
 	cmd.SilenceErrors = true
 	cmd.SilenceUsage = true
@@ -71,7 +72,7 @@
 	return ExitFailed
 }
 
-// Keys returns the process's keys, or nil if settings name none.
+// Keys loads the process's TLS credentials. It returns nil if the settings name none.
 func Keys(files keys.Files) (*keys.Pair, error) {
 	if !files.Set() {
 		return nil, nil
@@ -86,15 +87,15 @@
 	})
 }
 
-// Listener is one address that a program serves. With keys it speaks mutual
-// TLS.
+// Listener is one address that a program serves. With credentials it uses mutual
+// TLS, without them plain HTTP.
 type Listener struct {
 	Address string
 	Handler http.Handler
 	Keys    *keys.Pair
 }
 
-// AddListeners opens each address, and adds its server to the run group.
+// AddListeners opens each address and adds its server to the run group.
 func AddListeners(g *run.Group, list []Listener) error {
 	for _, l := range list {
 		s, err := netutil.ListenRPC(l.Address, l.Handler, l.Keys)
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// AddSignals ends the run group on SIGINT or SIGTERM, after before has
-// returned or taken longer than timeout.
+// AddSignals ends the run group on SIGINT or SIGTERM. It calls before first, whose
+// context ends after timeout.
 func AddSignals(g *run.Group, timeout time.Duration, before func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
@@ -128,7 +129,7 @@
 	})
 }
 
-// AddLoop adds a function that works until its context ends.
+// AddLoop adds to the run group a function that runs until its context ends.
 func AddLoop(g *run.Group, f func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
--- a/pkg/cmds/controlcmd/control.go
+++ b/pkg/cmds/controlcmd/control.go
@@ -34,7 +34,7 @@
 	o := options{}
 	cmd := &cobra.Command{
 		Use:     "larchwinch-control --config FILE",
-		Short:   "Hold a replica of the system's own state",
+		Short:   "Run a replica of larchwinch's own state",
 		Version: version.String(),
 		Args:    cobra.NoArgs,
 		RunE: func(_ *cobra.Command, _ []string) error {
@@ -51,7 +51,7 @@
 	}
 	cmd.Flags().StringVar(&o.file, "config", "", "settings file (required)")
 	cmd.Flags().BoolVar(&o.check, "check", false, "check the settings, and do nothing else")
-	cmd.Flags().BoolVar(&o.start.NewCluster, "new-cluster", false, "found a cluster of the replicas in the settings, if the data folder is empty")
+	cmd.Flags().BoolVar(&o.start.NewCluster, "new-cluster", false, "bootstrap a cluster of the replicas in the settings, if the data folder is empty")
 	cmd.Flags().BoolVar(&o.start.Join, "join", false, "start with an empty data folder, as a replica that operators have added")
 	_ = cmd.MarkFlagRequired("config") // the flag exists
 	return cmd
--- a/pkg/cmds/fleetcmd/fleet.go
+++ b/pkg/cmds/fleetcmd/fleet.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	// gcPercent lets the heap grow to four times what is live: live heaps are
-	// a few MB, and the collector's work is processor time.
+	// gcPercent lets the heap grow to four times the live heap before a
+	// collection. Live heaps are a few MB, so this saves CPU for little memory.
 	gcPercent = 300
-	// memoryLimitRatio of the host's memory makes the collector work harder.
+	// memoryLimitRatio is the share of the host's memory that is set as the Go
+	// runtime's soft memory limit.
 	memoryLimitRatio = 0.4
-	// maxLogLines is the budget of lines a second: a host serves 7 requests a
-	// second on the users' deployments, and thrice that in a burst.
+	// maxLogLines is the maximum number of log lines a second.
 	maxLogLines = 200
-	// metrics ports, as deploy/system.toml names them.
+	// The metrics ports are the same as in deploy/system.toml.
 	entryMetricsPort   = "9190"
 	controlMetricsPort = "9191"
 )
@@ -70,12 +70,12 @@
 			return serve(cfg, file)
 		},
 	}
-	cmd.Flags().StringVar(&file, "config", "", "settings file; without it, the one that the platform names")
+	cmd.Flags().StringVar(&file, "config", "", "settings file; by default, the one that the platform names")
 	cmd.Flags().BoolVar(&check, "check", false, "check the settings, and do nothing else")
 	return cmd
 }
 
-// process is what both roles need.
+// process holds what both roles need.
 type process struct {
 	cfg    atomic.Pointer[config.Fleet]
 	file   string
@@ -83,7 +83,7 @@
 	svc    timer.Service
 	log    *eventlog.Log
 	set    *metrics.Set
-	client *http.Client // to the system's own processes
+	client *http.Client // for calls to larchwinch's own processes
 	group  *group.Group
 }
 
@@ -108,11 +108,11 @@
 const (
 	rpcDialTimeout = 400 * time.Millisecond
 	rpcIdleTimeout = 30 * time.Second
-	// rpcIdleConns is how many connections to one control host are kept.
+	// rpcIdleConns is the maximum number of idle connections to one control host.
 	rpcIdleConns = 8
 )
 
-// rpcClient returns the client for the system's own processes.
+// rpcClient returns the client for calls to larchwinch's own processes.
 func rpcClient(ip string) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -125,17 +125,19 @@
 	}
 }
 
-// endpointDialTimeout bounds how long making a connection may take: an endpoint that
-// takes connections answers in a few ms, and a caller's goal is half a second.
+// endpointDialTimeout limits how long connecting to an endpoint may take. An
+// endpoint that accepts connections does so in a few ms, and callers expect a
+// response within half a second.
 const endpointDialTimeout = 400 * time.Millisecond
 
 const (
-	// endpointIdleTimeout is how long a connection to an endpoint is kept at rest. Endpoints
-	// close theirs after several seconds, and may forget one sooner.
+	// endpointIdleTimeout is how long an idle connection to an endpoint is kept.
+	// Endpoints close idle connections after several seconds, and may drop them
+	// sooner.
 	endpointIdleTimeout = 3 * time.Second
-	// streamIdleConns and keptReports bound the connections that rest for each
-	// endpoint: the streams that a host of nine begins there in a second, and one
-	// for the question that is under way.
+	// streamIdleConns and reportIdleConns limit the idle connections to each
+	// endpoint: as many as the streams that one of nine hosts begins there in a
+	// second, and one for the status query, of which one is in progress at a time.
 	streamIdleConns = 16
 	reportIdleConns = 1
 )
@@ -149,8 +151,9 @@
 	}
 }
 
-// endpointClient returns a client that keeps so many connections at rest for each
-// endpoint. A new one costs the endpoint a millisecond.
+// endpointClient returns a client that keeps at most idleConns idle connections to
+// each endpoint; with 0, every request makes a connection. A new connection costs
+// the endpoint about a millisecond.
 func endpointClient(ip string, idleConns int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -168,7 +171,8 @@
 	return http.ErrUseLastResponse
 }
 
-// start logs the start, and writes the log until the group ends.
+// start starts the log's writer, which runs until the group stops, and logs the
+// process's start.
 func (p *process) start() {
 	p.group.Go(p.log.Run)
 	cfg := p.cfg.Load()
@@ -176,13 +180,13 @@
 		eventlog.Str("domain", cfg.Domain), eventlog.Str("ip", cfg.IP))
 }
 
-// stop logs the end and waits for the log.
+// stop logs the process's end and waits until the log is written.
 func (p *process) stop() {
 	p.log.Event(eventlog.Stopped, eventlog.Str("role", p.role), eventlog.Int("lines_left_out", p.log.Dropped()))
 	p.group.Stop()
 }
 
-// server is an HTTP server of one of the process's addresses.
+// server is an address of the process and the HTTP handler that serves it.
 type server struct {
 	address string
 	handler http.Handler
@@ -190,7 +194,8 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// serverIdleTimeout is over four times the users' limit for a connection at rest.
+	// serverIdleTimeout is more than four times the users' limit for how long a
+	// connection is kept idle.
 	serverIdleTimeout = 65 * time.Second
 	maxHeaderBytes    = 64 << 10
 )
--- a/pkg/cmds/fleetcmd/run.go
+++ b/pkg/cmds/fleetcmd/run.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	// reloadInterval is how often the settings file is read: it may change
-	// without a signal.
+	// reloadInterval is how often the settings file is read again, since it may
+	// change without a signal.
 	reloadInterval = 2 * time.Second
-	// directoryMaxAge is how long callers are told to keep an answer; shorter
-	// answers cost processor time, longer ones keep callers at hosts that left.
+	// directoryMaxAge is how long callers may cache an answer of the directory. A
+	// shorter time costs CPU, a longer one keeps callers at hosts that have left.
 	directoryMaxAge  = 2 * time.Second
 	controlDrainTime = 300 * time.Millisecond
 )
@@ -60,7 +60,7 @@
 		{address: net.JoinHostPort(cfg.IP, cfg.ControlPort()), handler: fleetcontrol.Forwarded(s.RPC())},
 		{address: net.JoinHostPort(cfg.IP, controlMetricsPort), handler: p.set.Handler()},
 	}, s.Run, func(ctx context.Context) {
-		_ = timer.Sleep(ctx, p.svc, controlDrainTime) // calls under way get their answers
+		_ = timer.Sleep(ctx, p.svc, controlDrainTime) // calls in progress get their answers
 	}, controlDrainTime)
 }
 
@@ -101,7 +101,8 @@
 	}, host.Drain, grace)
 }
 
-// run serves until a signal ends it: drain returns once nothing is under way.
+// run serves until a signal arrives. It then calls drain, which returns once no
+// request is in flight, and waits for it at most for grace.
 func (p *process) run(servers []server, work func(ctx context.Context) error, drain func(ctx context.Context), grace time.Duration) error {
 	g := &run.Group{}
 	for _, s := range servers {
@@ -112,7 +113,7 @@
 		g.Add(func() error {
 			return ignoreClosed(srv.Serve(l))
 		}, func(error) {
-			_ = srv.Close() // the process ends
+			_ = srv.Close() // the process is about to exit
 		})
 	}
 	p.start()
@@ -130,15 +131,15 @@
 	return err
 }
 
-// watchSettings reads the settings file again at a hang-up signal, and now and
-// then.
+// watchSettings reloads the settings file on SIGHUP, and when a check at every
+// reloadInterval finds that it has changed.
 func (p *process) watchSettings(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	ticks := p.svc.Every(reloadInterval)
 	defer ticks.Stop()
-	last, _ := os.ReadFile(p.file) // read with success at the start
+	last, _ := os.ReadFile(p.file) // it was readable when the process started
 	for {
 		signalled := false
 		select {
@@ -161,7 +162,8 @@
 	}
 }
 
-// reload takes over new seeds; everything else stands until the next start.
+// reload applies the seeds from the settings file. Other changed settings take
+// effect only when the process restarts.
 func (p *process) reload() {
 	next, err := config.ReadFleet(p.file)
 	if err != nil {
--- a/pkg/cmds/loadcmd/fit.go
+++ b/pkg/cmds/loadcmd/fit.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fitCommand fits a straight line through two columns of a report, and says
-// what it gives at a size that was not measured.
+// fitCommand returns a command that fits a straight line through two columns of a
+// CSV file and prints the line's value at a size that was not measured.
 func fitCommand(out io.Writer) *cobra.Command {
 	var at float64
 	cmd := &cobra.Command{
@@ -33,7 +33,7 @@
 			return err
 		},
 	}
-	cmd.Flags().Float64Var(&at, "at", 0, "size to work out")
+	cmd.Flags().Float64Var(&at, "at", 0, "size at which to evaluate the line")
 	return cmd
 }
 
@@ -45,7 +45,7 @@
 	defer func() { _ = f.Close() }()
 	rows, err := csv.NewReader(f).ReadAll()
 	if err != nil || len(rows) < 2 {
-		return nil, nil, errors.Errorf("%s: no table: %v", file, err)
+		return nil, nil, errors.Errorf("%s: no CSV table with a header and at least one row: %v", file, err)
 	}
 	columnX, columnY := indexOf(rows[0], nameX), indexOf(rows[0], nameY)
 	if columnX < 0 || columnY < 0 {
@@ -55,7 +55,7 @@
 		vx, errX := strconv.ParseFloat(row[columnX], 64)
 		vy, errY := strconv.ParseFloat(row[columnY], 64)
 		if errX != nil || errY != nil {
-			return nil, nil, errors.Errorf("%s: %v holds no numbers there", file, row)
+			return nil, nil, errors.Errorf("%s: row %v has no numbers in the chosen columns", file, row)
 		}
 		x = append(x, vx)
 		y = append(y, vy)
--- a/pkg/cmds/loadcmd/load.go
+++ b/pkg/cmds/loadcmd/load.go
@@ -22,7 +22,7 @@
 	svg  string
 }
 
-// New returns the command; what it prints goes to out.
+// New returns the command, which prints to out.
 func New(out io.Writer) *cobra.Command {
 	o := options{}
 	cmd := &cobra.Command{
@@ -36,8 +36,8 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&o.file, "experiment", "", "TOML file with the experiment (required)")
-	f.StringVar(&o.name, "name", "", "name in the report, in place of the file's")
-	f.StringVar(&o.csv, "csv", "", "file to add the figures to")
+	f.StringVar(&o.name, "name", "", "name in the report, in place of the experiment's own")
+	f.StringVar(&o.csv, "csv", "", "file to append the figures to")
 	f.StringVar(&o.svg, "svg", "", "file for a plot")
 	_ = cmd.MarkFlagRequired("experiment") // the flag exists
 	cmd.AddCommand(fitCommand(out))
--- a/pkg/cmds/opcmd/ask.go
+++ b/pkg/cmds/opcmd/ask.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 )
 
-// askRequest is what the ask command sends.
+// askRequest is the request that the ask command sends.
 type askRequest struct {
 	entries     []string
 	pipeline    string
@@ -36,7 +36,7 @@
 	q := askRequest{}
 	cmd := &cobra.Command{
 		Use:   "ask TEXT",
-		Short: "Send a caller's request and print the answer as it comes",
+		Short: "Send a caller's request and print the answer as it arrives",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q.text = args[0]
@@ -49,15 +49,15 @@
 	f := cmd.Flags()
 	f.StringSliceVar(&q.entries, "entry", nil, "caller addresses of entry hosts (required)")
 	f.StringVar(&q.pipeline, "pipeline", "", "pipeline to ask (required)")
-	f.IntVar(&q.tokens, "max-tokens", 0, "tokens at most; 0 for the pipeline's own limit")
+	f.IntVar(&q.tokens, "max-tokens", 0, "maximum number of tokens; 0 for the pipeline's own limit")
 	f.Int64Var(&q.seed, "seed", 0, "seed; 0 draws one")
 	f.StringVar(&q.key, "idempotency-key", "", "key of a request that must not be repeated")
 	_ = cmd.MarkFlagRequired("pipeline") // the flag exists
 	return cmd
 }
 
-// ask tries the entry hosts in turn. A stream that breaks is gone on with at
-// the next one, from the last event that came.
+// ask tries the entry hosts one after the other. A stream that breaks is resumed
+// at the next one, after the last event that was received.
 func (o *options) ask(ctx context.Context, q *askRequest) error {
 	var last error
 	for i := range maxAskAttempts * len(q.entries) {
@@ -77,7 +77,8 @@
 	return withExitCode(last)
 }
 
-// askOne asks one entry host; done is true if asking again makes no sense.
+// askOne sends the request to one entry host; done is true if it must not or need
+// not be retried.
 func (o *options) askOne(ctx context.Context, entry string, q *askRequest) (done bool, err error) {
 	resp, err := sendAskRequest(ctx, entry, o.key, q)
 	if err != nil {
@@ -128,7 +129,7 @@
 func (o *options) printAnswer(resp *http.Response) error {
 	out := api.ChatCompletion{}
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return errors.Wrap(err, "decode answer")
+		return errors.Wrap(err, "decode response")
 	}
 	for _, c := range out.Choices {
 		if c.Message != nil {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// printStream prints tokens as they come.
+// printStream prints tokens as they arrive, and records the last event's ID in q.
 func (o *options) printStream(resp *http.Response, q *askRequest) (bool, error) {
 	sc := bufio.NewScanner(resp.Body)
 	for sc.Scan() {
@@ -157,7 +158,7 @@
 			}
 		}
 	}
-	return q.key != "", errors.New("the stream broke off")
+	return q.key != "", errors.New("the stream ended before the answer was complete")
 }
 
 func (o *options) printChunk(data string) error {
--- a/pkg/cmds/opcmd/bundle.go
+++ b/pkg/cmds/opcmd/bundle.go
@@ -21,7 +21,7 @@
 func (o *options) bundleCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "bundle",
-		Short: "Write, check, sign and submit bundles, and see what stands",
+		Short: "Write, check, sign and submit bundles, and show the active ones",
 	}
 	cmd.AddCommand(o.bundleInit(), o.bundleCheck(), o.bundleSign(), o.bundleSubmit(), o.bundleShow(), o.bundleHistory(), o.bundleDiff())
 	return cmd
@@ -145,7 +145,8 @@
 	return list, nil
 }
 
-// addSignature puts the signature in the place of an older one of the signer.
+// addSignature adds a signature to the bundle's signature file, in place of an
+// older one by the same signer.
 func addSignature(file string, sig api.Signature) error {
 	old, err := readSignatures(file)
 	if err != nil {
@@ -212,7 +213,7 @@
 	return t
 }
 
-// fetchVersion reads one version with its text.
+// fetchVersion fetches one version of a bundle, including its text.
 func (o *options) fetchVersion(cmd *cobra.Command, name, version string) (api.BundleVersion, error) {
 	v := api.BundleVersion{}
 	c, err := o.client()
@@ -225,7 +226,7 @@
 func (o *options) bundleShow() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [NAME [VERSION]]",
-		Short: "List the bundles in force, or print one's text",
+		Short: "List the active bundles, or print one's text",
 		Args:  cobra.MaximumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
--- a/pkg/cmds/opcmd/explain.go
+++ b/pkg/cmds/opcmd/explain.go
@@ -15,7 +15,7 @@
 func (o *options) explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ID [FILE...]",
-		Short: "Tell what became of a request, from log lines in files or on standard input",
+		Short: "Explain what happened to a request, from log lines in files or on standard input",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lines, err := readLogs(cmd.InOrStdin(), args[1:])
@@ -26,7 +26,7 @@
 			if len(found) == 0 {
 				return &cmdutil.ExitError{
 					Code: cmdutil.ExitRefused,
-					Err:  errors.Errorf("no line of %d names request %q", len(lines), args[0]),
+					Err:  errors.Errorf("none of %d log lines mentions request %q", len(lines), args[0]),
 				}
 			}
 			return o.showStory(found)
@@ -34,7 +34,7 @@
 	}
 }
 
-// readLogs reads the named files, or in if there are none.
+// readLogs reads the named files, or in if no file is named.
 func readLogs(in io.Reader, files []string) ([]story.Line, error) {
 	if len(files) == 0 {
 		return story.Read(in)
--- a/pkg/cmds/opcmd/op.go
+++ b/pkg/cmds/opcmd/op.go
@@ -1,5 +1,5 @@
-// Package opcmd is the operators' command line, a client of the
-// administration API with no other way in.
+// Package opcmd is the operators' command line. It does everything through the
+// administration API.
 package opcmd
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/spf13/cobra"
 )
 
-// options are what every command needs.
+// options holds the flags and the output that all commands share.
 type options struct {
 	admin  []string
 	key    string
@@ -33,14 +33,14 @@
 	outputJSON    = "json"
 )
 
-// New returns the command; what it prints goes to out.
+// New returns the command, which prints to out.
 func New(out io.Writer) *cobra.Command {
 	o := &options{
 		out: out,
 	}
 	cmd := &cobra.Command{
 		Use:   "larchwinch",
-		Short: "Declare what larchwinch serves, and see how it does",
+		Short: "Declare what larchwinch serves, and show its status",
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if o.output != outputTable && o.output != outputJSON {
 				return cmdutil.Usage(errors.Errorf("--output: %q; allowed: table, json", o.output))
@@ -75,7 +75,7 @@
 	return opclient.New(o.admin, o.key), nil
 }
 
-// withExitCode gives a failure of the API its exit code.
+// withExitCode adds the exit code to a failure that the API returned.
 func withExitCode(err error) error {
 	var f *failure.Error
 	if !errors.As(err, &f) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// table is what a command prints to a person.
+// table is a command's output in table form.
 type table struct {
 	header []string
 	rows   [][]string
--- a/pkg/cmds/opcmd/status.go
+++ b/pkg/cmds/opcmd/status.go
@@ -15,11 +15,11 @@
 func (o *options) rolloutCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "rollout",
-		Short: "See how far the newest bundles have come",
+		Short: "Show the progress of the newest bundles' rollout",
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "status",
-		Short: "Show, by failure domain, how many hosts have the newest revision in force",
+		Short: "Show, by failure domain, on how many hosts the newest revision is active",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := o.client()
@@ -47,7 +47,7 @@
 	return t
 }
 
-// status is everything that the status command shows.
+// status is what the status command shows.
 type status struct {
 	Replicas  api.Replicas       `json:"replicas"`
 	Rollout   api.Rollout        `json:"rollout"`
@@ -158,7 +158,7 @@
 	return cmd
 }
 
-// replicaChange is a command that changes one replica, and shows all.
+// replicaChange returns a command that changes one replica and then shows all.
 func (o *options) replicaChange(use, short string, change func(cmd *cobra.Command, c *opclient.Client, path string, out *api.Replicas) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -198,7 +198,7 @@
 
 func newKey() string {
 	b := make([]byte, 24)
-	_, _ = rand.Read(b) // it never fails
+	_, _ = rand.Read(b) // crypto/rand.Read never returns an error
 	return "lw_" + hex.EncodeToString(b)
 }
 
--- a/pkg/cmds/standincmd/fault.go
+++ b/pkg/cmds/standincmd/fault.go
@@ -21,7 +21,7 @@
 	var freeze time.Duration
 	cmd := &cobra.Command{
 		Use:   "fault ADDRESS",
-		Short: "Ask an engine to fail; without flags, to end every fault",
+		Short: "Inject faults into an engine; without flags, end every fault",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f.FreezeMS = int(freeze.Milliseconds())
@@ -29,8 +29,8 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&f.DieAfter, "die-after", 0, "end the process after so many passes")
-	flags.DurationVar(&freeze, "freeze", 0, "stop for so long")
+	flags.IntVar(&f.DieAfter, "die-after", 0, "end the process after this number of passes")
+	flags.DurationVar(&freeze, "freeze", 0, "stop all passes for this time")
 	flags.Float64Var(&f.Slow, "slow", 0, "multiply the time of each pass")
 	flags.BoolVar(&f.Duplicate, "duplicate", false, "emit every event twice")
 	flags.BoolVar(&f.Reorder, "reorder", false, "swap pairs of events")
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// call returns an answer of status 200; its body must be closed.
+// call sends a request and returns its response, which has status 200 and whose
+// body the caller must close.
 func call(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/pkg/cmds/standincmd/standin.go
+++ b/pkg/cmds/standincmd/standin.go
@@ -1,5 +1,5 @@
-// Package standincmd is the command line of larchwinch-standin: stand-ins for
-// what larchwinch serves and is served by.
+// Package standincmd is the command line of larchwinch-standin, which runs fakes
+// of model engines, of plain services and of the platform's host list.
 package standincmd
 
 import (
@@ -30,7 +30,7 @@
 func New() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     "larchwinch-standin",
-		Short:   "Stand in for model engines, plain services and the platform",
+		Short:   "Run a fake model engine, plain service or host list of the platform",
 		Version: version.String(),
 	}
 	cmd.AddCommand(engineCommand(), serviceCommand(), hostListCommand(), faultCommand(), sessionsCommand())
@@ -41,7 +41,7 @@
 	cfg := engine.Config{}
 	cmd := &cobra.Command{
 		Use:   "engine",
-		Short: "Stand in for a model engine that holds a range of layers",
+		Short: "Run a fake model engine that holds a range of layers",
 		Args:  cobra.NoArgs,
 		RunE: func(_ *cobra.Command, _ []string) error {
 			return serveEngine(cfg)
@@ -54,11 +54,11 @@
 	f.IntVar(&cfg.FirstLayer, "first-layer", 0, "first layer held")
 	f.IntVar(&cfg.EndLayer, "end-layer", 0, "one past the last layer held (required)")
 	f.StringVar(&cfg.Accelerator, "accelerator", "medium", "kind of accelerator: "+strings.Join(engine.Accelerators(), ", "))
-	f.IntVar(&cfg.Slots, "slots", 0, "sessions that may be open at once; 0 for the default")
-	f.IntVar(&cfg.Batch, "batch", 0, "sequences in one pass at most; 0 for the default")
+	f.IntVar(&cfg.Slots, "slots", 0, "maximum number of open sessions; 0 for the default")
+	f.IntVar(&cfg.Batch, "batch", 0, "maximum number of sequences in one pass; 0 for the default")
 	f.DurationVar(&cfg.ReportLag, "report-lag", time.Second, "by how much load reports lag")
-	f.Float64Var(&cfg.Scale, "scale", 1, "multiply the time of each pass, to fit many engines on one machine")
-	f.BoolVar(&cfg.ChecksOrders, "checks-orders", true, "refuse orders older than the newest")
+	f.Float64Var(&cfg.Scale, "scale", 1, "multiply the time of each pass, to run many engines on one computer")
+	f.BoolVar(&cfg.ChecksOrders, "checks-orders", true, "reject orders that are not newer than the newest one accepted")
 	for _, name := range []string{"address", "model", "end-layer"} {
 		_ = cmd.MarkFlagRequired(name) // the flag exists
 	}
@@ -67,7 +67,7 @@
 
 func serveEngine(cfg engine.Config) error {
 	if _, ok := engine.CurveOf(cfg.Accelerator); !ok {
-		return cmdutil.Usage(errors.Errorf("--accelerator: %q is no kind; allowed: %s", cfg.Accelerator, strings.Join(engine.Accelerators(), ", ")))
+		return cmdutil.Usage(errors.Errorf("--accelerator: unknown kind %q; allowed: %s", cfg.Accelerator, strings.Join(engine.Accelerators(), ", ")))
 	}
 	if cfg.FirstLayer < 0 || cfg.EndLayer <= cfg.FirstLayer {
 		return cmdutil.Usage(errors.Errorf("--first-layer %d and --end-layer %d: the range is empty", cfg.FirstLayer, cfg.EndLayer))
@@ -91,7 +91,7 @@
 	var address, name string
 	cmd := &cobra.Command{
 		Use:   "service",
-		Short: "Stand in for a plain service that counts how often each call ran",
+		Short: "Run a fake plain service that counts how often each call ran",
 		Args:  cobra.NoArgs,
 		RunE: func(_ *cobra.Command, _ []string) error {
 			s := service.New(name, uint64(time.Now().UnixNano()), timer.NewSystem())
@@ -111,7 +111,7 @@
 	var lag time.Duration
 	cmd := &cobra.Command{
 		Use:   "host-list",
-		Short: "Stand in for the platform's lagging list of hosts",
+		Short: "Run a fake of the platform's host list, which lags",
 		Args:  cobra.NoArgs,
 		RunE: func(_ *cobra.Command, _ []string) error {
 			list, err := readList(file)
@@ -150,7 +150,7 @@
 	var g run.Group
 	cmdutil.AddServer(&g, s)
 	cmdutil.AddSignals(&g, time.Second, func(ctx context.Context) {
-		_ = s.Shutdown(ctx) // what is left is cut
+		_ = s.Shutdown(ctx) // open connections are closed when the process ends
 	})
 	return g.Run()
 }
