--- a/pkg/cmds/fleetcmd/fleet.go
+++ b/pkg/cmds/fleetcmd/fleet.go
@@ -43,8 +43,8 @@
 		Short:   "Run a host of a deployment whose endpoints announce themselves",
 		Version: version.String(),
 	}
-	cmd.AddCommand(roleCommand("control", "Hold a replica of the deployment's state, and place layers", serveControl))
-	cmd.AddCommand(roleCommand("entry", "Carry callers' requests", serveEntry))
+	cmd.AddCommand(roleCommand("control", "Run a replica of the deployment's state, and place layers", serveControl))
+	cmd.AddCommand(roleCommand("entry", "Forward callers' requests to endpoints", serveEntry))
 	return cmd
 }
 
--- a/pkg/cmds/opcmd/op.go
+++ b/pkg/cmds/opcmd/op.go
@@ -1,5 +1,5 @@
-// Package opcmd is the operators' command line. It does everything through the
-// administration API.
+// Package opcmd is the operators' command line. It has no access to the control
+// hosts other than the administration API.
 package opcmd
 
 import (
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -115,7 +115,7 @@
 const (
 	defaultSlots = 4096
 	defaultBatch = 256
-	// orphanTimeout is after how long without a call a session is dropped.
+	// orphanTimeout is how long a session may go unused before it is dropped.
 	orphanTimeout = 60 * time.Second
 	sweepInterval = 5 * time.Second
 )
