--- a/_tools/lost/main.go
+++ b/_tools/lost/main.go
@@ -1,6 +1,6 @@
-// Command lost reads reports of days that the users' bench wrote and prints, for
-// each day and in the mean, where worth was lost: the rows add up to one less the
-// worth. Beside it stands the customers' stricter measure.
+// Command lost reads reports of days that the users' benchmark wrote, and prints by
+// cause how much worth was lost in the mean of the days. The rows add up to one minus
+// the worth. It also prints an estimate of the customers' stricter measure.
 //
 // Usage: go run ./lost REPORT...
 package main
@@ -12,38 +12,38 @@
 	"sort"
 )
 
-// report is what the tool needs of a report.
+// report is the part of a report that the tool reads.
 type report struct {
 	Worth  float64           `json:"G"`
 	Mean   float64           `json:"served"` // share of the worth of all requests
 	Parts  []json.RawMessage `json:"parts"`  // name, weight, value
 	Prices []json.RawMessage `json:"prices"` // name, amount, worth
 	All    class             `json:"all"`
-	Ends   map[string]int    `json:"ends"`        // tries by how they ended
-	Last   []json.RawMessage `json:"unserved_by"` // how the last try ended, count
+	Ends   map[string]int    `json:"ends"`        // number of tries by their outcome
+	Last   []json.RawMessage `json:"unserved_by"` // outcome of a request's last try, count
 }
 
-// class is a count of requests.
+// class counts requests by outcome.
 type class struct {
-	Asked   int `json:"n"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	NotOwed int `json:"not_owed"`
+	Requested int `json:"n"`
+	Late      int `json:"late"`
+	Refused   int `json:"refused"`
+	Failed    int `json:"failed"`
+	Excluded  int `json:"not_owed"`
 }
 
-// row is a line of a report's table: a name and numbers, or a name and how many.
-type row struct {
+// tableRow is a row of a report's table: a name and one or more numbers.
+type tableRow struct {
 	name    string
 	numbers []float64
 }
 
-func readRow(raw json.RawMessage) (*row, error) {
+func readTableRow(raw json.RawMessage) (*tableRow, error) {
 	fields := []any{}
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return nil, err
 	}
-	r := &row{}
+	r := &tableRow{}
 	for _, f := range fields {
 		switch v := f.(type) {
 		case string:
@@ -53,34 +53,34 @@
 		}
 	}
 	if r.name == "" || len(r.numbers) == 0 {
-		return nil, fmt.Errorf("not a row: %s", raw)
+		return nil, fmt.Errorf("not a table row with a name and a number: %s", raw)
 	}
 	return r, nil
 }
 
 // last returns the row's last number.
-func (r *row) last() float64 {
+func (r *tableRow) last() float64 {
 	return r.numbers[len(r.numbers)-1]
 }
 
 const (
-	// What the stricter measure takes off: a refusal that comes back in time
-	// counts as late, one that is refused again as a second refusal, and waiting
-	// to the end unserved as much.
-	refusedLoss = 0.375
-	againLoss   = 0.3
-	waitLoss    = 0.3
+	// The deductions of the stricter measure: a refused request that is retried in
+	// time counts as late, one that is refused again as a second refusal, and
+	// waiting unserved until the deadline costs as much as a second refusal.
+	refusedLoss         = 0.375
+	repeatedRefusalLoss = 0.3
+	waitedLoss          = 0.3
 )
 
-// strict estimates the customers' measure: worth from a caller's first try only.
-// A report doesn't tell which request a try belongs to; a refusal that wasn't a
-// request's last try is taken to have come back.
+// strict estimates the customers' measure, which counts the worth of a caller's first
+// try only. A report doesn't contain the request that a try belongs to, so a
+// refusal that was not a request's last try is assumed to have been retried.
 func (r *report) strict() (float64, error) {
-	owed := float64(max(1, r.All.Asked-r.All.NotOwed))
+	owed := float64(max(1, r.All.Requested-r.All.Excluded))
 	lastRefused := 0.0
 	waited := 0.0
 	for _, raw := range r.Last {
-		t, err := readRow(raw)
+		t, err := readTableRow(raw)
 		if err != nil {
 			return 0, err
 		}
@@ -91,16 +91,16 @@
 			waited = t.last()
 		}
 	}
-	cameBack := max(0, float64(r.Ends["503"])-lastRefused)
-	again := min(cameBack, lastRefused)
-	return r.Mean - (refusedLoss*(cameBack-again)+againLoss*again+waitLoss*waited)/owed, nil
+	retried := max(0, float64(r.Ends["503"])-lastRefused)
+	refusedAgain := min(retried, lastRefused)
+	return r.Mean - (refusedLoss*(retried-refusedAgain)+repeatedRefusalLoss*refusedAgain+waitedLoss*waited)/owed, nil
 }
 
-// losses returns what was lost by cause; it adds up to one less the worth.
+// losses returns the lost worth by cause. The sum is one minus the worth.
 func (r *report) losses() (map[string]float64, error) {
 	lost := map[string]float64{}
 	for _, raw := range r.Parts {
-		t, err := readRow(raw)
+		t, err := readTableRow(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -112,7 +112,7 @@
 		lost[t.name] += loss
 	}
 	for _, raw := range r.Prices {
-		t, err := readRow(raw)
+		t, err := readTableRow(raw)
 		if err != nil {
 			return nil, err
 		}
@@ -121,12 +121,12 @@
 	return lost, nil
 }
 
-// lateShare is how much of a request's worth is lost if it is late.
-const lateShare = 0.75
+// lateLoss is the share of a request's worth that is lost if it is late.
+const lateLoss = 0.75
 
-// splitDay parts the whole day's loss by how requests ended.
+// splitDay divides the whole day's loss among late, refused and failed requests.
 func (r *report) splitDay(lost map[string]float64, loss float64) {
-	late := lateShare * float64(r.All.Late)
+	late := lateLoss * float64(r.All.Late)
 	sum := late + float64(r.All.Refused+r.All.Failed)
 	if sum == 0 {
 		lost["whole day: other"] += loss
@@ -175,25 +175,25 @@
 	return nil
 }
 
-// least is the smallest loss that has a row of its own.
-const least = 0.002
+// minShownLoss is the smallest loss that is printed in a row of its own.
+const minShownLoss = 0.002
 
 func show(total map[string]float64, worth, strict float64, n int) {
 	names := []string{}
-	rest := 0.0
+	other := 0.0
 	for name, v := range total {
-		if v < least {
-			rest += v
+		if v < minShownLoss {
+			other += v
 			continue
 		}
 		names = append(names, name)
 	}
 	sort.Slice(names, func(i, j int) bool { return total[names[i]] > total[names[j]] })
 	fmt.Printf("%d days: worth %.3f, credit by the stricter measure %.3f\n\n| lost | worth |\n|---|---|\n", n, worth, strict)
-	sum := rest
+	sum := other
 	for _, name := range names {
 		fmt.Printf("| %s | %.3f |\n", name, total[name])
 		sum += total[name]
 	}
-	fmt.Printf("| all else | %.3f |\n| sum | %.3f |\n", rest, sum)
+	fmt.Printf("| all else | %.3f |\n| sum | %.3f |\n", other, sum)
 }
--- a/pkg/cmds/loadcmd/load.go
+++ b/pkg/cmds/loadcmd/load.go
@@ -22,7 +22,7 @@
 	svg  string
 }
 
-// New returns the command; what it prints goes to out.
+// New returns the command, which prints to out.
 func New(out io.Writer) *cobra.Command {
 	o := options{}
 	cmd := &cobra.Command{
@@ -36,8 +36,8 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&o.file, "experiment", "", "TOML file with the experiment (required)")
-	f.StringVar(&o.name, "name", "", "name in the report, in place of the file's")
-	f.StringVar(&o.csv, "csv", "", "file to add the figures to")
+	f.StringVar(&o.name, "name", "", "name in the report, in place of the experiment's own")
+	f.StringVar(&o.csv, "csv", "", "file to append the figures to")
 	f.StringVar(&o.svg, "svg", "", "file for a plot")
 	_ = cmd.MarkFlagRequired("experiment") // the flag exists
 	cmd.AddCommand(fitCommand(out))
@@ -63,7 +63,7 @@
 	if err := report.WriteCSV(out, limit, true); err != nil {
 		return err
 	}
-	if err := o.files(report, limit); err != nil {
+	if err := o.writeFiles(report, limit); err != nil {
 		return err
 	}
 	if n, some := report.Wrong(); n > 0 {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (o options) files(report *load.Report, limit float64) error {
+func (o options) writeFiles(report *load.Report, limit float64) error {
 	if o.svg != "" {
 		if err := report.Plot(o.svg); err != nil {
 			return err
--- a/pkg/cmds/opcmd/ask.go
+++ b/pkg/cmds/opcmd/ask.go
@@ -19,24 +19,24 @@
 	"github.com/spf13/cobra"
 )
 
-// question is what the ask command sends.
-type question struct {
-	entries  []string
-	pipeline string
-	tokens   int
-	seed     int64
-	key      string
-	lastID   string
-	text     string
+// askRequest is the request that the ask command sends.
+type askRequest struct {
+	entries     []string
+	pipeline    string
+	tokens      int
+	seed        int64
+	key         string
+	lastEventID string
+	text        string
 }
 
-const askTries = 5
+const maxAskAttempts = 5
 
 func (o *options) askCommand() *cobra.Command {
-	q := question{}
+	q := askRequest{}
 	cmd := &cobra.Command{
 		Use:   "ask TEXT",
-		Short: "Send a caller's request and print the answer as it comes",
+		Short: "Send a caller's request and print the answer as it arrives",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			q.text = args[0]
@@ -49,21 +49,21 @@
 	f := cmd.Flags()
 	f.StringSliceVar(&q.entries, "entry", nil, "caller addresses of entry hosts (required)")
 	f.StringVar(&q.pipeline, "pipeline", "", "pipeline to ask (required)")
-	f.IntVar(&q.tokens, "max-tokens", 0, "tokens at most; 0 for the pipeline's own limit")
+	f.IntVar(&q.tokens, "max-tokens", 0, "maximum number of tokens; 0 for the pipeline's own limit")
 	f.Int64Var(&q.seed, "seed", 0, "seed; 0 draws one")
 	f.StringVar(&q.key, "idempotency-key", "", "key of a request that must not be repeated")
 	_ = cmd.MarkFlagRequired("pipeline") // the flag exists
 	return cmd
 }
 
-// ask tries the entry hosts in turn. A stream that breaks is gone on with at
-// the next one, from the last event that came.
-func (o *options) ask(ctx context.Context, q *question) error {
+// ask tries the entry hosts one after the other. A stream that breaks is resumed
+// at the next one, after the last event that was received.
+func (o *options) ask(ctx context.Context, q *askRequest) error {
 	var last error
-	for i := range askTries * len(q.entries) {
+	for i := range maxAskAttempts * len(q.entries) {
 		done, err := o.askOne(ctx, q.entries[i%len(q.entries)], q)
 		if done || err == nil {
-			return exit(err)
+			return withExitCode(err)
 		}
 		last = err
 		wait := failure.From(err).RetryAfter()
@@ -74,12 +74,13 @@
 			return err
 		}
 	}
-	return exit(last)
+	return withExitCode(last)
 }
 
-// askOne asks one entry host; done is true if asking again makes no sense.
-func (o *options) askOne(ctx context.Context, entry string, q *question) (done bool, err error) {
-	resp, err := sendQuestion(ctx, entry, o.key, q)
+// askOne sends the request to one entry host; done is true if it must not or need
+// not be retried.
+func (o *options) askOne(ctx context.Context, entry string, q *askRequest) (done bool, err error) {
+	resp, err := sendAskRequest(ctx, entry, o.key, q)
 	if err != nil {
 		return q.key != "", err
 	}
@@ -89,12 +90,12 @@
 		return failure.From(err).RetryAfter() == 0, err
 	}
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return true, o.printWhole(resp)
+		return true, o.printAnswer(resp)
 	}
 	return o.printStream(resp, q)
 }
 
-func sendQuestion(ctx context.Context, entry, key string, q *question) (*http.Response, error) {
+func sendAskRequest(ctx context.Context, entry, key string, q *askRequest) (*http.Response, error) {
 	body := api.ChatRequest{
 		Model: q.pipeline,
 		Messages: []api.ChatMessage{{
@@ -119,16 +120,16 @@
 	if q.key != "" {
 		req.Header.Set(api.HeaderIdempotencyKey, q.key)
 	}
-	if q.lastID != "" {
-		req.Header.Set(api.HeaderLastEventID, q.lastID)
+	if q.lastEventID != "" {
+		req.Header.Set(api.HeaderLastEventID, q.lastEventID)
 	}
 	return http.DefaultClient.Do(req)
 }
 
-func (o *options) printWhole(resp *http.Response) error {
+func (o *options) printAnswer(resp *http.Response) error {
 	out := api.ChatCompletion{}
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return errors.Wrap(err, "decode answer")
+		return errors.Wrap(err, "decode response")
 	}
 	for _, c := range out.Choices {
 		if c.Message != nil {
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// printStream prints tokens as they come.
-func (o *options) printStream(resp *http.Response, q *question) (bool, error) {
+// printStream prints tokens as they arrive, and records the last event's ID in q.
+func (o *options) printStream(resp *http.Response, q *askRequest) (bool, error) {
 	sc := bufio.NewScanner(resp.Body)
 	for sc.Scan() {
 		line := sc.Text()
@@ -148,7 +149,7 @@
 			fmt.Fprintln(o.out)
 			return true, nil
 		case strings.HasPrefix(line, "id: "):
-			q.lastID = strings.TrimPrefix(line, "id: ")
+			q.lastEventID = strings.TrimPrefix(line, "id: ")
 		case strings.HasPrefix(line, ": path "):
 			fmt.Fprintf(o.out, "\n[path: %s]", strings.ReplaceAll(strings.TrimPrefix(line, ": path "), ",", " -> "))
 		case strings.HasPrefix(line, "data: "):
@@ -157,14 +158,14 @@
 			}
 		}
 	}
-	return q.key != "", errors.New("the stream broke off")
+	return q.key != "", errors.New("the stream ended before the answer was complete")
 }
 
 func (o *options) printChunk(data string) error {
-	bad := api.Error{}
-	if err := json.Unmarshal([]byte(data), &bad); err == nil && bad.Error.Kind != "" {
-		kind, _ := failure.KindNamed(bad.Error.Kind)
-		return failure.New(kind, "%s", bad.Error.Message).WithRan(failure.Ran(bad.Error.Ran))
+	failed := api.Error{}
+	if err := json.Unmarshal([]byte(data), &failed); err == nil && failed.Error.Kind != "" {
+		kind, _ := failure.KindNamed(failed.Error.Kind)
+		return failure.New(kind, "%s", failed.Error.Message).WithRan(failure.Ran(failed.Error.Ran))
 	}
 	c := api.ChatCompletion{}
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
--- a/pkg/cmds/opcmd/bundle.go
+++ b/pkg/cmds/opcmd/bundle.go
@@ -21,7 +21,7 @@
 func (o *options) bundleCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "bundle",
-		Short: "Write, check, sign and submit bundles, and see what stands",
+		Short: "Write, check, sign and submit bundles, and show the active ones",
 	}
 	cmd.AddCommand(o.bundleInit(), o.bundleCheck(), o.bundleSign(), o.bundleSubmit(), o.bundleShow(), o.bundleHistory(), o.bundleDiff())
 	return cmd
@@ -91,8 +91,8 @@
 				return err
 			}
 			return o.show(b, table{
-				head: []string{"BUNDLE", "VERSION", "DIGEST"},
-				rows: [][]string{{b.Name, strconv.FormatUint(b.Version, 10), bundle.Digest(text)}},
+				header: []string{"BUNDLE", "VERSION", "DIGEST"},
+				rows:   [][]string{{b.Name, strconv.FormatUint(b.Version, 10), bundle.Digest(text)}},
 			})
 		},
 	}
@@ -145,7 +145,8 @@
 	return list, nil
 }
 
-// addSignature puts the signature in the place of an older one of the signer.
+// addSignature adds a signature to the bundle's signature file, in place of an
+// older one by the same signer.
 func addSignature(file string, sig api.Signature) error {
 	old, err := readSignatures(file)
 	if err != nil {
@@ -188,7 +189,7 @@
 				Signatures: sigs,
 			}, &v)
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			return o.show(v, versionTable([]api.BundleVersion{v}))
 		},
@@ -197,7 +198,7 @@
 
 func versionTable(list []api.BundleVersion) table {
 	t := table{
-		head: []string{"BUNDLE", "VERSION", "REVISION", "ACCEPTED", "SIGNED BY", "DIGEST"},
+		header: []string{"BUNDLE", "VERSION", "REVISION", "ACCEPTED", "SIGNED BY", "DIGEST"},
 	}
 	for _, v := range list {
 		t.rows = append(t.rows, []string{
@@ -212,20 +213,20 @@
 	return t
 }
 
-// fetchVersion reads one version with its text.
+// fetchVersion fetches one version of a bundle, including its text.
 func (o *options) fetchVersion(cmd *cobra.Command, name, version string) (api.BundleVersion, error) {
 	v := api.BundleVersion{}
 	c, err := o.client()
 	if err != nil {
 		return v, err
 	}
-	return v, exit(c.Get(cmd.Context(), api.AdminBundlesPath+"/"+name+"/"+version, &v))
+	return v, withExitCode(c.Get(cmd.Context(), api.AdminBundlesPath+"/"+name+"/"+version, &v))
 }
 
 func (o *options) bundleShow() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show [NAME [VERSION]]",
-		Short: "List the bundles in force, or print one's text",
+		Short: "List the active bundles, or print one's text",
 		Args:  cobra.MaximumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
@@ -266,7 +267,7 @@
 	for next := "0"; next != ""; {
 		page := api.BundlePage{}
 		if err := c.Get(cmd.Context(), path+"?page="+next, &page); err != nil {
-			return exit(err)
+			return withExitCode(err)
 		}
 		all = append(all, page.Items...)
 		next = page.Next
@@ -284,7 +285,7 @@
 			if err != nil {
 				return err
 			}
-			to, err := o.otherSide(cmd, args[0], args[2])
+			to, err := o.diffTarget(cmd, args[0], args[2])
 			if err != nil {
 				return err
 			}
@@ -305,7 +306,7 @@
 	}
 }
 
-func (o *options) otherSide(cmd *cobra.Command, name, which string) (api.BundleVersion, error) {
+func (o *options) diffTarget(cmd *cobra.Command, name, which string) (api.BundleVersion, error) {
 	if _, err := os.Stat(which); err != nil {
 		return o.fetchVersion(cmd, name, which)
 	}
--- a/pkg/cmds/opcmd/op.go
+++ b/pkg/cmds/opcmd/op.go
@@ -1,5 +1,5 @@
-// Package opcmd is the operators' command line, a client of the
-// administration API with no other way in.
+// Package opcmd is the operators' command line. It has no access to the control
+// hosts other than the administration API.
 package opcmd
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/spf13/cobra"
 )
 
-// options are what every command needs.
+// options holds the flags and the output that all commands share.
 type options struct {
 	admin  []string
 	key    string
@@ -33,14 +33,14 @@
 	outputJSON    = "json"
 )
 
-// New returns the command; what it prints goes to out.
+// New returns the command, which prints to out.
 func New(out io.Writer) *cobra.Command {
 	o := &options{
 		out: out,
 	}
 	cmd := &cobra.Command{
 		Use:   "larchwinch",
-		Short: "Declare what larchwinch serves, and see how it does",
+		Short: "Declare what larchwinch serves, and show its status",
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if o.output != outputTable && o.output != outputJSON {
 				return cmdutil.Usage(errors.Errorf("--output: %q; allowed: table, json", o.output))
@@ -75,8 +75,8 @@
 	return opclient.New(o.admin, o.key), nil
 }
 
-// exit gives a failure of the API its exit code.
-func exit(err error) error {
+// withExitCode adds the exit code to a failure that the API returned.
+func withExitCode(err error) error {
 	var f *failure.Error
 	if !errors.As(err, &f) {
 		return err
@@ -91,10 +91,10 @@
 	}
 }
 
-// table is what a command prints to a person.
+// table is a command's output in table form.
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
 // show prints v as JSON, or t as a table.
@@ -105,8 +105,8 @@
 		return enc.Encode(v)
 	}
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
-	if len(t.head) > 0 {
-		fmt.Fprintln(w, strings.Join(t.head, "\t"))
+	if len(t.header) > 0 {
+		fmt.Fprintln(w, strings.Join(t.header, "\t"))
 	}
 	for _, row := range t.rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
--- a/pkg/cmds/standincmd/fault.go
+++ b/pkg/cmds/standincmd/fault.go
@@ -14,14 +14,14 @@
 	"github.com/spf13/cobra"
 )
 
-const askTimeout = 5 * time.Second
+const callTimeout = 5 * time.Second
 
 func faultCommand() *cobra.Command {
 	f := engine.Fault{}
 	var freeze time.Duration
 	cmd := &cobra.Command{
 		Use:   "fault ADDRESS",
-		Short: "Ask an engine to fail; without flags, to end every fault",
+		Short: "Inject faults into an engine; without flags, end every fault",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f.FreezeMS = int(freeze.Milliseconds())
@@ -29,8 +29,8 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&f.DieAfter, "die-after", 0, "end the process after so many passes")
-	flags.DurationVar(&freeze, "freeze", 0, "stop for so long")
+	flags.IntVar(&f.DieAfter, "die-after", 0, "end the process after this number of passes")
+	flags.DurationVar(&freeze, "freeze", 0, "stop all passes for this time")
 	flags.Float64Var(&f.Slow, "slow", 0, "multiply the time of each pass")
 	flags.BoolVar(&f.Duplicate, "duplicate", false, "emit every event twice")
 	flags.BoolVar(&f.Reorder, "reorder", false, "swap pairs of events")
@@ -62,7 +62,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode")
 	}
-	resp, err := ask(ctx, http.MethodPost, url, text)
+	resp, err := call(ctx, http.MethodPost, url, text)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 }
 
 func getJSON(ctx context.Context, url string, out any) error {
-	resp, err := ask(ctx, http.MethodGet, url, nil)
+	resp, err := call(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
@@ -81,14 +81,15 @@
 	return nil
 }
 
-// ask returns an answer of status 200; its body must be closed.
-func ask(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
+// call sends a request and returns its response, which has status 200 and whose
+// body the caller must close.
+func call(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
 	}
 	client := &http.Client{
-		Timeout: askTimeout,
+		Timeout: callTimeout,
 	}
 	resp, err := client.Do(req)
 	if err != nil {
--- a/pkg/fake/fakelink/proxy.go
+++ b/pkg/fake/fakelink/proxy.go
@@ -1,5 +1,5 @@
-// Package fakelink stands in for a path between two hosts whose open connections
-// can go silent for good, without a reset, while new ones work.
+// Package fakelink is a fake network path between two hosts. Its open connections
+// can be made to drop all data without a reset, while new connections work.
 package fakelink
 
 import (
@@ -13,14 +13,14 @@
 // Way is a direction of a connection.
 type Way int
 
-// The ways that can go silent.
+// The directions in which data can be dropped.
 const (
-	Forth Way = iota // from who connected
+	Forth Way = iota // from the side that connected to the target
 	Back
 	Both
 )
 
-// Proxy carries connections to a target. It is safe for use by several goroutines.
+// Proxy forwards connections to a target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -32,12 +32,12 @@
 
 // link is one connection through a proxy.
 type link struct {
-	mu    sync.Mutex
-	mute  [2]bool // by way
-	conns [2]net.Conn
+	mu         sync.Mutex
+	blackholed [2]bool // by direction
+	conns      [2]net.Conn
 }
 
-// New returns a proxy on a loopback address, which carries until Close.
+// New returns a proxy on a loopback address, which forwards until Close.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,14 +52,14 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string {
 	return p.listener.Addr().String()
 }
 
 // Close ends every connection.
 func (p *Proxy) Close() {
-	_ = p.listener.Close() // accept ends with it
+	_ = p.listener.Close() // accept returns once the listener is closed
 	p.mu.Lock()
 	for _, l := range p.links {
 		l.close()
@@ -68,20 +68,20 @@
 	p.group.Stop()
 }
 
-// Silence makes every connection that is open now carry nothing any more in a
-// way. Neither end is told.
-func (p *Proxy) Silence(way Way) {
+// Silence makes every connection that is open now drop all further data in a
+// direction. Neither end is notified.
+func (p *Proxy) Silence(direction Way) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
 		l.mu.Lock()
-		l.mute[Forth] = l.mute[Forth] || way != Back
-		l.mute[Back] = l.mute[Back] || way != Forth
+		l.blackholed[Forth] = l.blackholed[Forth] || direction != Back
+		l.blackholed[Back] = l.blackholed[Back] || direction != Forth
 		l.mu.Unlock()
 	}
 }
 
-// Opened returns how many connections were made through the proxy.
+// Opened returns how many connections have been made through the proxy.
 func (p *Proxy) Opened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,7 @@
 		}
 		to, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = from.Close() // the target is gone, and so is this
+			_ = from.Close() // the target doesn't accept connections
 			continue
 		}
 		l := &link{
@@ -105,20 +105,20 @@
 		p.mu.Lock()
 		p.links = append(p.links, l)
 		p.mu.Unlock()
-		p.group.Go(func(context.Context) { l.carry(Forth) })
-		p.group.Go(func(context.Context) { l.carry(Back) })
+		p.group.Go(func(context.Context) { l.forward(Forth) })
+		p.group.Go(func(context.Context) { l.forward(Back) })
 	}
 }
 
-// carry moves bytes one way until either end closes. A silent way still takes what
-// is sent, and loses it.
-func (l *link) carry(way Way) {
+// forward copies bytes in one direction until either end closes. A blackholed
+// direction still accepts data and drops it.
+func (l *link) forward(direction Way) {
 	defer l.close()
 	buf := make([]byte, 32<<10)
-	from, to := l.conns[way], l.conns[1-way]
+	from, to := l.conns[direction], l.conns[1-direction]
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !l.silent(way) {
+		if n > 0 && !l.isBlackholed(direction) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
 			}
@@ -129,10 +129,10 @@
 	}
 }
 
-func (l *link) silent(way Way) bool {
+func (l *link) isBlackholed(direction Way) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.mute[way]
+	return l.blackholed[direction]
 }
 
 func (l *link) close() {
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -20,36 +20,36 @@
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
-	// stallAfter is the gap between two tokens that counts as a stall.
+	// stallAfter is the time between two tokens beyond which it counts as a stall.
 	stallAfter = 150 * time.Millisecond
 )
 
-// accountReport is what one client account saw.
+// accountReport holds the figures of one client account.
 type accountReport struct {
-	good    int
-	wrong   int
-	refused map[string]int
-	tokens  int
-	first   *hdrhistogram.Histogram
-	gaps    *hdrhistogram.Histogram
-	stalls  *hdrhistogram.Histogram
+	good       int
+	wrong      int
+	refused    map[string]int
+	tokens     int
+	firstToken *hdrhistogram.Histogram
+	gaps       *hdrhistogram.Histogram
+	stalls     *hdrhistogram.Histogram
 }
 
-// Report is what callers saw in one experiment.
+// Report holds what callers observed in one experiment.
 type Report struct {
 	exp  *Experiment
 	from time.Time
 	to   time.Time
 
-	mu       sync.Mutex
-	accounts map[string]*accountReport
-	complain []string
-	tokens   int // that came in the counted time, of any request
+	mu         sync.Mutex
+	accounts   map[string]*accountReport
+	mismatches []string
+	tokens     int // received in the counted time, of all requests
 }
 
-// tokenSeen counts a token. Whole requests say little of throughput in a run
-// that isn't much longer than they are.
-func (r *Report) tokenSeen(now time.Time) {
+// countToken counts a token when it arrives. Counting completed requests alone
+// would misstate the throughput of a run that is not much longer than a request.
+func (r *Report) countToken(now time.Time) {
 	if now.Before(r.from) {
 		return
 	}
@@ -74,10 +74,10 @@
 		return hdrhistogram.New(1, histogramMax, histogramDigits)
 	}
 	return &accountReport{
-		refused: map[string]int{},
-		first:   h(),
-		gaps:    h(),
-		stalls:  h(),
+		refused:    map[string]int{},
+		firstToken: h(),
+		gaps:       h(),
+		stalls:     h(),
 	}
 }
 
@@ -92,14 +92,14 @@
 	case o.failed != nil:
 		a.refused[o.failed.Kind().String()]++
 		return
-	case o.wrong != "":
+	case o.mismatch != "":
 		a.wrong++
-		r.complain = append(r.complain, o.wrong+" ("+o.path+")")
+		r.mismatches = append(r.mismatches, o.mismatch+" ("+o.path+")")
 		return
 	}
 	a.good++
 	a.tokens += o.tokens
-	record(a.first, o.first)
+	record(a.firstToken, o.firstToken)
 	for _, g := range o.gaps {
 		record(a.gaps, g)
 		if g > stallAfter {
@@ -109,10 +109,10 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(d.Microseconds(), histogramMax)) // within the range
+	_ = h.RecordValue(min(d.Microseconds(), histogramMax)) // the value is within the histogram's range
 }
 
-// Total returns all accounts' figures together.
+// total returns the sum of all accounts' figures.
 func (r *Report) total() *accountReport {
 	t := newAccountReport()
 	for _, a := range r.accounts {
@@ -122,33 +122,34 @@
 		for k, n := range a.refused {
 			t.refused[k] += n
 		}
-		t.first.Merge(a.first)
+		t.firstToken.Merge(a.firstToken)
 		t.gaps.Merge(a.gaps)
 		t.stalls.Merge(a.stalls)
 	}
 	return t
 }
 
-// Wrong returns how many answers were not whole or not their own, and a few
-// of the complaints.
+// Wrong returns how many answers were incomplete or differed from the reference,
+// and descriptions of the first few.
 func (r *Report) Wrong() (int, []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.complain), r.complain[:min(len(r.complain), 5)]
+	return len(r.mismatches), r.mismatches[:min(len(r.mismatches), 5)]
 }
 
-var csvHead = []string{
+var csvHeader = []string{
 	"experiment", "account", "seconds", "good", "wrong", "refused", "requests_per_s", "tokens_per_s",
 	"first_p50_ms", "first_p95_ms", "first_p99_ms", "between_p50_ms", "between_p95_ms", "between_p99_ms",
 	"stalls", "stall_p50_ms", "stall_p95_ms", "stall_max_ms", "all_tokens_per_s", "bound_tokens_per_s", "share_of_bound",
 }
 
-// WriteCSV writes a row for each account and one for all. limit is the bound
-// in tokens a second, or 0 if it isn't known.
-func (r *Report) WriteCSV(w io.Writer, limit float64, head bool) error {
+// WriteCSV writes a row for each account and one for all. limit is the bound on
+// the throughput in tokens a second, or 0 if it is unknown. With header, the column
+// names come first.
+func (r *Report) WriteCSV(w io.Writer, limit float64, header bool) error {
 	c := csv.NewWriter(w)
-	if head {
-		_ = c.Write(csvHead) // Flush reports it
+	if header {
+		_ = c.Write(csvHeader) // Flush reports it
 	}
 	names := make([]string, 0, len(r.accounts))
 	for name := range r.accounts {
@@ -174,7 +175,7 @@
 		r.exp.Name, name, number(seconds), strconv.Itoa(a.good), strconv.Itoa(a.wrong), strconv.Itoa(refused),
 		number(rate), number(float64(a.tokens) / seconds),
 	}
-	for _, h := range []*hdrhistogram.Histogram{a.first, a.gaps} {
+	for _, h := range []*hdrhistogram.Histogram{a.firstToken, a.gaps} {
 		for _, q := range []float64{50, 95, 99} {
 			row = append(row, millis(h.ValueAtQuantile(q)))
 		}
@@ -196,8 +197,8 @@
 	return strconv.FormatFloat(float64(us)/1000, 'f', 1, 64)
 }
 
-// Bound reads the engines' curves and computes the most tokens a second that
-// they can generate of this experiment's mix.
+// Bound reads the engines' cost curves and computes the maximum number of tokens a
+// second that they can generate with this experiment's mix.
 func (r *Runner) Bound(ctx context.Context) (float64, error) {
 	var engines []bound.Engine
 	for _, address := range r.exp.Engines {
@@ -214,14 +215,14 @@
 			Batch:      r.exp.Batch,
 		})
 	}
-	w := r.work()
+	w := r.meanWork()
 	requests, err := bound.Requests(r.exp.Layers, engines, w)
 	return requests * w.Tokens, err
 }
 
-// work is the average request of the mix. A prompt has two tokens more than
-// it has words: the role's, and the mark after it.
-func (r *Runner) work() bound.Work {
+// meanWork returns the work of the mix's average request. A prompt has one token
+// more than it has words.
+func (r *Runner) meanWork() bound.Work {
 	w := bound.Work{}
 	for _, c := range r.exp.Classes {
 		w.PromptTokens += c.Share / r.total * float64(c.PromptWords+1)
--- a/pkg/load/request.go
+++ b/pkg/load/request.go
@@ -16,27 +16,27 @@
 	"github.com/larchwinch/larchwinch/pkg/standin/model"
 )
 
-// ask is one request.
-type ask struct {
+// request is a request to send.
+type request struct {
 	class  Class
 	entry  string
 	seed   int64
 	prompt string
 }
 
-// outcome is what came of one request.
+// outcome is the result of one request.
 type outcome struct {
-	class  Class
-	failed *failure.Error // refused or failed
-	wrong  string         // not whole, or not its own
-	first  time.Duration
-	gaps   []time.Duration
-	tokens int
-	path   string
+	class      Class
+	failed     *failure.Error // refused or failed
+	mismatch   string         // how the answer differs from the reference answer
+	firstToken time.Duration
+	gaps       []time.Duration
+	tokens     int
+	path       string
 }
 
-// send sends a request and reads the whole answer.
-func (r *Runner) send(ctx context.Context, a ask) outcome {
+// send sends a request and reads the complete answer.
+func (r *Runner) send(ctx context.Context, a request) outcome {
 	out := outcome{
 		class: a.class,
 	}
@@ -55,11 +55,11 @@
 	if out.failed != nil {
 		return out
 	}
-	out.wrong = r.compare(a, text, done)
+	out.mismatch = r.checkAnswer(a, text, done)
 	return out
 }
 
-func (r *Runner) post(ctx context.Context, a ask) (*http.Response, error) {
+func (r *Runner) post(ctx context.Context, a request) (*http.Response, error) {
 	body, err := json.Marshal(api.ChatRequest{
 		Model: a.class.Pipeline,
 		Messages: []api.ChatMessage{{
@@ -81,9 +81,10 @@
 	return r.client.Do(req)
 }
 
-const contentMark = `"delta":{"content":"`
+const contentPrefix = `"delta":{"content":"`
 
-// readStream reads tokens, and times them.
+// readStream reads a stream of tokens and records their times in out. It returns
+// the text and whether the stream was complete.
 func (r *Runner) readStream(resp *http.Response, began time.Time, out *outcome) (string, bool) {
 	var text strings.Builder
 	last := began
@@ -101,21 +102,21 @@
 			kind, _ := failure.KindNamed(body.Error.Kind)
 			out.failed = failure.New(kind, "%s", body.Error.Message)
 			return "", false
-		case strings.Contains(line, contentMark):
-			_, rest, _ := strings.Cut(line, contentMark)
+		case strings.Contains(line, contentPrefix):
+			_, rest, _ := strings.Cut(line, contentPrefix)
 			word, _, _ := strings.Cut(rest, `"`)
 			text.WriteString(word)
 			now := time.Now()
-			r.report.tokenSeen(now)
-			last = out.timed(now, began, last)
+			r.report.countToken(now)
+			last = out.recordToken(now, began, last)
 		}
 	}
 	return text.String(), false
 }
 
-func (o *outcome) timed(now, began, last time.Time) time.Time {
+func (o *outcome) recordToken(now, began, last time.Time) time.Time {
 	if o.tokens == 0 {
-		o.first = now.Sub(began)
+		o.firstToken = now.Sub(began)
 	} else {
 		o.gaps = append(o.gaps, now.Sub(last))
 	}
@@ -123,17 +124,18 @@
 	return now
 }
 
-// compare returns what is wrong with an answer, or nothing.
-func (r *Runner) compare(a ask, text string, done bool) string {
+// checkAnswer compares an answer with the reference answer. It returns what is
+// wrong, or an empty string.
+func (r *Runner) checkAnswer(a request, text string, done bool) string {
 	if !done {
-		return "not whole: the stream broke off"
+		return "incomplete answer: the stream ended early"
 	}
 	var want strings.Builder
 	for _, t := range model.Reference(r.exp.Layers, uint64(a.seed), model.Tokenize("user: "+a.prompt+"\n"), a.class.Tokens) {
 		want.WriteString(model.Word(t))
 	}
 	if text != want.String() {
-		return "not its own: the text differs"
+		return "wrong answer: the text differs from the reference"
 	}
 	return ""
 }
--- a/pkg/netutil/inturn_test.go
+++ b/pkg/netutil/inturn_test.go
@@ -15,8 +15,8 @@
 	RunSpecs(t, "netutil")
 }
 
-// silentUntil answers only after d, or when ctx ends.
-func silentUntil(ctx context.Context, d time.Duration) error {
+// waitFor returns after d, or with ctx's error when ctx ends before.
+func waitFor(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -25,14 +25,14 @@
 	}
 }
 
-var _ = Describe("addresses that are asked in turn", func() {
-	It("cost little of the caller's time where the first is silent", func() {
+var _ = Describe("trying several addresses", func() {
+	It("moves on quickly from an address that doesn't answer", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		began := time.Now()
 		err := InTurn(ctx, []string{"silent", "good"}, func(ctx context.Context, address string) (bool, error) {
 			if address == "silent" {
-				return false, silentUntil(ctx, time.Minute)
+				return false, waitFor(ctx, time.Minute)
 			}
 			return true, nil
 		})
@@ -40,21 +40,21 @@
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
 	})
 
-	It("are asked again with all the time left, so that a slow answer isn't lost", func() {
+	It("tries each address again without the attempt timeout, so that a slow answer isn't lost", func() {
 		calls := 0
 		err := InTurn(context.Background(), []string{"slow", "down"}, func(ctx context.Context, address string) (bool, error) {
 			calls++
 			if address == "down" {
 				return false, errors.New("down")
 			}
-			err := silentUntil(ctx, 2*patience)
+			err := waitFor(ctx, 2*attemptTimeout)
 			return err == nil, err
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(calls).To(Equal(3))
 	})
 
-	It("end with the answer that says so, and with the caller's time", func() {
+	It("stops at the call that reports that it is done, and when the caller's context ends", func() {
 		final := errors.New("final")
 		Expect(InTurn(context.Background(), []string{"a", "b"}, func(context.Context, string) (bool, error) {
 			return true, final
@@ -62,7 +62,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
 		Expect(InTurn(ctx, []string{"a"}, func(ctx context.Context, _ string) (bool, error) {
-			return false, silentUntil(ctx, time.Minute)
+			return false, waitFor(ctx, time.Minute)
 		})).To(MatchError(context.DeadlineExceeded))
 	})
 })
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a model engine: it holds a range of a
-// model's layers, batches continuously on a published cost curve, keeps a KV
-// cache for each request, and fails as it is told to.
+// Package engine is a fake model engine: it holds a range of a model's layers,
+// batches continuously on a published cost curve, keeps a KV cache for each
+// request, and injects the faults that it is asked for.
 package engine
 
 import (
@@ -28,7 +28,7 @@
 	return time.Duration(layers) * one
 }
 
-func (c Curve) times(x float64) Curve {
+func (c Curve) scaled(x float64) Curve {
 	scale := func(d time.Duration) time.Duration {
 		return time.Duration(float64(d) * x)
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// The curves of the three kinds of accelerator that the stand-ins know.
+// The curves of the three kinds of accelerator that the fake engine knows.
 var curves = []namedCurve{
 	{name: "large", curve: Curve{Base: 150 * time.Microsecond, PerSequence: 2 * time.Microsecond, PerToken: 600 * time.Nanosecond}},
 	{name: "medium", curve: Curve{Base: 300 * time.Microsecond, PerSequence: 5 * time.Microsecond, PerToken: 1500 * time.Nanosecond}},
@@ -51,7 +51,8 @@
 	curve Curve
 }
 
-// CurveOf returns the curve of a kind of accelerator, and whether it is known.
+// CurveOf returns the curve of a kind of accelerator, and whether the kind is
+// known.
 func CurveOf(accelerator string) (Curve, bool) {
 	for _, c := range curves {
 		if c.name == accelerator {
@@ -70,7 +71,7 @@
 	return names
 }
 
-// Config is what an Engine is made of.
+// Config configures an Engine.
 type Config struct {
 	Address      string
 	Model        string
@@ -80,21 +81,22 @@
 	Accelerator  string
 	Incarnation  uint64
 	Slots        int // sessions that may be open at once
-	Batch        int // sequences in one pass at most
-	// Scale multiplies the published curve, if above 0.
+	Batch        int // maximum number of sequences in one pass
+	// Scale multiplies the cost curve, if above 0.
 	Scale float64
-	// ReportLag is by how much load reports lag.
+	// ReportLag is how old a reported load may be before it is refreshed.
 	ReportLag time.Duration
-	// ChecksOrders says whether the engine refuses orders from before.
+	// ChecksOrders is whether the engine rejects orders that are not newer than the
+	// newest one accepted.
 	ChecksOrders bool
 	Timer        timer.Service
 	// Client calls the next stage.
 	Client *http.Client
-	// Die ends the process, or what stands for it in a test.
+	// Die ends the process; tests substitute a function of their own.
 	Die func()
 }
 
-// Engine is a running stand-in.
+// Engine is a running fake engine.
 type Engine struct {
 	cfg     Config
 	curve   Curve
@@ -113,12 +115,12 @@
 const (
 	defaultSlots = 4096
 	defaultBatch = 256
-	// orphanAge is after how long without a call a session is dropped.
-	orphanAge     = 60 * time.Second
+	// orphanTimeout is how long a session may go unused before it is dropped.
+	orphanTimeout = 60 * time.Second
 	sweepInterval = 5 * time.Second
 )
 
-// New returns an engine whose goroutines run in g.
+// New returns an engine and starts its goroutines in g.
 func New(cfg Config, g *group.Group) *Engine {
 	if cfg.Slots == 0 {
 		cfg.Slots = defaultSlots
@@ -128,7 +130,7 @@
 	}
 	curve, _ := CurveOf(cfg.Accelerator)
 	if cfg.Scale > 0 {
-		curve = curve.times(cfg.Scale)
+		curve = curve.scaled(cfg.Scale)
 	}
 	e := &Engine{
 		cfg:      cfg,
@@ -149,7 +151,8 @@
 	return e.ledger
 }
 
-// SetFault replaces the faults that are asked for.
+// SetFault replaces the injected faults. Forget takes effect at once: it drops
+// every session.
 func (e *Engine) SetFault(f Fault) {
 	e.faults.Set(f)
 	if !f.Forget {
@@ -158,17 +161,17 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sessions = map[string]*session{}
-	e.ledger.forget()
+	e.ledger.reset()
 }
 
-// SetLeaving says in reports that the engine is leaving on plan.
+// SetLeaving sets whether the engine reports a planned departure.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// Info returns what the engine says of itself.
+// Info returns the engine's description and its load.
 func (e *Engine) Info() api.EngineInfo {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -203,10 +206,10 @@
 	return e.sessions[request]
 }
 
-// sweep drops sessions that nobody calls any more.
+// sweep periodically drops sessions that have not been used for orphanTimeout.
 func (e *Engine) sweep(ctx context.Context) {
 	timer.Loop(ctx, e.cfg.Timer, sweepInterval, func(now time.Time) {
-		e.dropOrphans(now.Add(-orphanAge))
+		e.dropOrphans(now.Add(-orphanTimeout))
 	})
 }
 
@@ -220,19 +223,19 @@
 	}
 }
 
-// loadReport remembers a load and shows it until it is older than the lag.
+// loadReport caches a load and returns it until it is older than the lag.
 type loadReport struct {
 	mu    sync.Mutex
 	at    time.Time
 	shown api.EngineLoad
 }
 
-func (l *loadReport) get(now time.Time, lag time.Duration, fresh api.EngineLoad) api.EngineLoad {
+func (l *loadReport) get(now time.Time, lag time.Duration, current api.EngineLoad) api.EngineLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.at) >= lag {
 		l.at = now
-		l.shown = fresh
+		l.shown = current
 	}
 	return l.shown
 }
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -9,19 +9,20 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// FaultPath is where a stand-in is asked for a fault; LedgerPath is where it
-// shows what it ran.
+// FaultPath is the HTTP path that sets the injected faults, LedgerPath the one
+// that returns the ledger, and LeavingPath the one that makes the engine report
+// that it is leaving.
 const (
 	FaultPath   = "/standin/fault"
 	LedgerPath  = "/standin/ledger"
 	LeavingPath = "/standin/leaving"
 )
 
-// Fault asks a stand-in to fail. The zero value ends every fault.
+// Fault describes the faults to inject. The zero value ends every fault.
 type Fault struct {
-	// DieAfter ends the process after so many passes, if above 0.
+	// DieAfter ends the process after this number of passes, if above 0.
 	DieAfter int `json:"die_after"`
-	// FreezeMS stops all passes for so long, in milliseconds.
+	// FreezeMS stops all passes for this time, in milliseconds.
 	FreezeMS int `json:"freeze_ms"`
 	// Slow multiplies the time of each pass, if above 1.
 	Slow float64 `json:"slow"`
@@ -30,26 +31,27 @@
 	Reorder   bool `json:"reorder"`
 	// Corrupt emits every event with a wrong index.
 	Corrupt bool `json:"corrupt"`
-	// Cut closes every connection as it comes in.
+	// Cut closes the connection of every request without an answer, except
+	// requests that set faults.
 	Cut bool `json:"cut"`
 	// CutOut fails every call to the next stage.
 	CutOut bool `json:"cut_out"`
-	// Full refuses every new session, as if each slot were taken.
+	// Full rejects every new session, as if each slot were taken.
 	Full bool `json:"full"`
 	// Forget drops every session, as a restart does.
 	Forget bool `json:"forget"`
 }
 
-// Faults holds the faults that are asked for.
+// Faults holds the injected faults. It is safe for concurrent use.
 type Faults struct {
 	svc timer.Service
 	die func()
 
-	mu     sync.Mutex
-	now    Fault
-	thaw   time.Time
-	passes int
-	held   *api.EngineEvent
+	mu          sync.Mutex
+	active      Fault
+	frozenUntil time.Time
+	passes      int
+	delayed     *api.EngineEvent
 }
 
 func newFaults(svc timer.Service, die func()) *Faults {
@@ -59,35 +61,36 @@
 	}
 }
 
-// Set replaces the faults that are asked for.
+// Set replaces the injected faults.
 func (f *Faults) Set(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = fault
+	f.active = fault
 	f.passes = 0
-	f.held = nil
-	f.thaw = f.svc.Now().Add(time.Duration(fault.FreezeMS) * time.Millisecond)
+	f.delayed = nil
+	f.frozenUntil = f.svc.Now().Add(time.Duration(fault.FreezeMS) * time.Millisecond)
 }
 
 func (f *Faults) get() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.active
 }
 
-func (f *Faults) stretch(d time.Duration) time.Duration {
+func (f *Faults) slowDown(d time.Duration) time.Duration {
 	if slow := f.get().Slow; slow > 1 {
 		return time.Duration(float64(d) * slow)
 	}
 	return d
 }
 
-// beforeStep freezes or dies if asked to.
-func (f *Faults) beforeStep(ctx context.Context) error {
+// applyPassFaults counts a pass, ends the process if the count exceeds DieAfter,
+// and waits while the engine is frozen.
+func (f *Faults) applyPassFaults(ctx context.Context) error {
 	f.mu.Lock()
 	f.passes++
-	dies := f.now.DieAfter > 0 && f.passes > f.now.DieAfter
-	wait := f.thaw.Sub(f.svc.Now())
+	dies := f.active.DieAfter > 0 && f.passes > f.active.DieAfter
+	wait := f.frozenUntil.Sub(f.svc.Now())
 	f.mu.Unlock()
 	if dies {
 		f.die()
@@ -95,7 +98,7 @@
 	return timer.Sleep(ctx, f.svc, max(wait, 0))
 }
 
-// emit passes an event on, spoilt as asked.
+// emit sends an event with the injected faults applied to it.
 func (f *Faults) emit(ev api.EngineEvent, out emit) error {
 	fault := f.get()
 	switch {
@@ -108,32 +111,33 @@
 		}
 		return out(ev)
 	case fault.Reorder:
-		return f.swap(ev, out)
+		return f.reorder(ev, out)
 	default:
 		return out(ev)
 	}
 }
 
-func (f *Faults) swap(ev api.EngineEvent, out emit) error {
+func (f *Faults) reorder(ev api.EngineEvent, out emit) error {
 	f.mu.Lock()
-	held := f.held
-	if held == nil {
-		f.held = &ev
+	delayed := f.delayed
+	if delayed == nil {
+		f.delayed = &ev
 		f.mu.Unlock()
 		return nil
 	}
-	f.held = nil
+	f.delayed = nil
 	f.mu.Unlock()
 	if err := out(ev); err != nil {
 		return err
 	}
-	return out(*held)
+	return out(*delayed)
 }
 
-// beforeInfo waits while the engine is frozen: a frozen process answers nothing.
-func (f *Faults) beforeInfo(ctx context.Context) error {
+// waitWhileFrozen waits until the engine is no longer frozen: a frozen process
+// answers nothing.
+func (f *Faults) waitWhileFrozen(ctx context.Context) error {
 	f.mu.Lock()
-	wait := f.thaw.Sub(f.svc.Now())
+	wait := f.frozenUntil.Sub(f.svc.Now())
 	f.mu.Unlock()
 	return timer.Sleep(ctx, f.svc, max(wait, 0))
 }
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -13,7 +13,8 @@
 	"github.com/larchwinch/larchwinch/pkg/standin/model"
 )
 
-// emit sends one event to the entry host; it fails once that is gone.
+// emit sends one event to the entry host. It fails once the host has
+// disconnected.
 type emit func(ev api.EngineEvent) error
 
 // generate drives a request from the first stage: it passes each position's
@@ -30,7 +31,7 @@
 	if len(g.Emitted) > 0 {
 		passFrom = len(tokens) - 1
 	}
-	if reason := e.rebuildHead(ctx, s, g.Attempt, open.Seed, tokens[:passFrom]); reason != "" {
+	if reason := e.rebuildOwnCache(ctx, s, g.Attempt, open.Seed, tokens[:passFrom]); reason != "" {
 		return out(e.ownFault(reason))
 	}
 	if g.RebuildOnly {
@@ -42,19 +43,20 @@
 	return e.decode(ctx, s, g, tokens, passFrom, len(prompt), out)
 }
 
-// rebuildHead runs the positions that this stage lacks through its own layers.
-func (e *Engine) rebuildHead(ctx context.Context, s *session, attempt int, seed uint64, tokens []int) string {
+// rebuildOwnCache runs those of the tokens' positions that this stage lacks
+// through its own layers.
+func (e *Engine) rebuildOwnCache(ctx context.Context, s *session, attempt int, seed uint64, tokens []int) string {
 	if len(tokens) == 0 {
 		return ""
 	}
-	_, reason := e.run(ctx, s, attempt, 0, embed(seed, 0, tokens), true)
+	_, reason := e.runPositions(ctx, s, attempt, 0, embed(seed, 0, tokens), true)
 	return reason
 }
 
 func (e *Engine) decode(ctx context.Context, s *session, g api.EngineGenerate, tokens []int, pos, promptLen int, out emit) error {
 	open := s.opened()
 	for index := len(g.Emitted); index < g.MaxTokens; index++ {
-		token, fault := e.stepOwn(ctx, s, g.Attempt, pos, embed(open.Seed, pos, tokens[pos:]))
+		token, fault := e.runAndForward(ctx, s, g.Attempt, pos, embed(open.Seed, pos, tokens[pos:]))
 		if fault != nil {
 			return out(api.EngineEvent{
 				Index: index,
@@ -98,10 +100,10 @@
 	}
 }
 
-// stepOwn runs positions on this stage, and passes them on unless this stage
-// is the last.
-func (e *Engine) stepOwn(ctx context.Context, s *session, attempt, pos int, inputs []uint64) (int, *api.EngineFault) {
-	outputs, reason := e.run(ctx, s, attempt, pos, inputs, false)
+// runAndForward runs positions on this stage and sends the outputs to the next
+// one. On the last stage it samples a token instead.
+func (e *Engine) runAndForward(ctx context.Context, s *session, attempt, pos int, inputs []uint64) (int, *api.EngineFault) {
+	outputs, reason := e.runPositions(ctx, s, attempt, pos, inputs, false)
 	if reason != "" {
 		return 0, e.ownFault(reason).Fault
 	}
@@ -126,7 +128,7 @@
 	return time.Duration(o.NextTimeoutMS)*time.Millisecond + time.Duration(positions*o.NextPositionUS)*time.Microsecond
 }
 
-// step serves a call of the stage before.
+// step handles a call from the previous stage.
 func (e *Engine) step(ctx context.Context, st api.EngineStep) api.EngineStepped {
 	s := e.session(st.Request)
 	if s == nil {
@@ -135,7 +137,7 @@
 		}
 	}
 	if st.Rebuild {
-		_, reason := e.run(ctx, s, st.Attempt, st.Pos, st.Acts, true)
+		_, reason := e.runPositions(ctx, s, st.Attempt, st.Pos, st.Acts, true)
 		if reason != "" {
 			return api.EngineStepped{
 				Fault: e.ownFault(reason).Fault,
@@ -143,14 +145,14 @@
 		}
 		return api.EngineStepped{}
 	}
-	token, fault := e.stepOwn(ctx, s, st.Attempt, st.Pos, st.Acts)
+	token, fault := e.runAndForward(ctx, s, st.Attempt, st.Pos, st.Acts)
 	return api.EngineStepped{
 		Token: token,
 		Fault: fault,
 	}
 }
 
-// replay sends the saved outputs to a replacement of the next stage.
+// replay sends this stage's saved outputs to a replacement of the next stage.
 func (e *Engine) replay(ctx context.Context, r api.EngineReplay) api.EngineReplayed {
 	s := e.session(r.Request)
 	if s == nil {
@@ -179,7 +181,8 @@
 	}
 }
 
-// callNext posts to another stage; a fault names that stage.
+// callNext posts to another stage. The fault that it returns, if any, carries
+// that stage's address.
 func (e *Engine) callNext(ctx context.Context, address, path string, timeout time.Duration, in, out any) *api.EngineFault {
 	if timeout > 0 {
 		var cancel context.CancelFunc
@@ -204,7 +207,7 @@
 	}
 }
 
-var errCutOut = errors.New("asked to fail calls to the next stage")
+var errCutOut = errors.New("injected fault: calls to the next stage fail")
 
 func post(ctx context.Context, client *http.Client, url string, in, out any) error {
 	body, err := json.Marshal(in)
--- a/pkg/standin/engine/orders.go
+++ b/pkg/standin/engine/orders.go
@@ -6,17 +6,18 @@
 	"github.com/larchwinch/larchwinch/pkg/api"
 )
 
-// orderFence remembers the newest order and, if the engine checks, refuses
-// those from before it.
+// orderFence records the newest order and, if the engine checks orders, rejects
+// those that are not newer.
 type orderFence struct {
 	mu       sync.Mutex
 	epoch    uint64
 	sequence uint64
-	taken    []api.EngineOrder
+	accepted []api.EngineOrder
 }
 
-// take notes an order, and reports whether it is obeyed.
-func (f *orderFence) take(o api.EngineOrder, checks bool) bool {
+// accept records an order and reports whether it is accepted. With checks, an
+// order that isn't newer than the last one by epoch and sequence is rejected.
+func (f *orderFence) accept(o api.EngineOrder, checks bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	older := o.Epoch < f.epoch || (o.Epoch == f.epoch && o.Sequence <= f.sequence)
@@ -25,13 +26,13 @@
 	}
 	f.epoch = max(f.epoch, o.Epoch)
 	f.sequence = o.Sequence
-	f.taken = append(f.taken, o)
+	f.accepted = append(f.accepted, o)
 	return true
 }
 
-// Orders returns the orders that the engine obeyed, in order.
+// Orders returns the accepted orders, oldest first.
 func (e *Engine) Orders() []api.EngineOrder {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
-	return append([]api.EngineOrder(nil), e.orders.taken...)
+	return append([]api.EngineOrder(nil), e.orders.accepted...)
 }
--- a/pkg/standin/engine/session.go
+++ b/pkg/standin/engine/session.go
@@ -12,35 +12,36 @@
 // session is one request's state on this stage.
 //
 // Invariants: kv holds the state after exactly len(inputs) positions; a
-// position is run once, and asked for again gives the saved output; attempt
-// never falls, and a step of an older attempt changes nothing.
+// position is run once, and a repeated request for it returns the saved output;
+// attempt never decreases, and a step of an older attempt changes nothing.
 type session struct {
-	mu      sync.Mutex
-	request string
-	attempt int
-	open    api.EngineOpen
-	kv      []uint64
-	inputs  []uint64
-	outputs []uint64
-	used    time.Time
-	usedMu  sync.Mutex
-	life    uint64 // of the engine that it belongs to
+	mu        sync.Mutex
+	request   string
+	attempt   int
+	open      api.EngineOpen
+	kv        []uint64
+	inputs    []uint64
+	outputs   []uint64
+	lastUse   time.Time
+	lastUseMu sync.Mutex
+	resets    uint64 // the ledger's reset count when the session was made
 }
 
 func (s *session) touch(now time.Time) {
-	s.usedMu.Lock()
-	defer s.usedMu.Unlock()
-	s.used = now
+	s.lastUseMu.Lock()
+	defer s.lastUseMu.Unlock()
+	s.lastUse = now
 }
 
 func (s *session) lastUsed() time.Time {
-	s.usedMu.Lock()
-	defer s.usedMu.Unlock()
-	return s.used
+	s.lastUseMu.Lock()
+	defer s.lastUseMu.Unlock()
+	return s.lastUse
 }
 
-// openSession opens or takes over a session. It reports false for an attempt
-// that is older than the session's.
+// openSession opens a session, or takes over an open one for a newer attempt.
+// The first boolean is whether it did; it is false for an attempt older than the
+// session's. The second is whether it failed because every slot is taken.
 func (e *Engine) openSession(o api.EngineOpen) (api.EngineOpened, bool, bool) {
 	e.mu.Lock()
 	s := e.sessions[o.Request]
@@ -52,7 +53,7 @@
 		s = &session{
 			request: o.Request,
 			kv:      make([]uint64, e.layers()),
-			life:    e.ledger.life(),
+			resets:  e.ledger.resetCount(),
 		}
 		e.sessions[o.Request] = s
 	}
@@ -91,9 +92,10 @@
 	delete(e.sessions, c.Request)
 }
 
-// run takes the inputs of positions from pos on and returns their outputs.
-// Positions that were run before aren't run again.
-func (e *Engine) run(ctx context.Context, s *session, attempt, pos int, inputs []uint64, rebuild bool) ([]uint64, string) {
+// runPositions takes the inputs of the positions from pos on and returns their
+// outputs. Positions that were run before are not run again. If it fails, it
+// returns the reason instead, one of the api.Fault constants.
+func (e *Engine) runPositions(ctx context.Context, s *session, attempt, pos int, inputs []uint64, rebuild bool) ([]uint64, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.touch(e.cfg.Timer.Now())
@@ -105,23 +107,23 @@
 	if pos > have {
 		return nil, api.FaultGap
 	}
-	known := min(have-pos, len(inputs))
-	for i := range known {
+	overlap := min(have-pos, len(inputs))
+	for i := range overlap {
 		if s.inputs[pos+i] != inputs[i] {
 			return nil, api.FaultDiverged
 		}
 	}
-	e.ledger.repeated(s.request, known)
-	fresh := inputs[known:]
-	if len(fresh) > 0 {
-		if err := e.batcher.pass(ctx, len(fresh), s.open.Priority); err != nil {
+	e.ledger.repeated(s.request, overlap)
+	added := inputs[overlap:]
+	if len(added) > 0 {
+		if err := e.batcher.pass(ctx, len(added), s.open.Priority); err != nil {
 			return nil, api.FaultLost
 		}
-		if !e.ledger.ran(s.life, s.request, have, len(fresh), rebuild) {
-			return nil, api.FaultLost // the process that ran it is no more
+		if !e.ledger.ran(s.resets, s.request, have, len(added), rebuild) {
+			return nil, api.FaultLost // the engine lost its sessions after this one was opened
 		}
 	}
-	for _, x := range fresh {
+	for _, x := range added {
 		s.inputs = append(s.inputs, x)
 		s.outputs = append(s.outputs, e.runLayers(s, x))
 	}
@@ -135,7 +137,7 @@
 	return x
 }
 
-// saved returns the outputs from position from on.
+// saved returns the saved outputs from position from on.
 func (s *session) saved(from int) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +169,9 @@
 	}
 }
 
-// importKV fills an open session that has run nothing yet.
+// importKV fills an open session that has run nothing yet. It reports whether there
+// is an open session, kv is for this stage's layers, and the session holds at least
+// the positions of kv afterwards.
 func (e *Engine) importKV(kv api.EngineKV) bool {
 	s := e.session(kv.Request)
 	if s == nil || kv.FirstLayer != e.cfg.FirstLayer || kv.EndLayer != e.cfg.EndLayer {
