--- a/pkg/api/admin.go
+++ b/pkg/api/admin.go
@@ -48,17 +48,17 @@
 // Rollout is the progress of the newest revision: how many of the hosts it is
 // active on.
 type Rollout struct {
-	Revision uint64     `json:"revision"`
-	InForce  int        `json:"in_force"`
-	Hosts    int        `json:"hosts"`
-	Sites    []SiteView `json:"sites"`
+	Revision    uint64       `json:"revision"`
+	ActiveHosts int          `json:"in_force"`
+	Hosts       int          `json:"hosts"`
+	Domains     []DomainView `json:"sites"`
 }
 
-// SiteView is the progress of the newest revision in one failure domain.
-type SiteView struct {
+// DomainView is the progress of the newest revision in one failure domain.
+type DomainView struct {
 	Domain         string `json:"domain"`
 	Hosts          int    `json:"hosts"`
-	InForce        int    `json:"in_force"`
+	ActiveHosts    int    `json:"in_force"`
 	LowestRevision uint64 `json:"lowest_revision"`
 }
 
--- a/pkg/chain/execution.go
+++ b/pkg/chain/execution.go
@@ -59,7 +59,7 @@
 type lostStages map[string]string
 
 func (x *execution) candidates() []*directory.Endpoint {
-	return x.r.cfg.Directory.Stages(x.req.Model.Name, x.req.Model.Version)
+	return x.r.cfg.Directory.Engines(x.req.Model.Name, x.req.Model.Version)
 }
 
 // maxOpenTries limits how often stages that failed to open are replaced if
@@ -132,7 +132,7 @@
 func (x *execution) abandon(s *stage) {
 	if s.open {
 		s.open = false
-		s.endpoint.Closed()
+		s.endpoint.SessionClosed()
 	}
 	x.abandoned = append(x.abandoned, s)
 }
@@ -157,7 +157,7 @@
 		}).Inc(1)
 		logflags.Info(logflags.Chain, "stage lost", "request", x.req.ID, "endpoint", address, "reason", reason, "emitted", len(x.emitted))
 		if e := x.r.cfg.Directory.Endpoint(address); e != nil && reason != reasonLeaving {
-			e.Failed()
+			e.MarkFailed()
 		}
 	}
 }
--- a/pkg/chain/fixture_test.go
+++ b/pkg/chain/fixture_test.go
@@ -86,7 +86,7 @@
 			reply.Endpoints = append(reply.Endpoints, h.endpoint(rpc.EndpointState_ENDPOINT_LIVE))
 		}
 	}
-	c.dir.Take(reply)
+	c.dir.Apply(reply)
 	c.runner = chain.New(chain.Config{
 		Client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		Directory: c.dir,
--- a/pkg/chain/matrix_test.go
+++ b/pkg/chain/matrix_test.go
@@ -166,7 +166,7 @@
 					return
 				}
 				leavingHost = cl.servingHost(stage)
-				cl.dir.Take(&rpc.BeatReply{
+				cl.dir.Apply(&rpc.BeatReply{
 					Epoch:     1,
 					Version:   2,
 					Endpoints: []*rpc.Endpoint{leavingHost.endpoint(rpc.EndpointState_ENDPOINT_LEAVING)},
@@ -235,7 +235,7 @@
 		cl, err := newCluster(1)
 		Expect(err).NotTo(HaveOccurred())
 		defer cl.stop()
-		cl.dir.Take(&rpc.BeatReply{
+		cl.dir.Apply(&rpc.BeatReply{
 			Epoch:     1,
 			Version:   2,
 			Endpoints: []*rpc.Endpoint{cl.hosts[1].endpoint(rpc.EndpointState_ENDPOINT_LEAVING)},
--- a/pkg/chain/open.go
+++ b/pkg/chain/open.go
@@ -53,9 +53,9 @@
 	if err := x.r.call(ctx, x.openTimeout(s), s.endpoint.Address(), api.EngineOpenPath, o, &reply); err != nil {
 		reason := faultReason(err)
 		if reason == reasonFull {
-			s.endpoint.Full()
+			s.endpoint.MarkFull()
 		} else {
-			s.endpoint.Failed()
+			s.endpoint.MarkFailed()
 		}
 		return reason
 	}
@@ -64,10 +64,10 @@
 		s.endpoint.SetLeaving()
 	}
 	if s.open {
-		s.endpoint.Closed() // reopened: count it once
+		s.endpoint.SessionClosed() // reopened: count it once
 	}
 	s.open = true
-	s.endpoint.Opened(reply.Load.Sessions, x.r.cfg.Timer.Now().Sub(start))
+	s.endpoint.SessionOpened(reply.Load.Sessions, x.r.cfg.Timer.Now().Sub(start))
 	return ""
 }
 
--- a/pkg/chain/runner.go
+++ b/pkg/chain/runner.go
@@ -55,8 +55,8 @@
 	Repairs      int
 	// RepairTimes is, for each repair, the time from the last event before the
 	// fault to the next token.
-	RepairTimes []time.Duration
-	End         string
+	RepairTimes  []time.Duration
+	FinishReason string
 }
 
 // Config configures a Runner.
--- a/pkg/chain/stream.go
+++ b/pkg/chain/stream.go
@@ -115,7 +115,7 @@
 		x.promptLen = ev.PromptLen
 	}
 	if ev.End != "" {
-		x.result.End = ev.End
+		x.result.FinishReason = ev.End
 		return true, nil
 	}
 	err = x.sink(Token{
--- a/pkg/cmds/cmdutil/run.go
+++ b/pkg/cmds/cmdutil/run.go
@@ -21,11 +21,11 @@
 
 // The programs' exit codes.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1 // the work failed
-	ExitUsage    = 2 // the command line or a settings file is wrong
-	ExitRefused  = 3 // the request was rejected, and a retry would be too
-	ExitComeBack = 4 // the request was rejected for now; try again later
+	ExitOK         = 0
+	ExitFailed     = 1 // the work failed
+	ExitUsage      = 2 // the command line or a settings file is wrong
+	ExitRefused    = 3 // the request was rejected, and a retry would be too
+	ExitRetryLater = 4 // the request was rejected for now; try again later
 )
 
 // ExitError carries an exit code.
@@ -72,8 +72,8 @@
 	return ExitFailed
 }
 
-// Keys loads the process's TLS credentials. It returns nil if the settings name none.
-func Keys(files keys.Files) (*keys.Pair, error) {
+// LoadCredentials loads the process's TLS credentials. It returns nil if the settings name none.
+func LoadCredentials(files keys.Files) (*keys.Credentials, error) {
 	if !files.Set() {
 		return nil, nil
 	}
@@ -90,15 +90,15 @@
 // Listener is one address that a program serves. With credentials it uses mutual
 // TLS, without them plain HTTP.
 type Listener struct {
-	Address string
-	Handler http.Handler
-	Keys    *keys.Pair
+	Address     string
+	Handler     http.Handler
+	Credentials *keys.Credentials
 }
 
 // AddListeners opens each address and adds its server to the run group.
 func AddListeners(g *run.Group, list []Listener) error {
 	for _, l := range list {
-		s, err := netutil.ListenRPC(l.Address, l.Handler, l.Keys)
+		s, err := netutil.ListenRPC(l.Address, l.Handler, l.Credentials)
 		if err != nil {
 			return err
 		}
--- a/pkg/cmds/controlcmd/control.go
+++ b/pkg/cmds/controlcmd/control.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer func() { _ = disk.Close() }()
-	pair, err := cmdutil.Keys(cfg.TLS)
+	pair, err := cmdutil.LoadCredentials(cfg.TLS)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	}
 	var g run.Group
 	err = cmdutil.AddListeners(&g, []cmdutil.Listener{
-		{Address: cfg.RPCAddress, Handler: s.RPC(), Keys: pair},
+		{Address: cfg.RPCAddress, Handler: s.RPC(), Credentials: pair},
 		{Address: cfg.AdminAddress, Handler: s.Admin()},
 		{Address: cfg.Metrics, Handler: set.Handler()},
 	})
@@ -95,7 +95,7 @@
 	return g.Run()
 }
 
-func newClients(address string, pair *keys.Pair) (control.Clients, error) {
+func newClients(address string, pair *keys.Credentials) (control.Clients, error) {
 	platform, err := netutil.NewClient(address)
 	if err != nil {
 		return control.Clients{}, err
--- a/pkg/cmds/entrycmd/entry.go
+++ b/pkg/cmds/entrycmd/entry.go
@@ -53,7 +53,7 @@
 	if err := logflags.Setup(cfg.Log); err != nil {
 		return cmdutil.Usage(err)
 	}
-	pair, err := cmdutil.Keys(cfg.TLS)
+	pair, err := cmdutil.LoadCredentials(cfg.TLS)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	var g run.Group
 	err = cmdutil.AddListeners(&g, []cmdutil.Listener{
 		{Address: cfg.CallerAddress, Handler: s.Handler()},
-		{Address: cfg.RPCAddress, Handler: s.RPC(), Keys: pair},
+		{Address: cfg.RPCAddress, Handler: s.RPC(), Credentials: pair},
 		{Address: cfg.Metrics, Handler: set.Handler()},
 	})
 	if err != nil {
@@ -84,12 +84,12 @@
 	return g.Run()
 }
 
-func newClients(address string, pair *keys.Pair) (entry.Clients, error) {
+func newClients(address string, pair *keys.Credentials) (entry.Clients, error) {
 	endpoints, err := netutil.NewClient(address)
 	if err != nil {
 		return entry.Clients{}, err
 	}
-	once, err := netutil.NewOnceClient(address)
+	once, err := netutil.NewUnpooledClient(address)
 	if err != nil {
 		return entry.Clients{}, err
 	}
--- a/pkg/cmds/fleetcmd/run.go
+++ b/pkg/cmds/fleetcmd/run.go
@@ -42,11 +42,11 @@
 		IP:     cfg.IP,
 		Port:   cfg.ControlPort(),
 		Bootstrap: fleetcontrol.Bootstrap{
-			FirstStart: cfg.Founding,
+			FirstStart: cfg.FirstStart,
 			IPs:        cfg.SeedIPs(),
 		},
 		SeedIPs:         func() []string { return p.cfg.Load().SeedIPs() },
-		ToleratedLosses: cfg.Bounds.Losses,
+		ToleratedLosses: cfg.Bounds.ToleratedLosses,
 		Heartbeat:       cfg.Bounds.Heartbeat.Or(time.Second),
 		Decoder:         platform.Decoder{},
 		Orders:          platform.NewEndpointClient(endpointClients(cfg.IP)),
@@ -74,22 +74,22 @@
 		Domain:             cfg.Domain,
 		CallerAddress:      cfg.Listen.Callers,
 		Seeds:              func() []string { return p.cfg.Load().SeedAddresses() },
-		MaxRevocationDelay: cfg.Bounds.RevokeBound(),
+		MaxRevocationDelay: cfg.Bounds.MaxRevocationDelay(),
 		Decoder:            platform.Decoder{},
 		Client:             p.client,
 		Timer:              p.svc,
 		Log:                p.log,
 	})
 	budget := gateway.RetryBudget{
-		Ratio:  cfg.Bounds.RepeatRatio,
-		Extra:  cfg.Bounds.RepeatExtra,
-		Window: cfg.Bounds.RepeatWindow.Or(time.Second),
+		Ratio:  cfg.Bounds.RetryRatio,
+		Extra:  cfg.Bounds.RetryExtra,
+		Window: cfg.Bounds.RetryWindow.Or(time.Second),
 	}
 	g := gateway.New(cfg.Domain, platform.NewEndpointClient(endpointClients(cfg.IP)), f, budget, p.svc, p.log, p.set)
 	f.SetSources(g.Tracker(), g.Quarantine(), g.Backoffs(), g.Permits())
 	grace := cfg.Bounds.Grace.Or(time.Second)
 	host := fleetentry.NewHost(f, grace, p.svc, p.log)
-	maxAge := min(directoryMaxAge, cfg.Bounds.DirectoryKeep.Or(directoryMaxAge))
+	maxAge := min(directoryMaxAge, cfg.Bounds.DirectoryMaxAge.Or(directoryMaxAge))
 	return p.run([]server{
 		{address: cfg.Listen.Callers, handler: platform.NewCallerHandler(g, host, p.svc)},
 		{address: cfg.Listen.Ready, handler: platform.NewReadinessHandler(host)},
--- a/pkg/cmds/loadcmd/load.go
+++ b/pkg/cmds/loadcmd/load.go
@@ -53,7 +53,7 @@
 		exp.Name = o.name
 	}
 	r := load.New(exp, timer.NewSystem())
-	limit, err := r.Bound(cmd.Context())
+	limit, err := r.ThroughputBound(cmd.Context())
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	if err := o.writeFiles(report, limit); err != nil {
 		return err
 	}
-	if n, some := report.Wrong(); n > 0 {
+	if n, some := report.WrongAnswers(); n > 0 {
 		return errors.Errorf("%d answers were wrong: %v", n, some)
 	}
 	return nil
--- a/pkg/cmds/opcmd/explain.go
+++ b/pkg/cmds/opcmd/explain.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			found := story.Of(lines, args[0])
+			found := story.ForRequest(lines, args[0])
 			if len(found) == 0 {
 				return &cmdutil.ExitError{
 					Code: cmdutil.ExitRefused,
--- a/pkg/cmds/opcmd/op.go
+++ b/pkg/cmds/opcmd/op.go
@@ -83,7 +83,7 @@
 	}
 	code := cmdutil.ExitRefused
 	if f.RetryAfter() > 0 {
-		code = cmdutil.ExitComeBack
+		code = cmdutil.ExitRetryLater
 	}
 	return &cmdutil.ExitError{
 		Code: code,
--- a/pkg/cmds/opcmd/status.go
+++ b/pkg/cmds/opcmd/status.go
@@ -40,10 +40,10 @@
 	t := table{
 		header: []string{"FAILURE DOMAIN", "HOSTS", "IN FORCE", "LOWEST REVISION"},
 	}
-	for _, s := range r.Sites {
-		t.rows = append(t.rows, []string{s.Domain, strconv.Itoa(s.Hosts), strconv.Itoa(s.InForce), strconv.FormatUint(s.LowestRevision, 10)})
+	for _, s := range r.Domains {
+		t.rows = append(t.rows, []string{s.Domain, strconv.Itoa(s.Hosts), strconv.Itoa(s.ActiveHosts), strconv.FormatUint(s.LowestRevision, 10)})
 	}
-	t.rows = append(t.rows, []string{"all", strconv.Itoa(r.Hosts), strconv.Itoa(r.InForce), "newest is " + strconv.FormatUint(r.Revision, 10)})
+	t.rows = append(t.rows, []string{"all", strconv.Itoa(r.Hosts), strconv.Itoa(r.ActiveHosts), "newest is " + strconv.FormatUint(r.Revision, 10)})
 	return t
 }
 
--- a/pkg/cmds/standincmd/standin.go
+++ b/pkg/cmds/standincmd/standin.go
@@ -58,7 +58,7 @@
 	f.IntVar(&cfg.Batch, "batch", 0, "maximum number of sequences in one pass; 0 for the default")
 	f.DurationVar(&cfg.ReportLag, "report-lag", time.Second, "by how much load reports lag")
 	f.Float64Var(&cfg.Scale, "scale", 1, "multiply the time of each pass, to run many engines on one computer")
-	f.BoolVar(&cfg.ChecksOrders, "checks-orders", true, "reject orders that are not newer than the newest one accepted")
+	f.BoolVar(&cfg.RejectStaleOrders, "checks-orders", true, "reject orders that are not newer than the newest one accepted")
 	for _, name := range []string{"address", "model", "end-layer"} {
 		_ = cmd.MarkFlagRequired(name) // the flag exists
 	}
--- a/pkg/config/common.go
+++ b/pkg/config/common.go
@@ -41,15 +41,15 @@
 	Bundles   []string `toml:"bundles"`
 }
 
-// Place is the settings that control and entry hosts share.
-type Place struct {
+// Common is the settings that control and entry hosts share.
+type Common struct {
 	Host    string `toml:"host"`
 	Domain  string `toml:"domain"`
 	Log     string `toml:"log"`
 	Metrics string `toml:"metrics_address"`
 }
 
-func (l Place) check(p *check.Problems) {
+func (l Common) check(p *check.Problems) {
 	p.Name("host", l.Host)
 	p.Name("domain", l.Domain)
 	p.Address("metrics_address", l.Metrics)
--- a/pkg/config/control.go
+++ b/pkg/config/control.go
@@ -7,7 +7,7 @@
 
 // Control is the settings of a control host's replica.
 type Control struct {
-	Place
+	Common
 	Trust
 	TLS          keys.Files `toml:"tls"`
 	ID           uint64     `toml:"id"`
@@ -56,7 +56,7 @@
 }
 
 func (c *Control) check(p *check.Problems) {
-	c.Place.check(p)
+	c.Common.check(p)
 	c.Trust.check(p)
 	checkTLSFiles(c.TLS, p)
 	p.Address("rpc_address", c.RPCAddress)
--- a/pkg/config/entry.go
+++ b/pkg/config/entry.go
@@ -11,19 +11,19 @@
 
 // Entry is the settings of an entry host.
 type Entry struct {
-	Place
+	Common
 	Trust
-	TLS           keys.Files `toml:"tls"`
-	CallerAddress string     `toml:"caller_address"`
-	RPCAddress    string     `toml:"rpc_address"`
-	Control       []string   `toml:"control"`
-	Peers         []string   `toml:"peers"`
-	BodyLimitKB   int        `toml:"body_limit_kb"`
-	Queue         int        `toml:"queue"`
-	LatencyBudget Duration   `toml:"latency_budget"`
-	DrainTimeout  Duration   `toml:"drain_timeout"`
-	RequestLimit  Duration   `toml:"request_timeout"`
-	Policy        string     `toml:"routing_policy"`
+	TLS            keys.Files `toml:"tls"`
+	CallerAddress  string     `toml:"caller_address"`
+	RPCAddress     string     `toml:"rpc_address"`
+	Control        []string   `toml:"control"`
+	Peers          []string   `toml:"peers"`
+	BodyLimitKB    int        `toml:"body_limit_kb"`
+	Queue          int        `toml:"queue"`
+	LatencyBudget  Duration   `toml:"latency_budget"`
+	DrainTimeout   Duration   `toml:"drain_timeout"`
+	RequestTimeout Duration   `toml:"request_timeout"`
+	Policy         string     `toml:"routing_policy"`
 }
 
 // Policies are the allowed values of routing_policy; the first is the default.
@@ -52,7 +52,7 @@
 }
 
 func (c *Entry) check(p *check.Problems) {
-	c.Place.check(p)
+	c.Common.check(p)
 	c.Trust.check(p)
 	checkTLSFiles(c.TLS, p)
 	p.Address("caller_address", c.CallerAddress)
--- a/pkg/config/fleet.go
+++ b/pkg/config/fleet.go
@@ -16,8 +16,8 @@
 	Host   string `toml:"host"`
 	Domain string `toml:"domain"`
 	IP     string `toml:"ip"`
-	// Founding is set at the first start of the whole system, on empty disks.
-	Founding bool `toml:"founding"`
+	// FirstStart is set at the first start of the whole system, on empty disks.
+	FirstStart bool `toml:"founding"`
 	// Data is the directory of a control host's replica. If it is empty, the
 	// control host has no replica and forwards the calls that it receives.
 	Data string `toml:"data"`
@@ -45,15 +45,15 @@
 	Grace        Duration `toml:"grace"`
 	Revoke       Duration `toml:"revoke"`
 	StrictRevoke bool     `toml:"strict_revoke"`
-	// DirectoryKeep is the longest time that callers cache the directory's answers.
-	DirectoryKeep Duration `toml:"directory_keep"`
-	// Losses is how many disks may be lost at once.
-	Losses      int     `toml:"losses"`
-	RepeatRatio float64 `toml:"repeat_ratio"`
-	// RepeatExtra is how many retries are allowed in a window beyond the ratio. It
+	// DirectoryMaxAge is the longest time that callers cache the directory's answers.
+	DirectoryMaxAge Duration `toml:"directory_keep"`
+	// ToleratedLosses is how many disks may be lost at once.
+	ToleratedLosses int     `toml:"losses"`
+	RetryRatio      float64 `toml:"repeat_ratio"`
+	// RetryExtra is how many retries are allowed in a window beyond the ratio. It
 	// may be a fraction.
-	RepeatExtra  float64  `toml:"repeat_extra"`
-	RepeatWindow Duration `toml:"repeat_window"`
+	RetryExtra  float64  `toml:"repeat_extra"`
+	RetryWindow Duration `toml:"repeat_window"`
 }
 
 const (
@@ -81,14 +81,14 @@
 		p.Add("ip", "an IP number", "%q is not an IP number", c.IP)
 	}
 	p.Range("internal_port", c.InternalPort, 1, maxPort)
-	p.Range("bounds.losses", c.Bounds.Losses, 0, maxLosses)
+	p.Range("bounds.losses", c.Bounds.ToleratedLosses, 0, maxLosses)
 	for _, n := range []struct {
 		key   string
 		value float64
 	}{
 		{key: "memory_mb", value: c.MemoryMB},
-		{key: "bounds.repeat_ratio", value: c.Bounds.RepeatRatio},
-		{key: "bounds.repeat_extra", value: c.Bounds.RepeatExtra},
+		{key: "bounds.repeat_ratio", value: c.Bounds.RetryRatio},
+		{key: "bounds.repeat_extra", value: c.Bounds.RetryExtra},
 	} {
 		if n.value < 0 {
 			p.Add(n.key, "0 or more", "%v is negative", n.value)
@@ -151,9 +151,9 @@
 	return list
 }
 
-// RevokeBound returns for how long a revoked key may still be accepted; 0 if that
+// MaxRevocationDelay returns for how long a revoked key may still be accepted; 0 if that
 // isn't bounded.
-func (b *FleetBounds) RevokeBound() time.Duration {
+func (b *FleetBounds) MaxRevocationDelay() time.Duration {
 	if !b.StrictRevoke {
 		return 0
 	}
--- a/pkg/config/fleet_test.go
+++ b/pkg/config/fleet_test.go
@@ -54,19 +54,19 @@
 			{
 				from: "repeat_extra = 784",
 				to:   "repeat_extra = 52.3",
-				get:  func(c *config.Fleet) float64 { return c.Bounds.RepeatExtra },
+				get:  func(c *config.Fleet) float64 { return c.Bounds.RetryExtra },
 				want: 52.3,
 			},
 			{
 				from: "repeat_extra = 784",
 				to:   "repeat_extra = 784",
-				get:  func(c *config.Fleet) float64 { return c.Bounds.RepeatExtra },
+				get:  func(c *config.Fleet) float64 { return c.Bounds.RetryExtra },
 				want: 784,
 			},
 			{
 				from: "repeat_ratio = 0.2",
 				to:   "repeat_ratio = 1",
-				get:  func(c *config.Fleet) float64 { return c.Bounds.RepeatRatio },
+				get:  func(c *config.Fleet) float64 { return c.Bounds.RetryRatio },
 				want: 1,
 			},
 			{
@@ -90,7 +90,7 @@
 			{
 				from: `directory_keep = "5s"`,
 				to:   `directory_keep = "2.5s"`,
-				get:  func(c *config.Fleet) float64 { return c.Bounds.DirectoryKeep.Or(0).Seconds() },
+				get:  func(c *config.Fleet) float64 { return c.Bounds.DirectoryMaxAge.Or(0).Seconds() },
 				want: 2.5,
 			},
 		}
--- a/pkg/control/admin.go
+++ b/pkg/control/admin.go
@@ -108,7 +108,7 @@
 		http.Redirect(w, r, u.String(), http.StatusTemporaryRedirect)
 	case errors.As(err, &notLeader):
 		answer.Failure(w, unavailable(err, failure.RanNo))
-	case errors.Is(err, replica.ErrLost), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, replica.ErrLeadershipLost), errors.Is(err, context.DeadlineExceeded):
 		answer.Failure(w, unavailable(err, failure.RanUnknown))
 	default:
 		answer.Failure(w, err)
--- a/pkg/control/admin_bundles.go
+++ b/pkg/control/admin_bundles.go
@@ -34,7 +34,7 @@
 }
 
 func (s *Server) listBundles(r *http.Request, _ config.Operator) (any, error) {
-	all := s.stateMachine.Wire().GetBundles()
+	all := s.stateMachine.BundleSetProto().GetBundles()
 	from, to, next, err := pageOf(r, len(all))
 	if err != nil {
 		return nil, err
--- a/pkg/control/admin_hosts.go
+++ b/pkg/control/admin_hosts.go
@@ -64,7 +64,7 @@
 func (s *Server) rollout(_ *http.Request, _ config.Operator) (any, error) {
 	out := api.Rollout{
 		Revision: s.stateMachine.Revision(),
-		Sites:    []api.SiteView{},
+		Domains:  []api.DomainView{},
 	}
 	for _, h := range s.presence.hosts(s.svc.Now()) {
 		out.Hosts++
@@ -72,25 +72,25 @@
 		domain.Hosts++
 		domain.LowestRevision = min(domain.LowestRevision, h.Revision)
 		if h.Revision == out.Revision {
-			out.InForce++
-			domain.InForce++
+			out.ActiveHosts++
+			domain.ActiveHosts++
 		}
 	}
-	sort.Slice(out.Sites, func(i, j int) bool { return out.Sites[i].Domain < out.Sites[j].Domain })
+	sort.Slice(out.Domains, func(i, j int) bool { return out.Domains[i].Domain < out.Domains[j].Domain })
 	return out, nil
 }
 
-func domainOf(out *api.Rollout, h api.HostView) *api.SiteView {
-	for i := range out.Sites {
-		if out.Sites[i].Domain == h.Domain {
-			return &out.Sites[i]
+func domainOf(out *api.Rollout, h api.HostView) *api.DomainView {
+	for i := range out.Domains {
+		if out.Domains[i].Domain == h.Domain {
+			return &out.Domains[i]
 		}
 	}
-	out.Sites = append(out.Sites, api.SiteView{
+	out.Domains = append(out.Domains, api.DomainView{
 		Domain:         h.Domain,
 		LowestRevision: h.Revision,
 	})
-	return &out.Sites[len(out.Sites)-1]
+	return &out.Domains[len(out.Domains)-1]
 }
 
 func (s *Server) listReplicas(_ *http.Request, _ config.Operator) (any, error) {
--- a/pkg/control/presence.go
+++ b/pkg/control/presence.go
@@ -170,7 +170,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.beginTerm(epoch)
-	p.table.List(now, list)
+	p.table.ApplyList(now, list)
 	p.listRead = p.listRead || len(list.Hosts) > 0
 	p.assign(now)
 }
@@ -179,7 +179,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.beginTerm(epoch)
-	p.table.Judge(now)
+	p.table.Evaluate(now)
 	p.expireHosts(now)
 	p.assign(now)
 }
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -57,7 +57,7 @@
 // localReply returns the bundles that changed after revision known, as this replica
 // holds them. Bundles are never removed, so these are all that the caller lacks.
 func (s *Server) localReply(known uint64) *rpc.FetchReply {
-	wire := s.stateMachine.Wire()
+	wire := s.stateMachine.BundleSetProto()
 	return &rpc.FetchReply{
 		Revision: wire.GetRevision(),
 		Set:      changedSince(wire, known),
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -90,13 +90,13 @@
 		metrics:      set,
 	}
 	rc := replica.Config{
-		ID:        cfg.ID,
-		Tick:      cfg.Tick.Or(defaultTick),
-		Store:     st,
-		Machine:   s.stateMachine,
-		Transport: replica.NewTwirpTransport(cfg.ID, clients.RPC, g),
-		Timer:     svc,
-		Seed:      uint64(svc.Now().UnixNano()),
+		ID:           cfg.ID,
+		Tick:         cfg.Tick.Or(defaultTick),
+		Store:        st,
+		StateMachine: s.stateMachine,
+		Transport:    replica.NewTwirpTransport(cfg.ID, clients.RPC, g),
+		Timer:        svc,
+		Seed:         uint64(svc.Now().UnixNano()),
 	}
 	if start.NewCluster {
 		rc.Bootstrap = members(cfg.Replicas)
@@ -190,7 +190,7 @@
 	s.metrics.Gauge("raft_leader").Update(boolGauge(st.Role == raft.Leader))
 	s.metrics.Gauge("log_bytes").Update(st.LogBytes)
 	s.metrics.Gauge("revision").Update(int64(s.stateMachine.Revision()))
-	s.metrics.Gauge("claims").Update(int64(s.stateMachine.Claims()))
+	s.metrics.Gauge("claims").Update(int64(s.stateMachine.ClaimCount()))
 }
 
 func boolGauge(b bool) int64 {
@@ -207,7 +207,7 @@
 	switch {
 	case errors.As(err, &notLeader):
 		return twirp.Unavailable.Error(err.Error())
-	case errors.Is(err, replica.ErrLost), errors.Is(err, context.DeadlineExceeded):
+	case errors.Is(err, replica.ErrLeadershipLost), errors.Is(err, context.DeadlineExceeded):
 		return twirp.DeadlineExceeded.Error(err.Error())
 	default:
 		return twirp.InternalErrorWith(err)
--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -61,9 +61,9 @@
 	return d.epoch, d.version, d.entriesVersion
 }
 
-// Take applies a reply of the control hosts. What a new leader's full table lacks
+// Apply applies a reply of the control hosts. What a new leader's full table lacks
 // isn't removed at once, as that leader may not have received it yet.
-func (d *Directory) Take(r *rpc.BeatReply) {
+func (d *Directory) Apply(r *rpc.BeatReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.applyEntries(r)
@@ -128,8 +128,8 @@
 	return list
 }
 
-// Hosts returns the number of entry hosts.
-func (d *Directory) Hosts() int {
+// EntryHostCount returns the number of entry hosts.
+func (d *Directory) EntryHostCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.entries)
@@ -142,9 +142,9 @@
 	return d.endpoints[address]
 }
 
-// Stages returns the engines that hold layers of a model's version and take
+// Engines returns the engines that hold layers of a model's version and take
 // new work, sorted by address. The caller must not change the list.
-func (d *Directory) Stages(model, version string) []*Endpoint {
+func (d *Directory) Engines(model, version string) []*Endpoint {
 	return d.usable(indexKey{
 		model:   model,
 		version: version,
--- a/pkg/directory/endpoint.go
+++ b/pkg/directory/endpoint.go
@@ -115,9 +115,9 @@
 	e.changes.Add(1)
 }
 
-// Opened records that this host opened a session, the load that the answer
+// SessionOpened records that this host opened a session, the load that the answer
 // reported and its round-trip time.
-func (e *Endpoint) Opened(sessions int, rtt time.Duration) {
+func (e *Endpoint) SessionOpened(sessions int, rtt time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inflight++
@@ -133,17 +133,17 @@
 	e.rtt += time.Duration(rttWeight * float64(rtt-e.rtt))
 }
 
-// Closed records that this host closed a session.
-func (e *Endpoint) Closed() {
+// SessionClosed records that this host closed a session.
+func (e *Endpoint) SessionClosed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inflight--
 	e.sessionDelta--
 }
 
-// Full records that the endpoint refused a session because every slot is taken.
+// MarkFull records that the endpoint refused a session because every slot is taken.
 // That isn't a failure: the endpoint answers, at its highest load.
-func (e *Endpoint) Full() {
+func (e *Endpoint) MarkFull() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reportedSessions = int(e.info.GetSlots())
@@ -151,8 +151,8 @@
 	e.reportedAt = e.svc.Now()
 }
 
-// Failed records that the endpoint failed a request of this host.
-func (e *Endpoint) Failed() {
+// MarkFailed records that the endpoint failed a request of this host.
+func (e *Endpoint) MarkFailed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	avoidance := initialAvoidance << min(e.failures, 4)
--- a/pkg/entry/claimer.go
+++ b/pkg/entry/claimer.go
@@ -74,7 +74,7 @@
 		RunsMs:     uint32(c.requestTimeout.Milliseconds()),
 	}
 	var reply *rpc.ClaimReply
-	err := netutil.InTurn(ctx, c.control, func(ctx context.Context, address string) (bool, error) {
+	err := netutil.TryAddresses(ctx, c.control, func(ctx context.Context, address string) (bool, error) {
 		var err error
 		reply, err = rpc.NewClaimsProtobufClient("http://"+address, c.client).Claim(ctx, r)
 		return err == nil, err
--- a/pkg/entry/fixture_test.go
+++ b/pkg/entry/fixture_test.go
@@ -238,7 +238,7 @@
 	e.callers = newTestServer(s.group)
 	e.peers = newTestServer(s.group)
 	e.cfg = &config.Entry{
-		Place: config.Place{
+		Common: config.Common{
 			Host:   fmt.Sprintf("entry-%d", i+1),
 			Domain: "a",
 		},
@@ -263,7 +263,7 @@
 
 // startEntry starts a new incarnation of an entry host.
 func (s *system) startEntry(e *entryHost) {
-	once, err := netutil.NewOnceClient("127.0.0.1:0")
+	once, err := netutil.NewUnpooledClient("127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	client := newClient()
 	e.server, err = entry.New(e.cfg, timer.NewSystem(), entry.Clients{Endpoints: client, Once: once, RPC: client}, metrics.New(), e.group)
@@ -355,7 +355,7 @@
 func (s *system) awaitReady() {
 	for _, e := range s.entries {
 		Eventually(func() int {
-			return len(e.server.Directory().Stages("koit", "1")) + len(e.server.Directory().Service("staff-app"))
+			return len(e.server.Directory().Engines("koit", "1")) + len(e.server.Directory().Service("staff-app"))
 		}, waitTimeout, 20*time.Millisecond).Should(Equal(7))
 		Eventually(func() int {
 			resp, err := http.Get("http://" + e.callers.address + api.ReadyPath)
--- a/pkg/entry/format.go
+++ b/pkg/entry/format.go
@@ -64,7 +64,7 @@
 func (f chatFormat) lastChunk(g *generation, r chain.Result) any {
 	b := f.body(g, chatChunkObject, api.ChatChoice{
 		Delta:        &api.ChatDelta{},
-		FinishReason: &r.End,
+		FinishReason: &r.FinishReason,
 	})
 	b.Usage = usage(r)
 	return b
@@ -76,7 +76,7 @@
 			Role:    assistant,
 			Content: text,
 		},
-		FinishReason: &r.End,
+		FinishReason: &r.FinishReason,
 	})
 	b.Usage = usage(r)
 	return b
@@ -107,7 +107,7 @@
 
 func (f textFormat) lastChunk(g *generation, r chain.Result) any {
 	b := f.body(g, api.TextChoice{
-		FinishReason: &r.End,
+		FinishReason: &r.FinishReason,
 	})
 	b.Usage = usage(r)
 	return b
@@ -116,7 +116,7 @@
 func (f textFormat) answer(g *generation, text string, r chain.Result) any {
 	b := f.body(g, api.TextChoice{
 		Text:         text,
-		FinishReason: &r.End,
+		FinishReason: &r.FinishReason,
 	})
 	b.Usage = usage(r)
 	return b
--- a/pkg/entry/http.go
+++ b/pkg/entry/http.go
@@ -60,7 +60,7 @@
 			s.fail(w, "", err)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), s.cfg.RequestLimit.Or(defaultRequestTimeout))
+		ctx, cancel := context.WithTimeout(r.Context(), s.cfg.RequestTimeout.Or(defaultRequestTimeout))
 		defer cancel()
 		r.Body = http.MaxBytesReader(w, r.Body, int64(s.cfg.BodyLimitKB)<<10)
 		next(w, r.WithContext(ctx), a)
--- a/pkg/entry/measure_test.go
+++ b/pkg/entry/measure_test.go
@@ -128,7 +128,7 @@
 
 func (s *system) activeEverywhere(revision uint64) bool {
 	for _, e := range s.entries {
-		if e.server.Keeper().Set().Revision() < revision {
+		if e.server.Syncer().Set().Revision() < revision {
 			return false
 		}
 	}
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -97,7 +97,7 @@
 	for _, address := range s.cfg.Control {
 		reply, err := s.sendHeartbeat(ctx, address, r)
 		if err == nil {
-			s.dir.Take(reply)
+			s.dir.Apply(reply)
 			s.watcher.assign(reply.GetWatch(), reply.GetWatchDigest())
 			return
 		}
--- a/pkg/entry/server.go
+++ b/pkg/entry/server.go
@@ -86,7 +86,7 @@
 	})
 	s.accounts = limits.NewAccounts(svc, s.hostCount)
 	s.queue = limits.NewAdmissionQueue(svc, cfg.LatencyBudget.Or(defaultLatencyBudget), s.capacity)
-	s.claims = newClaimer(cfg.Host, s.incarnation, cfg.Control, clients.RPC, cfg.RequestLimit.Or(defaultRequestTimeout))
+	s.claims = newClaimer(cfg.Host, s.incarnation, cfg.Control, clients.RPC, cfg.RequestTimeout.Or(defaultRequestTimeout))
 	s.watcher = newWatcher(clients.Endpoints, svc)
 	return s, nil
 }
@@ -108,8 +108,8 @@
 	return mux
 }
 
-// Keeper returns the syncer of this host's active set of bundles.
-func (s *Server) Keeper() *rollout.Syncer {
+// Syncer returns the syncer of this host's active set of bundles.
+func (s *Server) Syncer() *rollout.Syncer {
 	return s.syncer
 }
 
@@ -118,8 +118,8 @@
 	return s.dir
 }
 
-// Gate returns the admission queue in front of the engines.
-func (s *Server) Gate() *limits.AdmissionQueue {
+// AdmissionQueue returns the admission queue in front of the engines.
+func (s *Server) AdmissionQueue() *limits.AdmissionQueue {
 	return s.queue
 }
 
@@ -142,7 +142,7 @@
 
 // hostCount returns the number of entry hosts, this one included.
 func (s *Server) hostCount() int {
-	return max(1, s.dir.Hosts())
+	return max(1, s.dir.EntryHostCount())
 }
 
 // peers returns the RPC addresses of the other entry hosts from which sets of
@@ -165,7 +165,7 @@
 	total := 0
 	for _, b := range s.syncer.Set().Bundles() {
 		for _, m := range b.Models {
-			total += route.Slots(s.dir.Stages(m.Name, m.Version), m.Layers)
+			total += route.Slots(s.dir.Engines(m.Name, m.Version), m.Layers)
 		}
 	}
 	return max(1, total/s.hostCount())
--- a/pkg/entry/service.go
+++ b/pkg/entry/service.go
@@ -177,7 +177,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		e.Failed()
+		e.MarkFailed()
 		lastErr = err
 		if !neverSent(err) {
 			ran = failure.RanUnknown
@@ -247,8 +247,8 @@
 	req.Header.Set(api.HeaderRequestID, c.id)
 	req.Header.Set(api.HeaderAccount, c.account.Name)
 	began := s.svc.Now()
-	e.Opened(0, 0)
-	defer e.Closed()
+	e.SessionOpened(0, 0)
+	defer e.SessionClosed()
 	resp, err := s.clientFor(c).Do(req)
 	if err != nil {
 		return nil, errors.Wrap(err, "call")
--- a/pkg/fake/fakelink/proxy.go
+++ b/pkg/fake/fakelink/proxy.go
@@ -10,13 +10,13 @@
 	"github.com/larchwinch/larchwinch/pkg/group"
 )
 
-// Way is a direction of a connection.
-type Way int
+// Direction is a direction of a connection.
+type Direction int
 
 // The directions in which data can be dropped.
 const (
-	Forth Way = iota // from the side that connected to the target
-	Back
+	ToTarget Direction = iota // from the side that connected to the target
+	FromTarget
 	Both
 )
 
@@ -68,15 +68,15 @@
 	p.group.Stop()
 }
 
-// Silence makes every connection that is open now drop all further data in a
+// Blackhole makes every connection that is open now drop all further data in a
 // direction. Neither end is notified.
-func (p *Proxy) Silence(direction Way) {
+func (p *Proxy) Blackhole(direction Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
 		l.mu.Lock()
-		l.blackholed[Forth] = l.blackholed[Forth] || direction != Back
-		l.blackholed[Back] = l.blackholed[Back] || direction != Forth
+		l.blackholed[ToTarget] = l.blackholed[ToTarget] || direction != FromTarget
+		l.blackholed[FromTarget] = l.blackholed[FromTarget] || direction != ToTarget
 		l.mu.Unlock()
 	}
 }
@@ -105,14 +105,14 @@
 		p.mu.Lock()
 		p.links = append(p.links, l)
 		p.mu.Unlock()
-		p.group.Go(func(context.Context) { l.forward(Forth) })
-		p.group.Go(func(context.Context) { l.forward(Back) })
+		p.group.Go(func(context.Context) { l.forward(ToTarget) })
+		p.group.Go(func(context.Context) { l.forward(FromTarget) })
 	}
 }
 
 // forward copies bytes in one direction until either end closes. A blackholed
 // direction still accepts data and drops it.
-func (l *link) forward(direction Way) {
+func (l *link) forward(direction Direction) {
 	defer l.close()
 	buf := make([]byte, 32<<10)
 	from, to := l.conns[direction], l.conns[1-direction]
@@ -129,7 +129,7 @@
 	}
 }
 
-func (l *link) isBlackholed(direction Way) bool {
+func (l *link) isBlackholed(direction Direction) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.blackholed[direction]
--- a/pkg/fleet/configuration.go
+++ b/pkg/fleet/configuration.go
@@ -32,7 +32,7 @@
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	Limits   Limits
+	Limits   RequestLimits
 }
 
 // Route sends the requests for one host name and path prefix to services.
@@ -120,8 +120,8 @@
 	Priority int
 }
 
-// Limits bound the size of a caller's request.
-type Limits struct {
+// RequestLimits bound the size of a caller's request.
+type RequestLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -33,9 +33,9 @@
 	LastHeartbeat time.Time
 	// Silent endpoints have missed heartbeats.
 	Silent bool
-	// Recalled says that the endpoint was read from a control host's disk, and
+	// Restored says that the endpoint was read from a control host's disk, and
 	// that no heartbeat has come since that host started.
-	Recalled bool
+	Restored bool
 	// Slowdown is how many times as slow as its kind the endpoint reports to be.
 	Slowdown float64
 }
--- a/pkg/fleet/index.go
+++ b/pkg/fleet/index.go
@@ -42,7 +42,7 @@
 }
 
 // Limits returns the bounds of a caller's request.
-func (x *Index) Limits() Limits {
+func (x *Index) Limits() RequestLimits {
 	return x.cfg.Limits
 }
 
--- a/pkg/fleet/notice.go
+++ b/pkg/fleet/notice.go
@@ -13,7 +13,7 @@
 	// no backoff.
 	Backoff time.Duration
 	// Limit is its rate limit, for all hosts together.
-	Limit Limit
+	Limit RateLimit
 }
 
 // LimitStatus says whether an answer reports a rate limit.
@@ -29,8 +29,8 @@
 	LimitSet
 )
 
-// Limit is the rate limit that an endpoint reports with an answer, if any.
-type Limit struct {
+// RateLimit is the rate limit that an endpoint reports with an answer, if any.
+type RateLimit struct {
 	Status    LimitStatus
 	PerSecond float64 // requests, with LimitSet; 0 or more
 }
--- a/pkg/fleet/patch.go
+++ b/pkg/fleet/patch.go
@@ -12,9 +12,9 @@
 // and new content of 4 MB each, the largest configurations that operators send.
 const maxPatchWindow = 8 << 20
 
-// Patch returns next compressed with base as the dictionary, so that a host that
+// MakePatch returns next compressed with base as the dictionary, so that a host that
 // holds base needs only a few bytes for a small change.
-func Patch(base, next []byte) ([]byte, error) {
+func MakePatch(base, next []byte) ([]byte, error) {
 	w, err := zstd.NewWriter(nil,
 		zstd.WithEncoderDictRaw(0, base),
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -41,9 +41,9 @@
 	return w
 }
 
-// Patched applies a patch to the base that it was made from and returns the new
+// ApplyPatch applies a patch to the base that it was made from and returns the new
 // content.
-func Patched(base, patch []byte) ([]byte, error) {
+func ApplyPatch(base, patch []byte) ([]byte, error) {
 	r, err := zstd.NewReader(nil,
 		zstd.WithDecoderDictRaw(0, base),
 		zstd.WithDecoderConcurrency(1),
@@ -93,9 +93,9 @@
 	}
 }
 
-// Note adds a configuration, as compressed by Pack. One that isn't newer than
+// Add adds a configuration, as compressed by Pack. One that isn't newer than
 // the newest is ignored.
-func (h *History) Note(version uint64, packed []byte) error {
+func (h *History) Add(version uint64, packed []byte) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version <= h.newest() {
@@ -124,9 +124,9 @@
 	return h.entries[len(h.entries)-1].version
 }
 
-// Since returns the patch from base to version and the digest of its result. The
+// Patch returns the patch from base to version and the digest of its result. The
 // patch is nil unless version is the newest and base is an older one that is held.
-func (h *History) Since(base, version uint64) (patch []byte, digest uint64, err error) {
+func (h *History) Patch(base, version uint64) (patch []byte, digest uint64, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version != h.newest() {
@@ -138,7 +138,7 @@
 			continue
 		}
 		if h.patches[base] == nil {
-			if h.patches[base], err = Patch(p.content, next); err != nil {
+			if h.patches[base], err = MakePatch(p.content, next); err != nil {
 				return nil, 0, err
 			}
 		}
--- a/pkg/fleet/patch_test.go
+++ b/pkg/fleet/patch_test.go
@@ -26,10 +26,10 @@
 	It("yields the next configuration, and is small for a small change", func() {
 		base := configurationText(1640, 1)
 		next := bytes.Replace(configurationText(1640, 2), []byte(`"Weight":90`), []byte(`"Weight":80`), 1)
-		patch, err := Patch(base, next)
+		patch, err := MakePatch(base, next)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(patch)).To(BeNumerically("<", 1000))
-		got, err := Patched(base, patch)
+		got, err := ApplyPatch(base, patch)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(got, next)).To(BeTrue())
 	})
@@ -41,11 +41,11 @@
 			if rapid.Bool().Draw(t, "like") {
 				next = append(append([]byte{}, base...), next...)
 			}
-			patch, err := Patch(base, next)
+			patch, err := MakePatch(base, next)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Patched(base, patch)
+			got, err := ApplyPatch(base, patch)
 			if err != nil || !bytes.Equal(got, next) {
 				t.Fatalf("%v: got %x, want %x", err, got, next)
 			}
@@ -54,11 +54,11 @@
 
 	It("fails, or yields another digest, if it is applied to another base", func() {
 		base, next := configurationText(200, 1), configurationText(200, 2)
-		patch, err := Patch(base, next)
+		patch, err := MakePatch(base, next)
 		Expect(err).NotTo(HaveOccurred())
-		got, err := Patched(configurationText(190, 7), patch)
+		got, err := ApplyPatch(configurationText(190, 7), patch)
 		Expect(err != nil || ContentDigest(got) != ContentDigest(next)).To(BeTrue())
-		_, err = Patched(base, patch[:len(patch)/2])
+		_, err = ApplyPatch(base, patch[:len(patch)/2])
 		Expect(err).To(HaveOccurred())
 	})
 })
@@ -67,7 +67,7 @@
 	add := func(h *History, version int) {
 		packed, err := Pack(configurationText(20, version))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(h.Note(uint64(version), packed)).To(Succeed())
+		Expect(h.Add(uint64(version), packed)).To(Succeed())
 	}
 
 	It("patches from the versions that it holds to the newest only", func() {
@@ -91,11 +91,11 @@
 			{base: newest, version: newest + 10, held: false},
 		}
 		for _, c := range cases {
-			patch, digest, err := h.Since(c.base, c.version)
+			patch, digest, err := h.Patch(c.base, c.version)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(patch != nil).To(Equal(c.held), fmt.Sprint(c))
 			if c.held {
-				got, err := Patched(configurationText(20, int(c.base)), patch)
+				got, err := ApplyPatch(configurationText(20, int(c.base)), patch)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(got).To(Equal(configurationText(20, int(c.version))))
 				Expect(ContentDigest(got)).To(Equal(digest))
@@ -107,30 +107,30 @@
 		h := NewHistory()
 		add(h, 5)
 		add(h, 4)
-		patch, _, err := h.Since(4, 5)
+		patch, _, err := h.Patch(4, 5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(patch).To(BeNil())
-		Expect(h.Note(6, []byte("not packed"))).NotTo(Succeed())
+		Expect(h.Add(6, []byte("not packed"))).NotTo(Succeed())
 		Expect(h.newest()).To(BeEquivalentTo(5))
 	})
 })
 
 func BenchmarkPatch(b *testing.B) {
 	base, next := configurationText(1640, 1), configurationText(1640, 2)
-	patch, err := Patch(base, next)
+	patch, err := MakePatch(base, next)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Run("make", func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
-			_, _ = Patch(base, next)
+			_, _ = MakePatch(base, next)
 		}
 	})
 	b.Run("apply", func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
-			_, _ = Patched(base, patch)
+			_, _ = ApplyPatch(base, patch)
 		}
 	})
 	b.Run("full", func(b *testing.B) {
--- a/pkg/fleetcontrol/limits.go
+++ b/pkg/fleetcontrol/limits.go
@@ -119,7 +119,7 @@
 }
 
 // observeLimit applies the rate limit in an endpoint's answer to this process.
-func (c *endpointClient) observeLimit(id string, l fleet.Limit, sentAt time.Time) {
+func (c *endpointClient) observeLimit(id string, l fleet.RateLimit, sentAt time.Time) {
 	report := permit.LimitReport{
 		Key:        permit.EndpointKey(id),
 		PerSecond:  -1,
--- a/pkg/fleetcontrol/limits_test.go
+++ b/pkg/fleetcontrol/limits_test.go
@@ -188,7 +188,7 @@
 				return due
 			}
 			c.granter.BeginTerm(limitTerm)
-			c.observeLimit("e1", fleet.Limit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
+			c.observeLimit("e1", fleet.RateLimit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
 			clock.Advance(6 * time.Second) // enough for two and a half permits
 			probeAndOrder(c)
 			Expect(waiter()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
@@ -196,17 +196,17 @@
 	})
 
 	It("apply the limit in every answer, and its removal", func() {
-		e := &countingEndpoints{notice: fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: 8}}}
+		e := &countingEndpoints{notice: fleet.Notice{Limit: fleet.RateLimit{Status: fleet.LimitSet, PerSecond: 8}}}
 		withEndpointClient(e, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
 			c.granter.BeginTerm(limitTerm)
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // only the notice counts
 			Expect(c.granter.Size()).To(Equal(1))
-			e.notice.Limit = fleet.Limit{}
+			e.notice.Limit = fleet.RateLimit{}
 			_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 			clock.Advance(5 * time.Second)
 			c.granter.Expire()
 			Expect(c.granter.Size()).To(Equal(1), "an unknown limit removes nothing")
-			e.notice.Limit = fleet.Limit{Status: fleet.LimitNone}
+			e.notice.Limit = fleet.RateLimit{Status: fleet.LimitNone}
 			for range 2 {
 				_, _ = c.Report(context.Background(), "e1", "127.0.2.1:80") // the same
 				clock.Advance(5 * time.Second)
--- a/pkg/fleetcontrol/replica.go
+++ b/pkg/fleetcontrol/replica.go
@@ -152,14 +152,14 @@
 	machine := state.New(claimWindow.Milliseconds())
 	transport := replica.NewTwirpTransport(id, r.client, g)
 	node, err := replica.New(replica.Config{
-		ID:        id,
-		Tick:      raftTick,
-		Store:     st,
-		Machine:   machine,
-		Transport: transport,
-		Timer:     r.svc,
-		Seed:      id ^ uint64(r.svc.Now().UnixNano()),
-		Bootstrap: members,
+		ID:           id,
+		Tick:         raftTick,
+		Store:        st,
+		StateMachine: machine,
+		Transport:    transport,
+		Timer:        r.svc,
+		Seed:         id ^ uint64(r.svc.Now().UnixNano()),
+		Bootstrap:    members,
 	})
 	if err != nil {
 		return err
--- a/pkg/fleetcontrol/standing.go
+++ b/pkg/fleetcontrol/standing.go
@@ -28,7 +28,7 @@
 	if doc == nil {
 		return
 	}
-	if err := s.history.Note(doc.GetVersion(), doc.GetContent()); err != nil {
+	if err := s.history.Add(doc.GetVersion(), doc.GetContent()); err != nil {
 		s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration that stands can't be unpacked"), eventlog.Err(err))
 	}
 }
@@ -37,7 +37,7 @@
 // version is no longer in the history, or the full document is smaller.
 func (s *Server) patchFor(doc *rpc.Document, held uint64) *rpc.DocumentPatch {
 	s.recordDocument(doc)
-	patch, digest, err := s.history.Since(held, doc.GetVersion())
+	patch, digest, err := s.history.Patch(held, doc.GetVersion())
 	if err != nil {
 		s.cfg.Log.Event(eventlog.Unexpected, eventlog.Str("what", "the configuration can't be patched"), eventlog.Err(err))
 		return nil
--- a/pkg/fleetcontrol/standing_test.go
+++ b/pkg/fleetcontrol/standing_test.go
@@ -72,14 +72,14 @@
 			Expect(content).To(Equal(largeConfiguration(7)))
 
 			Eventually(func() error {
-				_, _, err := other.history.Since(1, 7)
+				_, _, err := other.history.Patch(1, 7)
 				return err
 			}).Should(Succeed())
 			c.replaceConfig(ip, largeConfiguration(9))
 			patched := ask(&rpc.SyncRequest{Host: &rpc.FleetHost{Name: "c"}, DocumentVersion: 7, AskOthers: true})
 			Expect(patched.GetPatch().GetBase()).To(BeEquivalentTo(7))
 			Expect(len(patched.GetPatch().GetPatch())).To(BeNumerically("<", 500))
-			next, err := fleet.Patched(content, patched.GetPatch().GetPatch())
+			next, err := fleet.ApplyPatch(content, patched.GetPatch().GetPatch())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(next).To(Equal(largeConfiguration(9)))
 			Expect(fleet.ContentDigest(next)).To(Equal(patched.GetPatch().GetDigest()))
--- a/pkg/fleetentry/controlclient_test.go
+++ b/pkg/fleetentry/controlclient_test.go
@@ -316,7 +316,7 @@
 		Expect(client.syncRequest("10.0.0.9:80").GetDocumentVersion()).To(BeEquivalentTo(3))
 		next, err := json.Marshal(&fleet.Configuration{Version: 4})
 		Expect(err).NotTo(HaveOccurred())
-		good, err := fleet.Patch(client.content, next)
+		good, err := fleet.MakePatch(client.content, next)
 		Expect(err).NotTo(HaveOccurred())
 		patched := func(base uint64, patch []byte, digest uint64) *rpc.SyncReply {
 			reply := confirmedReply(3)
--- a/pkg/fleetentry/document.go
+++ b/pkg/fleetentry/document.go
@@ -55,7 +55,7 @@
 	if c.configVersion() != patch.GetBase() {
 		return nil, errPatchMismatch
 	}
-	content, err := fleet.Patched(c.content, patch.GetPatch())
+	content, err := fleet.ApplyPatch(c.content, patch.GetPatch())
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/fleetentry/host.go
+++ b/pkg/fleetentry/host.go
@@ -80,10 +80,10 @@
 
 // Limits returns the size limits of callers' requests. They are zero before the first
 // configuration.
-func (h *Host) Limits() fleet.Limits {
+func (h *Host) Limits() fleet.RequestLimits {
 	v := h.View()
 	if v.Index == nil {
-		return fleet.Limits{}
+		return fleet.RequestLimits{}
 	}
 	return v.Index.Limits()
 }
--- a/pkg/fleetentry/limits_test.go
+++ b/pkg/fleetentry/limits_test.go
@@ -58,7 +58,7 @@
 var _ = Describe("an entry host's rate limits and permits", func() {
 	It("are reported with each call: observed limits, demand and unused permits; again if a call got no reply", func() {
 		withGrantingControl(nil, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, clock *timer.Manual) {
-			holder.Observe("e1", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 7}, clock.Now())
+			holder.Observe("e1", "s", fleet.RateLimit{Status: fleet.LimitSet, PerSecond: 7}, clock.Now())
 			holder.CountRequest("s")
 			holder.CountRequest("s")
 			q := client.syncRequest("10.0.0.9:80")
@@ -123,7 +123,7 @@
 			g := group.New(context.Background())
 			defer g.Stop()
 			g.Go(client.reportObservedLimits)
-			holder.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
+			holder.Observe("e2", "s", fleet.RateLimit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
 			client.ReportLimits()
 			Eventually(c.requestCount, "5s").Should(Equal(1))
 			Expect(c.requests[0].GetWords()[0].GetEndpoint()).To(Equal(permit.EndpointKey("e2")))
@@ -133,7 +133,7 @@
 			g := group.New(context.Background())
 			defer g.Stop()
 			g.Go(client.reportObservedLimits)
-			holder.Observe("e2", "s", fleet.Limit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
+			holder.Observe("e2", "s", fleet.RateLimit{Status: fleet.LimitSet, PerSecond: 2}, clock.Now())
 			client.ReportLimits()
 			Eventually(c.requestCount, "5s").Should(Equal(1))
 			Expect(client.syncRequest("10.0.0.9:80").GetLimitWords()).To(HaveLen(1))
--- a/pkg/fleetentry/silent_test.go
+++ b/pkg/fleetentry/silent_test.go
@@ -16,7 +16,7 @@
 
 var _ = Describe("connections to a control host that stop responding", func() {
 	It("cost one time-out, however many were idle, and whichever direction is lost", func() {
-		for _, way := range []fakelink.Way{fakelink.Forth, fakelink.Back, fakelink.Both} {
+		for _, way := range []fakelink.Direction{fakelink.ToTarget, fakelink.FromTarget, fakelink.Both} {
 			gate := make(chan struct{})
 			withControl(func(int, *rpc.SyncRequest) *rpc.SyncReply {
 				<-gate
@@ -39,7 +39,7 @@
 				Eventually(p.Opened, "5s", "5ms").Should(Equal(idle))
 				close(gate)
 				calls.Wait()
-				p.Silence(way)
+				p.Blackhole(way)
 				g := group.New(context.Background())
 				defer g.Stop()
 				began := time.Now()
--- a/pkg/gateway/feed.go
+++ b/pkg/gateway/feed.go
@@ -55,7 +55,7 @@
 // read makes the call and reads the answer to its end. A panic ends the answer with an
 // error.
 func (r *answerReader) read(ctx context.Context, send sender) {
-	if err := group.Try(func() { r.run(ctx, send) }); err != nil {
+	if err := group.CatchPanic(func() { r.run(ctx, send) }); err != nil {
 		r.end(ctx, &SendError{
 			Sent:  true,
 			Cause: err,
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -25,7 +25,7 @@
 
 // observeLimit records the rate limit that an endpoint reported with the answer to a
 // call sent at sent. A change is logged and sent to the leader at once.
-func (g *Gateway) observeLimit(service, id string, l fleet.Limit, sent time.Time) {
+func (g *Gateway) observeLimit(service, id string, l fleet.RateLimit, sent time.Time) {
 	if id == "" || !g.permits.Observe(id, service, l, sent) {
 		return
 	}
@@ -43,7 +43,7 @@
 // is, so both get it: a limit that an endpoint does not have is removed with its next
 // answer, while calls beyond a limit would harm the endpoint. If such an answer reports
 // no limit, nothing follows from that.
-func (g *Gateway) observeAnswerLimit(j *job, c *Call, subject string, l fleet.Limit, sent time.Time) {
+func (g *Gateway) observeAnswerLimit(j *job, c *Call, subject string, l fleet.RateLimit, sent time.Time) {
 	if subject == c.ID {
 		g.observeLimit(j.service.Name, subject, l, sent)
 		return
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -15,7 +15,7 @@
 )
 
 func limitNotice(perSecond float64) fleet.Notice {
-	return fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitSet, PerSecond: perSecond}}
+	return fleet.Notice{Limit: fleet.RateLimit{Status: fleet.LimitSet, PerSecond: perSecond}}
 }
 
 // reportingLimit answers successfully; the given endpoints report a rate limit in their
@@ -23,7 +23,7 @@
 func reportingLimit(ids ...string) func(int, *Call) (*Answer, error) {
 	return func(_ int, c *Call) (*Answer, error) {
 		a := goodAnswer(c)
-		a.Notice = fleet.Notice{Limit: fleet.Limit{Status: fleet.LimitNone}}
+		a.Notice = fleet.Notice{Limit: fleet.RateLimit{Status: fleet.LimitNone}}
 		if slices.Contains(ids, c.ID) {
 			a.Notice = limitNotice(8)
 		}
@@ -244,7 +244,7 @@
 			}
 			b.gateway.permits.Acknowledge(1, b.gateway.permits.PendingReports())
 			b.clock.Advance(time.Second)
-			b.gateway.observeAnswerLimit(&job{service: &fleet.Service{Name: "llm"}}, &Call{ID: path[0].ID}, path[1].ID, fleet.Limit{Status: fleet.LimitNone}, b.clock.Now())
+			b.gateway.observeAnswerLimit(&job{service: &fleet.Service{Name: "llm"}}, &Call{ID: path[0].ID}, path[1].ID, fleet.RateLimit{Status: fleet.LimitNone}, b.clock.Now())
 			Expect(b.gateway.permits.PendingReports()).To(BeEmpty())
 		})
 	})
--- a/pkg/gateway/whole.go
+++ b/pkg/gateway/whole.go
@@ -358,7 +358,7 @@
 
 // tryAttempt is attempt, but turns a panic into a failed attempt.
 func (g *Gateway) tryAttempt(ctx context.Context, j *job, e fleet.Endpoint) (r *attemptResult) {
-	if err := group.Try(func() { r = g.attempt(ctx, j, e) }); err != nil {
+	if err := group.CatchPanic(func() { r = g.attempt(ctx, j, e) }); err != nil {
 		return &attemptResult{
 			endpoint: e,
 			err: &SendError{
--- a/pkg/group/try.go
+++ b/pkg/group/try.go
@@ -18,10 +18,10 @@
 	return fmt.Sprintf("panic at %s: %v", e.At, e.Value)
 }
 
-// Try runs f and returns a panic in it as a *PanicError. It is for goroutines that
+// CatchPanic runs f and returns a panic in it as a *PanicError. It is for goroutines that
 // serve one request: as in net/http's server, one unexpected request must not end the
 // process. Its caller would retry it on the next host and end that one too.
-func Try(f func()) (err error) {
+func CatchPanic(f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = &PanicError{
--- a/pkg/group/try_test.go
+++ b/pkg/group/try_test.go
@@ -15,8 +15,8 @@
 var _ = Describe("Try", func() {
 	It("returns a panic and its location", func() {
 		var none *PanicError
-		Expect(Try(func() {})).To(Succeed())
-		Expect(Try(func() { panic("odd") })).To(MatchError("panic at try_test.go:19: odd"))
-		Expect(Try(func() { _ = none.At })).To(MatchError(ContainSubstring("try_test.go:20: runtime error")))
+		Expect(CatchPanic(func() {})).To(Succeed())
+		Expect(CatchPanic(func() { panic("odd") })).To(MatchError("panic at try_test.go:19: odd"))
+		Expect(CatchPanic(func() { _ = none.At })).To(MatchError(ContainSubstring("try_test.go:20: runtime error")))
 	})
 })
--- a/pkg/keys/keys.go
+++ b/pkg/keys/keys.go
@@ -31,10 +31,10 @@
 // checkInterval is the shortest time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// Pair is a certificate with its key and the authority's certificates. When the
+// Credentials is a certificate with its key and the authority's certificates. When the
 // files change, the next connection uses them, without a restart. If they can't be
 // read, the old ones stay in use. It is safe for concurrent use.
-type Pair struct {
+type Credentials struct {
 	files Files
 	svc   timer.Service
 
@@ -47,8 +47,8 @@
 }
 
 // New reads the files.
-func New(files Files, svc timer.Service) (*Pair, error) {
-	p := &Pair{
+func New(files Files, svc timer.Service) (*Credentials, error) {
+	p := &Credentials{
 		files: files,
 		svc:   svc,
 	}
@@ -59,13 +59,13 @@
 }
 
 // Err returns the error of the last read of changed files, or nil.
-func (p *Pair) Err() error {
+func (p *Credentials) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-func (p *Pair) load() error {
+func (p *Credentials) load() error {
 	cert, err := tls.LoadX509KeyPair(p.files.Certificate, p.files.Key)
 	if err != nil {
 		return errors.Wrap(err, "certificate")
@@ -85,7 +85,7 @@
 
 // current returns the certificate and the authorities in use, after reading the
 // files again if they changed.
-func (p *Pair) current() (*tls.Certificate, *x509.CertPool) {
+func (p *Credentials) current() (*tls.Certificate, *x509.CertPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.svc.Now()
@@ -100,7 +100,7 @@
 	return p.cert, p.pool
 }
 
-func (p *Pair) fileModTimes() [3]time.Time {
+func (p *Credentials) fileModTimes() [3]time.Time {
 	var s [3]time.Time
 	for i, name := range []string{p.files.Certificate, p.files.Key, p.files.Authority} {
 		if info, err := os.Stat(name); err == nil {
@@ -110,8 +110,8 @@
 	return s
 }
 
-// Server returns the TLS configuration of a listener.
-func (p *Pair) Server() *tls.Config {
+// ServerConfig returns the TLS configuration of a listener.
+func (p *Credentials) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -128,7 +128,7 @@
 
 // clientConfig returns the TLS configuration of a connection to host, an IP
 // address or a name.
-func (p *Pair) clientConfig(host string) *tls.Config {
+func (p *Credentials) clientConfig(host string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (p *Pair) verify(c tls.ConnectionState, host string) error {
+func (p *Credentials) verify(c tls.ConnectionState, host string) error {
 	if len(c.PeerCertificates) == 0 {
 		return errors.New("the peer presented no certificate")
 	}
@@ -171,7 +171,7 @@
 
 // NewTransport returns a Transport that sends its requests through base, whose
 // DialTLSContext it sets.
-func NewTransport(base *http.Transport, p *Pair) *Transport {
+func NewTransport(base *http.Transport, p *Credentials) *Transport {
 	dial := base.DialContext
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -205,6 +205,6 @@
 }
 
 // Listener returns l with TLS.
-func Listener(l net.Listener, p *Pair) net.Listener {
-	return tls.NewListener(l, p.Server())
+func Listener(l net.Listener, p *Credentials) net.Listener {
+	return tls.NewListener(l, p.ServerConfig())
 }
--- a/pkg/keys/keys_test.go
+++ b/pkg/keys/keys_test.go
@@ -116,7 +116,7 @@
 }
 
 // call sends one request on a new connection.
-func call(p *keys.Pair, address string) error {
+func call(p *keys.Credentials, address string) error {
 	client := &http.Client{
 		Transport: keys.NewTransport(&http.Transport{DisableKeepAlives: true}, p),
 		Timeout:   10 * time.Second,
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -129,9 +129,9 @@
 	return t
 }
 
-// Wrong returns how many answers were incomplete or differed from the reference,
+// WrongAnswers returns how many answers were incomplete or differed from the reference,
 // and descriptions of the first few.
-func (r *Report) Wrong() (int, []string) {
+func (r *Report) WrongAnswers() (int, []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.mismatches), r.mismatches[:min(len(r.mismatches), 5)]
@@ -197,9 +197,9 @@
 	return strconv.FormatFloat(float64(us)/1000, 'f', 1, 64)
 }
 
-// Bound reads the engines' cost curves and computes the maximum number of tokens a
+// ThroughputBound reads the engines' cost curves and computes the maximum number of tokens a
 // second that they can generate with this experiment's mix.
-func (r *Runner) Bound(ctx context.Context) (float64, error) {
+func (r *Runner) ThroughputBound(ctx context.Context) (float64, error) {
 	var engines []bound.Engine
 	for _, address := range r.exp.Engines {
 		info, err := r.engineInfo(ctx, address)
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -23,12 +23,12 @@
 				list.Hosts = append(list.Hosts, api.ListedHost{Address: a})
 				reports = append(reports, &rpc.EndpointReport{Address: a, Reachable: true})
 			}
-			t.List(start, list)
+			t.ApplyList(start, list)
 			for w := range membership.WatchersPerEndpoint {
 				t.Report(start, fmt.Sprint("w", w), reports)
 			}
 			for b.Loop() {
-				t.Judge(start.Add(time.Second))
+				t.Evaluate(start.Add(time.Second))
 			}
 		})
 	}
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -73,9 +73,9 @@
 	return t.version
 }
 
-// List applies the platform's host list. An empty list is taken for a fault of
+// ApplyList applies the platform's host list. An empty list is taken for a fault of
 // the platform and ignored.
-func (t *Table) List(now time.Time, list api.HostList) {
+func (t *Table) ApplyList(now time.Time, list api.HostList) {
 	if len(list.Hosts) == 0 {
 		return
 	}
@@ -92,7 +92,7 @@
 			t.markChanged(e, now)
 		}
 	}
-	t.Judge(now)
+	t.Evaluate(now)
 }
 
 // Report applies the probe results of one watcher. Addresses that the table
@@ -133,9 +133,9 @@
 	}
 }
 
-// Judge recomputes the state of every endpoint and removes dead ones after
+// Evaluate recomputes the state of every endpoint and removes dead ones after
 // deadRetention.
-func (t *Table) Judge(now time.Time) {
+func (t *Table) Evaluate(now time.Time) {
 	trusted := t.trustedWatchers(now)
 	for address, e := range t.entries {
 		state := evaluate(e, now, trusted)
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -44,7 +44,7 @@
 			})
 		}
 	}
-	x.table.List(x.now, list)
+	x.table.ApplyList(x.now, list)
 }
 
 // report applies a watcher's reports of all endpoints, with those in lost as
@@ -69,7 +69,7 @@
 		reports = append(reports, r)
 	}
 	x.table.Report(x.now, watcher, reports)
-	x.table.Judge(x.now)
+	x.table.Evaluate(x.now)
 }
 
 func (x *fixture) state(address string) rpc.EndpointState {
@@ -131,12 +131,12 @@
 	It("keeps live endpoints when the host list flaps or reports stop", func() {
 		withTable(func(x *fixture) {
 			x.report("w1", 1)
-			x.table.List(x.now, api.HostList{})
+			x.table.ApplyList(x.now, api.HostList{})
 			Expect(x.live()).To(Equal(4))
 			x.list(map[string]bool{"e0": true, "e1": true, "e2": true})
 			Expect(x.live()).To(Equal(4))
 			x.now = x.now.Add(time.Hour)
-			x.table.Judge(x.now)
+			x.table.Evaluate(x.now)
 			Expect(x.live()).To(Equal(4))
 		})
 	})
@@ -148,7 +148,7 @@
 				Address: "e0", Reachable: true,
 				Info: &rpc.Endpoint{Incarnation: 1, State: rpc.EndpointState_ENDPOINT_LEAVING},
 			}})
-			x.table.Judge(x.now)
+			x.table.Evaluate(x.now)
 			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LEAVING))
 			x.report("w2", 1)
 			Expect(x.state("e0")).To(Equal(rpc.EndpointState_ENDPOINT_LEAVING), "a late report of the same incarnation")
--- a/pkg/netutil/inturn.go
+++ b/pkg/netutil/inturn.go
@@ -11,10 +11,10 @@
 // all the time that is left.
 const attemptTimeout = 500 * time.Millisecond
 
-// InTurn calls call with one address after the other until call reports that it is
+// TryAddresses calls call with one address after the other until call reports that it is
 // done or ctx ends, and returns the last call's error. It goes through the addresses
 // twice, so the request that call makes must be safe to repeat.
-func InTurn(ctx context.Context, addresses []string, call func(ctx context.Context, address string) (done bool, err error)) error {
+func TryAddresses(ctx context.Context, addresses []string, call func(ctx context.Context, address string) (done bool, err error)) error {
 	var last error
 	for round := range 2 {
 		for _, address := range addresses {
--- a/pkg/netutil/inturn_test.go
+++ b/pkg/netutil/inturn_test.go
@@ -30,7 +30,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		began := time.Now()
-		err := InTurn(ctx, []string{"silent", "good"}, func(ctx context.Context, address string) (bool, error) {
+		err := TryAddresses(ctx, []string{"silent", "good"}, func(ctx context.Context, address string) (bool, error) {
 			if address == "silent" {
 				return false, waitFor(ctx, time.Minute)
 			}
@@ -42,7 +42,7 @@
 
 	It("tries each address again without the attempt timeout, so that a slow answer isn't lost", func() {
 		calls := 0
-		err := InTurn(context.Background(), []string{"slow", "down"}, func(ctx context.Context, address string) (bool, error) {
+		err := TryAddresses(context.Background(), []string{"slow", "down"}, func(ctx context.Context, address string) (bool, error) {
 			calls++
 			if address == "down" {
 				return false, errors.New("down")
@@ -56,12 +56,12 @@
 
 	It("stops at the call that reports that it is done, and when the caller's context ends", func() {
 		final := errors.New("final")
-		Expect(InTurn(context.Background(), []string{"a", "b"}, func(context.Context, string) (bool, error) {
+		Expect(TryAddresses(context.Background(), []string{"a", "b"}, func(context.Context, string) (bool, error) {
 			return true, final
 		})).To(MatchError(final))
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
-		Expect(InTurn(ctx, []string{"a"}, func(ctx context.Context, _ string) (bool, error) {
+		Expect(TryAddresses(ctx, []string{"a"}, func(ctx context.Context, _ string) (bool, error) {
 			return false, waitFor(ctx, time.Minute)
 		})).To(MatchError(context.DeadlineExceeded))
 	})
--- a/pkg/netutil/netutil.go
+++ b/pkg/netutil/netutil.go
@@ -29,15 +29,15 @@
 	return newClient(address, false)
 }
 
-// NewOnceClient returns a client that makes a new connection for each request, so
+// NewUnpooledClient returns a client that makes a new connection for each request, so
 // that a failure to connect proves that nothing was sent.
-func NewOnceClient(address string) (*http.Client, error) {
+func NewUnpooledClient(address string) (*http.Client, error) {
 	return newClient(address, true)
 }
 
 // NewRPCClient returns a client for calls to larchwinch's own processes. With
 // credentials it uses mutual TLS, with nil plain HTTP.
-func NewRPCClient(address string, pair *keys.Pair) (*http.Client, error) {
+func NewRPCClient(address string, pair *keys.Credentials) (*http.Client, error) {
 	c, err := NewClient(address)
 	if err != nil || pair == nil {
 		return c, err
@@ -48,7 +48,7 @@
 
 // ListenRPC is Listen for calls from larchwinch's own processes. With credentials
 // the server uses mutual TLS, with nil plain HTTP.
-func ListenRPC(address string, h http.Handler, pair *keys.Pair) (*Server, error) {
+func ListenRPC(address string, h http.Handler, pair *keys.Credentials) (*Server, error) {
 	s, err := Listen(address, h)
 	if err != nil || pair == nil {
 		return s, err
--- a/pkg/opclient/client.go
+++ b/pkg/opclient/client.go
@@ -68,7 +68,7 @@
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return netutil.InTurn(ctx, c.addresses, func(ctx context.Context, address string) (bool, error) {
+	return netutil.TryAddresses(ctx, c.addresses, func(ctx context.Context, address string) (bool, error) {
 		err := c.follow(ctx, method, "http://"+address+path, in, out)
 		return err == nil || failure.From(err).Kind() != failure.ControlUnavailable, err
 	})
--- a/pkg/pattern/limits.go
+++ b/pkg/pattern/limits.go
@@ -362,11 +362,11 @@
 		if h.epoch != epoch {
 			return
 		}
-		l := fleet.Limit{
+		l := fleet.RateLimit{
 			Status: fleet.LimitNone,
 		}
 		if n := m.scenario.Limit(e.index, m.clock.now); n >= 0 {
-			l = fleet.Limit{
+			l = fleet.RateLimit{
 				Status:    fleet.LimitSet,
 				PerSecond: n,
 			}
--- a/pkg/permit/book.go
+++ b/pkg/permit/book.go
@@ -98,7 +98,7 @@
 
 // Observe applies what the answer to a call sent at the given time says about an endpoint's
 // limit. It reports whether the leader must learn of it at once.
-func (h *Holder) Observe(id, service string, l fleet.Limit, sent time.Time) bool {
+func (h *Holder) Observe(id, service string, l fleet.RateLimit, sent time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if l.Status == fleet.LimitUnknown || l.Status == fleet.LimitNone && len(h.entries) == 0 {
--- a/pkg/permit/book_test.go
+++ b/pkg/permit/book_test.go
@@ -15,11 +15,11 @@
 	RunSpecs(t, "permit")
 }
 
-func limitSet(n float64) fleet.Limit {
-	return fleet.Limit{Status: fleet.LimitSet, PerSecond: n}
+func limitSet(n float64) fleet.RateLimit {
+	return fleet.RateLimit{Status: fleet.LimitSet, PerSecond: n}
 }
 
-var noLimit = fleet.Limit{Status: fleet.LimitNone}
+var noLimit = fleet.RateLimit{Status: fleet.LimitNone}
 
 // withHolder runs f on the holder of a host that knows of no limit.
 func withHolder(f func(h *Holder, clock *timer.Manual)) {
@@ -138,13 +138,13 @@
 	It("is urgent if it is new or falls, and otherwise reported with the next call", func() {
 		withHolder(func(h *Holder, clock *timer.Manual) {
 			cases := []struct {
-				limit    fleet.Limit
+				limit    fleet.RateLimit
 				urgent   bool
 				reported float64
 			}{
 				{limitSet(8), true, 8},
 				{limitSet(8), false, 8},
-				{fleet.Limit{}, false, 8},
+				{fleet.RateLimit{}, false, 8},
 				{limitSet(7), false, 7},
 				{limitSet(3), true, 3},
 				{limitSet(9), false, 9},
--- a/pkg/raft/core.go
+++ b/pkg/raft/core.go
@@ -33,10 +33,10 @@
 	return roleNames[r]
 }
 
-// Snapshots returns the newest durable snapshot, which the leader sends to a
+// SnapshotSource returns the newest durable snapshot, which the leader sends to a
 // follower that needs entries which were compacted away.
-type Snapshots interface {
-	Latest() (*rpc.SnapshotMeta, []byte)
+type SnapshotSource interface {
+	LatestSnapshot() (*rpc.SnapshotMeta, []byte)
 }
 
 // Config configures a Core. Every field must be set.
@@ -57,11 +57,11 @@
 	// Rand draws election timeouts.
 	Rand *rand.Rand
 	// Snapshots returns the snapshot to send.
-	Snapshots Snapshots
+	Snapshots SnapshotSource
 }
 
-// Durable is what the store held when the replica started.
-type Durable struct {
+// StoredState is what the store held when the replica started.
+type StoredState struct {
 	HardState *rpc.HardState
 	Snapshot  *rpc.SnapshotMeta
 	Entries   []*rpc.LogEntry
@@ -134,7 +134,7 @@
 
 // New returns a replica that continues from d. If neither the log nor the
 // snapshot holds a membership, the replica waits for a leader to add it.
-func New(cfg Config, d Durable) *Core {
+func New(cfg Config, d StoredState) *Core {
 	c := &Core{
 		cfg:         cfg,
 		term:        d.HardState.GetTerm(),
@@ -159,8 +159,8 @@
 
 // Bootstrap returns the stored state of a new cluster: a log whose only entry
 // holds the members.
-func Bootstrap(members *rpc.Members) Durable {
-	return Durable{
+func Bootstrap(members *rpc.Members) StoredState {
+	return StoredState{
 		HardState: &rpc.HardState{
 			Term:   1,
 			Commit: 1,
@@ -220,8 +220,8 @@
 	}), c.term, nil
 }
 
-// Take returns the pending work and clears it.
-func (c *Core) Take() Ready {
+// Ready returns the pending work and clears it.
+func (c *Core) Ready() Ready {
 	c.flushAppends()
 	c.confirmReads()
 	rd := c.pendingReady
--- a/pkg/raft/core_test.go
+++ b/pkg/raft/core_test.go
@@ -23,7 +23,7 @@
 	state []byte
 }
 
-func (f fixedSnapshot) Latest() (*rpc.SnapshotMeta, []byte) {
+func (f fixedSnapshot) LatestSnapshot() (*rpc.SnapshotMeta, []byte) {
 	return f.meta, f.state
 }
 
@@ -62,7 +62,7 @@
 
 // persist takes the Ready, reports its entries as persisted and returns it.
 func persist(c *raft.Core) raft.Ready {
-	rd := c.Take()
+	rd := c.Ready()
 	if n := len(rd.Entries); n > 0 {
 		c.Persisted(rd.Entries[n-1].GetIndex(), rd.Entries[n-1].GetTerm())
 	}
@@ -107,7 +107,7 @@
 		Expect(c.ReadIndex(7)).To(Succeed())
 		Expect(persist(c).Reads).To(BeEmpty())
 		old := c.Round()
-		c.Beat()
+		c.HeartbeatForReads()
 		Expect(ack(c, 2, old).Reads).To(BeEmpty(), "an answer to an earlier round must not confirm the read")
 		Expect(ack(c, 2, c.Round()).Reads).To(HaveLen(1))
 	})
@@ -116,7 +116,7 @@
 		c := newCore(fixedSnapshot{}, 3, 2)
 		elect(c)
 		Expect(c.ReadIndex(7)).To(Succeed())
-		c.Beat()
+		c.HeartbeatForReads()
 		Expect(ack(c, 2, c.Round()).Reads).To(BeEmpty(), "the new leader may not know the latest commit index yet")
 		Expect(ack(c, 3, c.Round()).Reads).To(HaveLen(1))
 	})
@@ -183,9 +183,9 @@
 		chunk(0, "abcd", false)
 		chunk(4, "efgh", false)
 		chunk(4, "efgh", false)
-		Expect(c.Take().Snapshot).To(BeNil())
+		Expect(c.Ready().Snapshot).To(BeNil())
 		chunk(8, "ij", true)
-		Expect(string(c.Take().Snapshot.GetState())).To(Equal("abcdefghij"))
+		Expect(string(c.Ready().Snapshot.GetState())).To(Equal("abcdefghij"))
 	})
 
 	It("sends the snapshot in chunks to a follower that needs compacted entries", func() {
@@ -196,7 +196,7 @@
 		c.Step(&rpc.RaftMessage{Kind: rpc.RaftKind_RAFT_APPEND_REPLY, From: 3, Term: c.Term(), Reject: true, LogIndex: 3, Hint: 1})
 		got := ""
 		for range 3 {
-			m := lastTo(c.Take(), 3)
+			m := lastTo(c.Ready(), 3)
 			Expect(m.GetKind()).To(Equal(rpc.RaftKind_RAFT_SNAPSHOT))
 			got += string(m.GetChunk())
 			c.Step(&rpc.RaftMessage{
--- a/pkg/raft/read.go
+++ b/pkg/raft/read.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// Beat starts a heartbeat round at once if a pending read needs a new one.
-func (c *Core) Beat() {
+// HeartbeatForReads starts a heartbeat round at once if a pending read needs a new one.
+func (c *Core) HeartbeatForReads() {
 	if c.role != Leader {
 		return
 	}
--- a/pkg/raft/snapshot.go
+++ b/pkg/raft/snapshot.go
@@ -13,7 +13,7 @@
 // sendChunk sends the follower the next chunk of the newest snapshot.
 func (c *Core) sendChunk(id uint64) {
 	p := c.peers[id]
-	meta, state := c.cfg.Snapshots.Latest()
+	meta, state := c.cfg.Snapshots.LatestSnapshot()
 	if meta == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	p.snapshotOffset = m.GetChunkOffset()
-	if _, state := c.cfg.Snapshots.Latest(); p.snapshotOffset < uint64(len(state)) {
+	if _, state := c.cfg.Snapshots.LatestSnapshot(); p.snapshotOffset < uint64(len(state)) {
 		c.sendChunk(m.GetFrom())
 	}
 }
--- a/pkg/registry/recall.go
+++ b/pkg/registry/recall.go
@@ -17,7 +17,7 @@
 		if t.entries[e.ID] != nil {
 			continue
 		}
-		e.Recalled = true
+		e.Restored = true
 		e.Silent = true
 		e.Loading = false
 		e.LastHeartbeat = time.Time{}
@@ -37,7 +37,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for id, ent := range t.entries {
-		if ent.Recalled {
+		if ent.Restored {
 			delete(t.entries, id)
 			t.bumpVersion()
 			n++
@@ -50,7 +50,7 @@
 func (t *Table) Announced() []fleet.Endpoint {
 	var list []fleet.Endpoint
 	for _, e := range t.All() {
-		if !e.Recalled {
+		if !e.Restored {
 			list = append(list, e)
 		}
 	}
@@ -62,7 +62,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, ent := range t.entries {
-		if ent.Recalled {
+		if ent.Restored {
 			return true
 		}
 	}
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -173,7 +173,7 @@
 		next.LastHeartbeat = e.LastHeartbeat
 	}
 	next.Silent = old.Silent && !next.LastHeartbeat.After(old.LastHeartbeat)
-	next.Recalled = old.Recalled && e.Recalled
+	next.Restored = old.Restored && e.Restored
 	if next.Layers != old.Layers {
 		t.logLayers(&next)
 	}
@@ -210,7 +210,7 @@
 			}
 			continue
 		}
-		if ent.Address == e.Address && !ent.Gone && !ent.Recalled && e.Sequence > ent.Sequence && now.Sub(ent.LastHeartbeat) < 2*t.interval {
+		if ent.Address == e.Address && !ent.Gone && !ent.Restored && e.Sequence > ent.Sequence && now.Sub(ent.LastHeartbeat) < 2*t.interval {
 			return true
 		}
 	}
@@ -270,7 +270,7 @@
 	return a.Service == b.Service && a.Address == b.Address && a.Domain == b.Domain && a.Slots == b.Slots &&
 		a.Leaving == b.Leaving && a.Gone == b.Gone && a.Kind == b.Kind && a.Model == b.Model &&
 		a.Layers == b.Layers && a.Loading == b.Loading && a.Silent == b.Silent && a.Slowdown == b.Slowdown &&
-		a.Recalled == b.Recalled
+		a.Restored == b.Restored
 }
 
 // recordChange logs that an endpoint joined, is leaving or is gone, and records the latter two
@@ -310,7 +310,7 @@
 	var late []fleet.Endpoint
 	for id, ent := range t.entries {
 		age := ent.sinceLastContact(now)
-		if ent.Recalled {
+		if ent.Restored {
 			continue
 		}
 		if age > forgetAfter {
--- a/pkg/replica/node.go
+++ b/pkg/replica/node.go
@@ -16,9 +16,9 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// Machine is the replicated state. Apply and Restore are called by one goroutine
+// StateMachine is the replicated state. Apply and Restore are called by one goroutine
 // only.
-type Machine interface {
+type StateMachine interface {
 	Apply(data []byte) ([]byte, error)
 	Snapshot() ([]byte, error)
 	Restore(data []byte) error
@@ -34,13 +34,13 @@
 // Config configures a Node. Every field must be set except AppendBytes,
 // ChunkBytes and Bootstrap.
 type Config struct {
-	ID        uint64
-	Tick      time.Duration
-	Store     *store.Store
-	Machine   Machine
-	Transport Transport
-	Timer     timer.Service
-	Seed      uint64
+	ID           uint64
+	Tick         time.Duration
+	Store        *store.Store
+	StateMachine StateMachine
+	Transport    Transport
+	Timer        timer.Service
+	Seed         uint64
 	// AppendBytes limits the size of the entries in one message, ChunkBytes the
 	// size of a snapshot chunk; 0 selects the default.
 	AppendBytes int
@@ -82,10 +82,10 @@
 	return "not the leader; ask " + e.Leader.GetAddress()
 }
 
-// ErrLost is returned for a request whose outcome is unknown, since this replica
+// ErrLeadershipLost is returned for a request whose outcome is unknown, since this replica
 // lost leadership or stopped before it completed. A proposal may still be
 // committed.
-var ErrLost = errors.New("the lead was lost before the change was committed; it may still come into force")
+var ErrLeadershipLost = errors.New("the lead was lost before the change was committed; it may still come into force")
 
 // Node is a running replica.
 //
@@ -124,7 +124,7 @@
 
 // New returns a node that continues from the state in its store.
 func New(cfg Config) (*Node, error) {
-	d := raft.Durable{
+	d := raft.StoredState{
 		HardState: cfg.Store.HardState(),
 		Snapshot:  cfg.Store.Snapshot().GetMeta(),
 		Entries:   cfg.Store.Entries(),
@@ -136,7 +136,7 @@
 		}
 	}
 	if snap := cfg.Store.Snapshot(); snap != nil {
-		if err := cfg.Machine.Restore(snap.GetState()); err != nil {
+		if err := cfg.StateMachine.Restore(snap.GetState()); err != nil {
 			return nil, err
 		}
 	}
@@ -175,7 +175,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	ticks := n.cfg.Timer.Every(n.cfg.Tick)
 	defer ticks.Stop()
-	defer n.failPending(ErrLost)
+	defer n.failPending(ErrLeadershipLost)
 	for {
 		select {
 		case <-ctx.Done():
@@ -324,9 +324,9 @@
 // advance processes Readys until there is nothing left to do.
 func (n *Node) advance() error {
 	for {
-		n.core.Beat()
+		n.core.HeartbeatForReads()
 		n.recordRoundStart()
-		rd := n.core.Take()
+		rd := n.core.Ready()
 		if rd.Empty() {
 			n.publishStatus()
 			return nil
@@ -366,14 +366,14 @@
 		return err
 	}
 	n.applied = file.GetMeta().GetIndex()
-	n.failPending(ErrLost)
+	n.failPending(ErrLeadershipLost)
 	logflags.Info(logflags.Raft, "installed snapshot", "index", n.applied)
-	return n.cfg.Machine.Restore(file.GetState())
+	return n.cfg.StateMachine.Restore(file.GetState())
 }
 
 func (n *Node) apply(entries []*rpc.LogEntry) error {
 	for _, e := range entries {
-		reply, err := n.cfg.Machine.Apply(e.GetData())
+		reply, err := n.cfg.StateMachine.Apply(e.GetData())
 		if err != nil {
 			return err
 		}
@@ -395,7 +395,7 @@
 	delete(n.proposals, e.GetIndex())
 	if p.term != e.GetTerm() {
 		p.reply <- result{
-			err: ErrLost,
+			err: ErrLeadershipLost,
 		}
 		return
 	}
@@ -413,7 +413,7 @@
 
 // takeSnapshot stores a snapshot of the applied state and compacts the log.
 func (n *Node) takeSnapshot() error {
-	state, err := n.cfg.Machine.Snapshot()
+	state, err := n.cfg.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
--- a/pkg/replica/sim_test.go
+++ b/pkg/replica/sim_test.go
@@ -157,13 +157,13 @@
 	h.incarnation++
 	h.stateMachine = &history{}
 	cfg := Config{
-		ID:        id,
-		Tick:      simTick,
-		Store:     st,
-		Machine:   h.stateMachine,
-		Transport: h,
-		Timer:     h.clock,
-		Seed:      s.rnd.Uint64(),
+		ID:           id,
+		Tick:         simTick,
+		Store:        st,
+		StateMachine: h.stateMachine,
+		Transport:    h,
+		Timer:        h.clock,
+		Seed:         s.rnd.Uint64(),
 		// One entry per message and small snapshot chunks, so that faults also
 		// hit between them.
 		AppendBytes: 1,
@@ -212,7 +212,7 @@
 		if !h.disk.Crashed() {
 			s.fail("host %d: %v", h.id, err)
 		}
-		h.node.failPending(ErrLost)
+		h.node.failPending(ErrLeadershipLost)
 		h.node = nil
 	}
 	s.checkInvariants()
@@ -325,7 +325,7 @@
 	}
 	h.disk.Crash()
 	if h.node != nil {
-		h.node.failPending(ErrLost)
+		h.node.failPending(ErrLeadershipLost)
 	}
 	h.node = nil
 	h.frozen = false
--- a/pkg/route/bench_test.go
+++ b/pkg/route/bench_test.go
@@ -33,7 +33,7 @@
 			State:      rpc.EndpointState_ENDPOINT_LIVE,
 		})
 	}
-	d.Take(r)
+	d.Apply(r)
 	return d
 }
 
@@ -46,7 +46,7 @@
 			r := route.New(route.ExpectedFinish, "a", func() int { return 450 }, rand.New(rand.NewPCG(1, 1)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if r.Choose(d.Stages("m3", ""), 0, benchLayers, nil) == nil {
+				if r.Choose(d.Engines("m3", ""), 0, benchLayers, nil) == nil {
 					b.Fatal("no chain")
 				}
 			}
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -86,10 +86,10 @@
 	Scale float64
 	// ReportLag is how old a reported load may be before it is refreshed.
 	ReportLag time.Duration
-	// ChecksOrders is whether the engine rejects orders that are not newer than the
+	// RejectStaleOrders is whether the engine rejects orders that are not newer than the
 	// newest one accepted.
-	ChecksOrders bool
-	Timer        timer.Service
+	RejectStaleOrders bool
+	Timer             timer.Service
 	// Client calls the next stage.
 	Client *http.Client
 	// Die ends the process; tests substitute a function of their own.
--- a/pkg/standin/engine/http.go
+++ b/pkg/standin/engine/http.go
@@ -129,7 +129,7 @@
 	if !readJSON(w, r, &o) {
 		return
 	}
-	if !e.orders.accept(o, e.cfg.ChecksOrders) {
+	if !e.orders.accept(o, e.cfg.RejectStaleOrders) {
 		http.Error(w, "a newer order was taken", http.StatusConflict)
 	}
 }
--- a/pkg/standin/engine/ledger.go
+++ b/pkg/standin/engine/ledger.go
@@ -8,9 +8,9 @@
 	// Runs counts, by position, how often the stage's layers ran since the
 	// engine last lost its sessions.
 	Runs []int `json:"runs"`
-	// Lives is how often the engine has lost its sessions since the entry was
+	// Resets is how often the engine has lost its sessions since the entry was
 	// made.
-	Lives int `json:"lives"`
+	Resets int `json:"lives"`
 	// Rebuilt is how many of those runs filled the KV cache of a replacement.
 	Rebuilt int `json:"rebuilt"`
 	// Imported is how many positions came with an imported KV cache.
@@ -72,7 +72,7 @@
 	defer l.mu.Unlock()
 	l.resets++
 	for _, e := range l.entries {
-		e.Lives++
+		e.Resets++
 		e.Runs = nil
 	}
 }
--- a/pkg/state/quarantine.go
+++ b/pkg/state/quarantine.go
@@ -20,8 +20,8 @@
 	maxQuarantined = 1024
 )
 
-// Held is a request that is or was quarantined.
-type Held struct {
+// QuarantinedRequest is a request that is or was quarantined.
+type QuarantinedRequest struct {
 	Fingerprint uint64
 	// UntilMS is the time at which the request is released, as a Unix time in
 	// milliseconds.
@@ -106,12 +106,12 @@
 
 // Quarantine returns the requests that are or were quarantined, ordered by
 // fingerprint.
-func (m *Machine) Quarantine() []Held {
+func (m *Machine) Quarantine() []QuarantinedRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	list := make([]Held, 0, len(m.quarantine.records))
+	list := make([]QuarantinedRequest, 0, len(m.quarantine.records))
 	for _, r := range m.quarantine.sorted() {
-		list = append(list, Held{
+		list = append(list, QuarantinedRequest{
 			Fingerprint: r.GetFingerprint(),
 			UntilMS:     quarantinedUntil(r),
 		})
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -110,16 +110,16 @@
 	return m.changed
 }
 
-// Wire returns the active bundle set as a protobuf message. The caller must not
+// BundleSetProto returns the active bundle set as a protobuf message. The caller must not
 // modify it.
-func (m *Machine) Wire() *rpc.BundleSet {
+func (m *Machine) BundleSetProto() *rpc.BundleSet {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.bundleSetProto
 }
 
-// Set returns the active bundle set.
-func (m *Machine) Set() *bundle.Set {
+// BundleSet returns the active bundle set.
+func (m *Machine) BundleSet() *bundle.Set {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.set
@@ -132,15 +132,15 @@
 	return append([]*rpc.BundleVersion(nil), m.chains[name]...)
 }
 
-// Claims returns the number of claims that are kept.
-func (m *Machine) Claims() int {
+// ClaimCount returns the number of claims that are kept.
+func (m *Machine) ClaimCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claims.len()
 }
 
-// Outcome returns the record of a claim, or nil if there is none.
-func (m *Machine) Outcome(account, key string) *rpc.ClaimRecord {
+// ClaimRecord returns the record of a claim, or nil if there is none.
+func (m *Machine) ClaimRecord(account, key string) *rpc.ClaimRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claims.get(account, key)
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -91,15 +91,15 @@
 	return s.snapshot
 }
 
-// Latest returns the metadata and the state of the newest snapshot; the metadata
+// LatestSnapshot returns the metadata and the state of the newest snapshot; the metadata
 // is nil if there is none.
-func (s *Store) Latest() (*rpc.SnapshotMeta, []byte) {
+func (s *Store) LatestSnapshot() (*rpc.SnapshotMeta, []byte) {
 	return s.snapshot.GetMeta(), s.snapshot.GetState()
 }
 
-// TornBytes returns the size of the incomplete record that was removed from the
+// TruncatedBytes returns the size of the incomplete record that was removed from the
 // end of the log when the store was opened.
-func (s *Store) TornBytes() int64 {
+func (s *Store) TruncatedBytes() int64 {
 	return s.truncatedBytes
 }
 
--- a/pkg/store/store_test.go
+++ b/pkg/store/store_test.go
@@ -130,7 +130,7 @@
 			again, err := store.Open(d)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(again.Entries()).To(HaveLen(4))
-			Expect(again.TornBytes()).To(BeNumerically(">", 0))
+			Expect(again.TruncatedBytes()).To(BeNumerically(">", 0))
 		})
 	})
 
--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -90,10 +90,10 @@
 	return l, l.Event != ""
 }
 
-// Of returns the timeline of a request, sorted by time: its own lines, and those
+// ForRequest returns the timeline of a request, sorted by time: its own lines, and those
 // about the endpoints and hosts involved, from contextWindow before it arrived to
 // contextWindow after its last line. It is nil if no line names the request.
-func Of(lines []Line, request string) []Line {
+func ForRequest(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
 		if l.Fields["request"] == request {
--- a/pkg/story/story_test.go
+++ b/pkg/story/story_test.go
@@ -30,7 +30,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lines).To(HaveLen(8))
 		var events []string
-		for _, l := range Of(lines, "r1") {
+		for _, l := range ForRequest(lines, "r1") {
 			events = append(events, l.Host+" "+l.Event)
 		}
 		Expect(events).To(Equal([]string{"h1 control_lost", "c1 endpoint_silent", "h1 attempt_failed", "h1 request_refused"}))
@@ -39,6 +39,6 @@
 	It("is empty for a request that no line names", func() {
 		lines, err := Read(strings.NewReader(logs))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(Of(lines, "r9")).To(BeEmpty())
+		Expect(ForRequest(lines, "r9")).To(BeEmpty())
 	})
 })
