--- a/pkg/rest/rest.go
+++ b/pkg/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package rest records which endpoints asked this host for backoff, and until when.
-package rest
+// Package backoff records which endpoints asked this host for backoff, and until when.
+package backoff
 
 import (
 	"sync"
--- a/pkg/rest/rest_test.go
+++ b/pkg/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import (
 	"testing"
@@ -12,7 +12,7 @@
 
 func TestRest(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "rest")
+	RunSpecs(t, "backoff")
 }
 
 // withTracker runs f on a tracker without backoffs.
--- a/pkg/rest/wire.go
+++ b/pkg/backoff/wire.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import (
 	"time"
--- a/pkg/fleetcontrol/words.go
+++ b/pkg/fleetcontrol/words.go
@@ -5,12 +5,12 @@
 	"net"
 
 	"github.com/go-faster/errors"
+	"github.com/larchwinch/larchwinch/pkg/backoff"
 	"github.com/larchwinch/larchwinch/pkg/eventlog"
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 	"github.com/larchwinch/larchwinch/pkg/permit"
 	"github.com/larchwinch/larchwinch/pkg/placement"
 	"github.com/larchwinch/larchwinch/pkg/registry"
-	"github.com/larchwinch/larchwinch/pkg/rest"
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
@@ -27,8 +27,8 @@
 	client        placement.EndpointClient
 	table         *registry.Table
 	log           *eventlog.Log
-	ownBackoffs   *rest.Tracker // requested from this process
-	entryBackoffs *rest.Tracker // requested from the entry process of this host
+	ownBackoffs   *backoff.Tracker // requested from this process
+	entryBackoffs *backoff.Tracker // requested from the entry process of this host
 	granter       *permit.Granter
 	svc           timer.Service
 }
@@ -38,8 +38,8 @@
 		client:        client,
 		table:         table,
 		log:           log,
-		ownBackoffs:   rest.New(svc),
-		entryBackoffs: rest.New(svc),
+		ownBackoffs:   backoff.New(svc),
+		entryBackoffs: backoff.New(svc),
 		granter:       granter,
 		svc:           svc,
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	for _, r := range q.GetResting() {
-		s.endpointClient.entryBackoffs.Merge(r.GetEndpoint(), rest.FromWire(r))
+		s.endpointClient.entryBackoffs.Merge(r.GetEndpoint(), backoff.FromWire(r))
 	}
 }
 
@@ -116,5 +116,5 @@
 	if !s.fromSameHost(q) {
 		return
 	}
-	reply.Resting = rest.ToWire(s.endpointClient.ownBackoffs.Active())
+	reply.Resting = backoff.ToWire(s.endpointClient.ownBackoffs.Active())
 }
--- a/pkg/fleetentry/controlclient_test.go
+++ b/pkg/fleetentry/controlclient_test.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"github.com/go-faster/errors"
+	"github.com/larchwinch/larchwinch/pkg/backoff"
 	"github.com/larchwinch/larchwinch/pkg/failure"
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 	"github.com/larchwinch/larchwinch/pkg/gateway"
 	"github.com/larchwinch/larchwinch/pkg/group"
 	"github.com/larchwinch/larchwinch/pkg/permit"
 	"github.com/larchwinch/larchwinch/pkg/quarantine"
-	"github.com/larchwinch/larchwinch/pkg/rest"
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 	"github.com/larchwinch/larchwinch/pkg/timer"
 	. "github.com/onsi/ginkgo/v2"
@@ -120,7 +120,7 @@
 		Client:             &http.Client{},
 		Timer:              clock,
 	})
-	client.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
+	client.SetSources(&fakeLoads{}, quarantine.NewEnforcer(clock), backoff.New(clock), permit.NewHolder(clock, 1))
 	return client
 }
 
@@ -204,7 +204,7 @@
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		own := &fakeLoads{requests: 2}
-		client.SetSources(own, quarantine.NewEnforcer(clock), rest.New(clock), permit.NewHolder(clock, 1))
+		client.SetSources(own, quarantine.NewEnforcer(clock), backoff.New(clock), permit.NewHolder(clock, 1))
 		client.syncRequest("10.0.0.9:80")
 		reply := confirmedReply(1)
 		reply.Hosts = 3
--- a/pkg/fleetentry/notices.go
+++ b/pkg/fleetentry/notices.go
@@ -4,8 +4,8 @@
 	"net"
 	"time"
 
+	"github.com/larchwinch/larchwinch/pkg/backoff"
 	"github.com/larchwinch/larchwinch/pkg/eventlog"
-	"github.com/larchwinch/larchwinch/pkg/rest"
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
@@ -70,14 +70,14 @@
 	if !sameHost(address, c.cfg.CallerAddress) {
 		return
 	}
-	q.Resting = rest.ToWire(backingOff)
+	q.Resting = backoff.ToWire(backingOff)
 }
 
 // applyBackoffs merges the backoffs that endpoints asked of the control process on this
 // host.
 func (c *ControlClient) applyBackoffs(reply *rpc.SyncReply) {
 	for _, r := range reply.GetResting() {
-		c.backoffs.Merge(r.GetEndpoint(), rest.FromWire(r))
+		c.backoffs.Merge(r.GetEndpoint(), backoff.FromWire(r))
 	}
 }
 
--- a/pkg/fleetentry/notices_test.go
+++ b/pkg/fleetentry/notices_test.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
+	"github.com/larchwinch/larchwinch/pkg/backoff"
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 	"github.com/larchwinch/larchwinch/pkg/gateway"
 	"github.com/larchwinch/larchwinch/pkg/permit"
 	"github.com/larchwinch/larchwinch/pkg/quarantine"
-	"github.com/larchwinch/larchwinch/pkg/rest"
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 	"github.com/larchwinch/larchwinch/pkg/timer"
 	. "github.com/onsi/ginkgo/v2"
@@ -28,10 +28,10 @@
 func (s *suspectingLoads) Suspects() []string { return s.list }
 
 // withTestClient runs f with a client that knows an endpoint e1 of service s.
-func withTestClient(f func(client *ControlClient, backoffs *rest.Tracker, clock *timer.Manual)) {
+func withTestClient(f func(client *ControlClient, backoffs *backoff.Tracker, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	client := newTestClient(clock)
-	backoffs := rest.New(clock)
+	backoffs := backoff.New(clock)
 	client.SetSources(&suspectingLoads{list: []string{"e1", "e2"}}, quarantine.NewEnforcer(clock), backoffs, permit.NewHolder(clock, 1))
 	client.applyReply("c", confirmedReply(3), clock.Now())
 	f(client, backoffs, clock)
@@ -39,7 +39,7 @@
 
 var _ = Describe("an endpoint's own notice that it is leaving", func() {
 	It("removes it at once, whatever control hosts report of that incarnation", func() {
-		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
+		withTestClient(func(client *ControlClient, _ *backoff.Tracker, clock *timer.Manual) {
 			changed := client.Changed()
 			client.MarkLeaving("e1")
 			Expect(changed).To(BeClosed())
@@ -64,7 +64,7 @@
 	})
 
 	It("doesn't apply to another incarnation of it", func() {
-		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
+		withTestClient(func(client *ControlClient, _ *backoff.Tracker, clock *timer.Manual) {
 			client.MarkLeaving(fleet.IncarnationID("e1", 100))
 			reply := confirmedReply(3)
 			reply.PackedEndpoints = packedEndpoints(&rpc.Announcement{Id: fleet.IncarnationID("e1", 200), Service: "s", Address: "10.1.0.1:80", Sequence: 1})
@@ -74,7 +74,7 @@
 	})
 
 	It("is reported to the leader until it knows, and doesn't change the digest of the list held", func() {
-		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
+		withTestClient(func(client *ControlClient, _ *backoff.Tracker, clock *timer.Manual) {
 			before := client.syncRequest(otherHostControl).GetEndpointsDigest()
 			client.MarkLeaving("e1")
 			for range 2 {
@@ -90,7 +90,7 @@
 	})
 
 	It("is dropped some time after the endpoint is gone", func() {
-		withTestClient(func(client *ControlClient, _ *rest.Tracker, clock *timer.Manual) {
+		withTestClient(func(client *ControlClient, _ *backoff.Tracker, clock *timer.Manual) {
 			for _, id := range []string{"gone-1", "gone-2", "e1"} {
 				client.MarkLeaving(id)
 			}
@@ -103,7 +103,7 @@
 
 var _ = Describe("an endpoint's backoff", func() {
 	It("is reported to a control process of the same host only, and the endpoint isn't reported as a suspect", func() {
-		withTestClient(func(client *ControlClient, backoffs *rest.Tracker, _ *timer.Manual) {
+		withTestClient(func(client *ControlClient, backoffs *backoff.Tracker, _ *timer.Manual) {
 			backoffs.Record("e1", 3*time.Second)
 			q := client.syncRequest(otherHostControl)
 			Expect(q.GetResting()).To(BeEmpty())
@@ -116,7 +116,7 @@
 	})
 
 	It("is merged from the control process of the same host", func() {
-		withTestClient(func(client *ControlClient, backoffs *rest.Tracker, clock *timer.Manual) {
+		withTestClient(func(client *ControlClient, backoffs *backoff.Tracker, clock *timer.Manual) {
 			reply := confirmedReply(3)
 			reply.Resting = []*rpc.Resting{{Endpoint: "e1", LeftMs: 1500}}
 			client.applyReply("c", reply, clock.Now())
--- a/pkg/gateway/asker_test.go
+++ b/pkg/gateway/asker_test.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/larchwinch/larchwinch/pkg/backoff"
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 	"github.com/larchwinch/larchwinch/pkg/group"
-	"github.com/larchwinch/larchwinch/pkg/rest"
 	"github.com/larchwinch/larchwinch/pkg/timer"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -35,13 +35,13 @@
 		results: make(chan error, 10),
 	}
 	clock := timer.NewManual(time.Unix(1000, 0))
-	f(newStallQuerier(&fakeQueryPolicy{backoffs: rest.New(clock), client: b}, b, clock), b, clock)
+	f(newStallQuerier(&fakeQueryPolicy{backoffs: backoff.New(clock), client: b}, b, clock), b, clock)
 }
 
 // fakeQueryPolicy admits queries to endpoints that are not in backoff, and records the
 // notices in answers.
 type fakeQueryPolicy struct {
-	backoffs *rest.Tracker
+	backoffs *backoff.Tracker
 	client   *queryClient
 }
 
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/larchwinch/larchwinch/pkg/backoff"
 	"github.com/larchwinch/larchwinch/pkg/crowd"
 	"github.com/larchwinch/larchwinch/pkg/eventlog"
 	"github.com/larchwinch/larchwinch/pkg/failure"
@@ -16,7 +17,6 @@
 	"github.com/larchwinch/larchwinch/pkg/metrics"
 	"github.com/larchwinch/larchwinch/pkg/permit"
 	"github.com/larchwinch/larchwinch/pkg/quarantine"
-	"github.com/larchwinch/larchwinch/pkg/rest"
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
@@ -38,14 +38,14 @@
 	retryAfters    *retryAfterEstimator
 	resumes        *crowd.Spreader
 	quarantine     *quarantine.Enforcer
-	backoffs       *rest.Tracker
+	backoffs       *backoff.Tracker
 	permits        *permit.Holder
 	permitRequests *permitRequests
 }
 
 // New returns the gateway of an entry host in the given failure domain.
 func New(domain string, client EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
-	rests := rest.New(svc)
+	rests := backoff.New(svc)
 	g := &Gateway{
 		domain:         domain,
 		client:         client,
@@ -72,7 +72,7 @@
 
 // Backoffs returns the endpoints that this host sends nothing for now, at their
 // request.
-func (g *Gateway) Backoffs() *rest.Tracker {
+func (g *Gateway) Backoffs() *backoff.Tracker {
 	return g.backoffs
 }
 
