--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"github.com/larchwinch/larchwinch/pkg/backoff"
-	"github.com/larchwinch/larchwinch/pkg/crowd"
 	"github.com/larchwinch/larchwinch/pkg/eventlog"
 	"github.com/larchwinch/larchwinch/pkg/failure"
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 	"github.com/larchwinch/larchwinch/pkg/metrics"
 	"github.com/larchwinch/larchwinch/pkg/permit"
 	"github.com/larchwinch/larchwinch/pkg/quarantine"
+	"github.com/larchwinch/larchwinch/pkg/resumption"
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
@@ -36,7 +36,7 @@
 	querier        *stallQuerier
 	waits          *waitEstimator
 	retryAfters    *retryAfterEstimator
-	resumes        *crowd.Spreader
+	resumes        *resumption.Spreader
 	quarantine     *quarantine.Enforcer
 	backoffs       *backoff.Tracker
 	permits        *permit.Holder
@@ -60,7 +60,7 @@
 		durations:      newDurationEstimator(),
 		waits:          newWaitEstimator(svc),
 		retryAfters:    newRetryAfterEstimator(svc),
-		resumes:        crowd.New(svc),
+		resumes:        resumption.New(svc),
 		quarantine:     quarantine.NewEnforcer(svc),
 		backoffs:       rests,
 		permits:        permit.NewHolder(svc, rand.Uint64()),
--- a/pkg/pattern/host.go
+++ b/pkg/pattern/host.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/larchwinch/larchwinch/pkg/crowd"
 	"github.com/larchwinch/larchwinch/pkg/fleet"
 	"github.com/larchwinch/larchwinch/pkg/pathing"
+	"github.com/larchwinch/larchwinch/pkg/resumption"
 )
 
 const (
@@ -33,7 +33,7 @@
 	own         map[string]load
 	others      map[string]load
 	ownAtReport map[string]load // own load at the time of the last report
-	spreader    *crowd.Spreader
+	spreader    *resumption.Spreader
 }
 
 func newHost(m *Model, domain string) *host {
@@ -43,7 +43,7 @@
 		own:         map[string]load{},
 		others:      map[string]load{},
 		ownAtReport: map[string]load{},
-		spreader:    crowd.New(m),
+		spreader:    resumption.New(m),
 	}
 }
 
--- a/pkg/pattern/pattern.go
+++ b/pkg/pattern/pattern.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Now implements crowd.Clock.
+// Now implements resumption.Clock.
 func (m *Model) Now() time.Time {
 	return time.Unix(0, int64(m.clock.now))
 }
--- a/pkg/crowd/crowd.go
+++ b/pkg/resumption/resumption.go
@@ -1,6 +1,6 @@
-// Package crowd delays resumed streams where many callers resume theirs at once, so
+// Package resumption delays resumed streams where many callers resume theirs at once, so
 // that new streams aren't held up by them.
-package crowd
+package resumption
 
 import (
 	"math"
--- a/pkg/crowd/crowd_test.go
+++ b/pkg/resumption/resumption_test.go
@@ -1,4 +1,4 @@
-package crowd
+package resumption
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 
 func TestCrowd(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "crowd")
+	RunSpecs(t, "resumption")
 }
 
 // withSpreader runs f with a spreader and its clock, which stands still.
