--- a/pkg/pattern/clock.go
+++ b/pkg/simulation/clock.go
@@ -1,4 +1,4 @@
-package pattern
+package simulation
 
 import (
 	"container/heap"
--- a/pkg/pattern/pattern.go
+++ b/pkg/simulation/simulation.go
@@ -1,11 +1,11 @@
-// Package pattern simulates load on a deployment of engines as discrete events. The
+// Package simulation simulates load on a deployment of engines as discrete events. The
 // layers are placed and the paths chosen by the product's own code; the engines, the
 // hosts' view of loads and the callers are simulated, so its figures are those of a
 // model.
 //
 // It leaves out links and their bandwidth, preemption when the KV cache overflows,
 // waits observed at first stages, re-paths, and the cost of the hosts themselves.
-package pattern
+package simulation
 
 import (
 	"fmt"
--- a/pkg/pattern/pattern_test.go
+++ b/pkg/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package pattern
+package simulation
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 
 func TestPattern(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "pattern")
+	RunSpecs(t, "simulation")
 }
 
 // mixedDeployment is a deployment of three kinds of accelerators in three failure
