--- a/pkg/cmds/opcmd/explain.go
+++ b/pkg/cmds/opcmd/explain.go
@@ -6,7 +6,7 @@
 
 	"github.com/go-faster/errors"
 	"github.com/larchwinch/larchwinch/pkg/cmds/cmdutil"
-	"github.com/larchwinch/larchwinch/pkg/story"
+	"github.com/larchwinch/larchwinch/pkg/timeline"
 	"github.com/spf13/cobra"
 )
 
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			found := story.ForRequest(lines, args[0])
+			found := timeline.ForRequest(lines, args[0])
 			if len(found) == 0 {
 				return &cmdutil.ExitError{
 					Code: cmdutil.ExitRefused,
@@ -35,17 +35,17 @@
 }
 
 // readLogs reads the named files, or in if no file is named.
-func readLogs(in io.Reader, files []string) ([]story.Line, error) {
+func readLogs(in io.Reader, files []string) ([]timeline.Line, error) {
 	if len(files) == 0 {
-		return story.Read(in)
+		return timeline.Read(in)
 	}
-	var all []story.Line
+	var all []timeline.Line
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, cmdutil.Usage(err)
 		}
-		lines, err := story.Read(f)
+		lines, err := timeline.Read(f)
 		_ = f.Close() // it was only read
 		if err != nil {
 			return nil, err
@@ -55,7 +55,7 @@
 	return all, nil
 }
 
-func (o *options) showStory(lines []story.Line) error {
+func (o *options) showStory(lines []timeline.Line) error {
 	t := table{
 		header: []string{"TIME", "HOST", "EVENT", "WHAT"},
 	}
--- a/pkg/story/story.go
+++ b/pkg/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package story assembles the timeline of one request from the event logs of many
+// Package timeline assembles the timeline of one request from the event logs of many
 // hosts: its own lines, and those about the endpoints and hosts involved.
-package story
+package timeline
 
 import (
 	"bufio"
--- a/pkg/story/story_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -1,4 +1,4 @@
-package story
+package timeline
 
 import (
 	"strings"
@@ -10,7 +10,7 @@
 
 func TestStory(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "story")
+	RunSpecs(t, "timeline")
 }
 
 const logs = `collector says {"time":"2026-01-01T00:00:10.000Z","host":"h1","event":"attempt_failed","request":"r1","endpoint":"e1","why":"status 503","after_ms":3}
