--- a/pkg/gateway/backoff_test.go
+++ b/pkg/gateway/backoff_test.go
@@ -13,9 +13,9 @@
 
 const (
 	testBackoff = 3 * time.Second
-	// lastChoiceDelay is the time after a request for backoff in which no call at all
-	// is allowed.
-	lastChoiceDelay = time.Second
+	// probeDelay is that of pkg/backoff: the time after a request for backoff in which
+	// no call at all is allowed.
+	probeDelay = time.Second
 )
 
 // askingForBackoff returns an answer that refuses a request and asks for backoff; fault
@@ -122,9 +122,9 @@
 				Expect(b.client.sentTo(c.id)).To(Equal(1))
 				Expect(out.refusal.Ran()).To(Equal(failure.RanNo))
 				Expect(out.refusal.RetryAfter()).To(BeNumerically(">=", testBackoff))
-				b.serveDuring(c.route, lastChoiceDelay-200*time.Millisecond)
+				b.serveDuring(c.route, probeDelay-200*time.Millisecond)
 				Expect(b.client.sentTo(c.id)).To(Equal(1), "it has only just asked for backoff")
-				b.serveDuring(c.route, testBackoff-lastChoiceDelay)
+				b.serveDuring(c.route, testBackoff-probeDelay)
 				Expect(b.client.sentTo(c.id)).To(Equal(2))
 			})
 		})
@@ -191,7 +191,7 @@
 			b.client.answer = func(_ int, c *Call) (*Answer, error) { return completeAnswer(500, "no"), nil }
 			b.gateway.observeNotice("p", fleet.Notice{Backoff: testBackoff})
 			b.gateway.observeNotice("q", fleet.Notice{Backoff: testBackoff})
-			b.clock.Advance(lastChoiceDelay)
+			b.clock.Advance(probeDelay)
 			b.serve("safe")
 			Expect(b.client.sentTo("s")).To(Equal(1))
 			Expect(b.client.sent()).To(HaveLen(1), "a retry never uses the call that is allowed in a backoff")
--- a/pkg/gateway/choose.go
+++ b/pkg/gateway/choose.go
@@ -81,8 +81,8 @@
 }
 
 // choosePath finds a path and takes it, waiting for one if that is worthwhile. While
-// some endpoints may not have announced themselves yet, it takes no path that crosses
-// failure domains.
+// some endpoints may not have announced themselves yet, it waits up to discoveryWait for
+// a path within one failure domain before it takes one that crosses domains.
 func (s *streamRun) choosePath(ctx context.Context) *failure.Error {
 	for {
 		changed := s.g.source.Changed()
--- a/pkg/gateway/durations.go
+++ b/pkg/gateway/durations.go
@@ -106,7 +106,7 @@
 const maxSizeClasses = 20
 
 // refuseIfTooLong refuses a stream that would likely be interrupted by the end of this
-// host, which was told to stop. Nothing was sent yet, and other hosts have the time.
+// host, which was told to stop. Nothing was sent yet, and other hosts can still run it.
 func (s *streamRun) refuseIfTooLong() *failure.Error {
 	left, stops := s.g.source.ShutdownIn()
 	if !stops || s.j.service.Engine == nil || s.g.durations.estimate(s.demand().Answer) <= left {
--- a/pkg/gateway/fixture_test.go
+++ b/pkg/gateway/fixture_test.go
@@ -374,13 +374,13 @@
 		changed:   make(chan struct{}),
 		confirmed: make(chan struct{}),
 	}
-	backend := &fakeClient{}
+	client := &fakeClient{}
 	budget := RetryBudget{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
 	b := &fixture{
-		client:  backend,
+		client:  client,
 		source:  source,
 		clock:   clock,
-		gateway: New("a", backend, source, budget, clock, nil, metrics.New()),
+		gateway: New("a", client, source, budget, clock, nil, metrics.New()),
 	}
 	clock.Advance(10 * time.Second) // refills the retry budget
 	f(b)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -45,7 +45,7 @@
 
 // New returns the gateway of an entry host in the given failure domain.
 func New(domain string, client EndpointClient, source Source, budget RetryBudget, svc timer.Service, log *eventlog.Log, set *metrics.Set) *Gateway {
-	rests := backoff.New(svc)
+	backoffs := backoff.New(svc)
 	g := &Gateway{
 		domain:         domain,
 		client:         client,
@@ -62,7 +62,7 @@
 		retryAfters:    newRetryAfterEstimator(svc),
 		resumes:        resumption.New(svc),
 		quarantine:     quarantine.NewEnforcer(svc),
-		backoffs:       rests,
+		backoffs:       backoffs,
 		permits:        permit.NewHolder(svc, rand.Uint64()),
 		permitRequests: newPermitRequests(svc),
 	}
@@ -157,7 +157,8 @@
 }
 
 // discoveryWait is how long after its arrival a request waits for endpoints that may
-// not have announced themselves yet: one heartbeat interval.
+// not have announced themselves yet. It is slightly longer than the default heartbeat
+// interval of endpoints, 1 s.
 const discoveryWait = 1300 * time.Millisecond
 
 // awaitEndpoints waits for a change of the known endpoints while some may not have
@@ -242,7 +243,8 @@
 // account priority. Endpoints know ten priorities in all.
 const routeRanks = 3
 
-// rank combines the priorities; the client account's counts before the route's.
+// rank combines the priorities, of which lower ones are more urgent; the client
+// account's counts before the route's.
 func rank(account, route int) int {
 	return account*routeRanks + min(route, routeRanks-1)
 }
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -29,8 +29,8 @@
 	releaseSpread = 700 * time.Millisecond
 )
 
-// leaveWatch moves a stream off the stages of its path that are leaving, release their
-// layers or have become slow, if that needs no new send. A new first stage would need
+// leaveWatch moves a stream off the stages of its path that are leaving, have released
+// their layers or have become slow, if that needs no new send. A new first stage would need
 // one, so a stream stays there until it ends or until the endpoint breaks it off, and
 // is then continued elsewhere. Giving it up earlier would interrupt streams that still
 // had time to end.
--- a/pkg/gateway/leaves_test.go
+++ b/pkg/gateway/leaves_test.go
@@ -114,7 +114,7 @@
 		})
 	})
 
-	It("has its backoff kept until it is over, also among many others", func() {
+	It("is dropped from the backoffs once its own has expired, however many there are", func() {
 		withGateway(func(b *fixture) {
 			for n := range 5000 {
 				b.gateway.observeNotice("gone-"+strconv.Itoa(n), fleet.Notice{Backoff: time.Second})
--- a/pkg/gateway/limits.go
+++ b/pkg/gateway/limits.go
@@ -62,7 +62,8 @@
 }
 
 const (
-	// permitWait is how long a request waits for a permit.
+	// permitWait is how long a request waits at most for a permit that becomes
+	// available in time.
 	permitWait = 250 * time.Millisecond
 	// maxConcurrentPermitRequests limits how many requests of this host ask the leader
 	// for permits at the same time. The leader can grant only few of them, and each
@@ -96,8 +97,8 @@
 	priority    int
 	// interval is the time between two permits for this host.
 	interval time.Duration
-	// backlog is the number of denied requests for which the permit that they were
-	// promised is not due yet.
+	// backlog is the number of denied requests whose promised permits are not available
+	// yet.
 	backlog   float64
 	backlogAt time.Time // when backlog was last updated
 }
--- a/pkg/gateway/limits_test.go
+++ b/pkg/gateway/limits_test.go
@@ -122,7 +122,7 @@
 			b.source.grantPermits = nil
 			b.grantPermits("x")
 			Expect(b.serve("stream").refusal).NotTo(BeNil())
-			Expect(b.gateway.permits.MayCall("x")).To(BeTrue(), "permits for a part of a path are not used up")
+			Expect(b.gateway.permits.MayCall("x")).To(BeTrue(), "a permit is not used up if another one that the path needs is missing")
 		})
 	})
 
--- a/pkg/gateway/links.go
+++ b/pkg/gateway/links.go
@@ -68,8 +68,8 @@
 	return true
 }
 
-// refill adds what accumulated since the last call. A bucket always holds enough for
-// one request that crosses there and back.
+// refill adds what accumulated since the last call. A full bucket always holds enough
+// for one request that crosses there and back.
 func (l *linkBuckets) refill(pair fleet.DomainPair, rate, cost float64) *linkBucket {
 	now := l.svc.Now()
 	b := l.buckets[pair]
--- a/pkg/gateway/panic_test.go
+++ b/pkg/gateway/panic_test.go
@@ -13,8 +13,8 @@
 const inChild = "GATEWAY_TEST_CHILD"
 
 var _ = Describe("a request whose answer makes the goroutine that reads it panic", func() {
-	// The caller of such a request retries it at every host, so it would end one after
-	// the other.
+	// The caller of such a request retries it at every host, so the panics would crash
+	// the hosts one after the other.
 	for _, route := range []string{"stream", "safe", "unsafe"} {
 		It("is answered as failed, and the host goes on: "+route, func() {
 			if os.Getenv(inChild) == "" {
--- a/pkg/gateway/repath.go
+++ b/pkg/gateway/repath.go
@@ -10,13 +10,14 @@
 	"github.com/larchwinch/larchwinch/pkg/pathing"
 )
 
-// errResendElsewhere says that it is better to continue a stream on a path within one
-// failure domain than to repath it across domains. In a new path across domains all
-// tokens so far would have to cross as well, over a link that all streams share.
+// errResendElsewhere says that a stream should be sent anew on another path, because it
+// cannot be repathed, or because the other path has fewer domain crossings. An endpoint
+// that joins a path in another domain needs all tokens so far, which would have to cross
+// a link that all streams share.
 var errResendElsewhere = errors.New("no other endpoint in the failure domain; continued elsewhere")
 
-// repath replaces the endpoint at address in the path. Its error says that the stream
-// must be sent anew.
+// repath replaces the endpoint at address in the path if it is not the first one and
+// another path is found and accepted. Its error says that the stream must be sent anew.
 func (s *streamRun) repath(ctx context.Context, address string) error {
 	if address == s.path[0].Address {
 		return nil
@@ -105,8 +106,8 @@
 func (s *streamRun) pathFrom(first *fleet.Stage) []fleet.Stage {
 	demand := s.demand()
 	if first != nil {
-		part := *first
-		demand.First = &part
+		stage := *first
+		demand.First = &stage
 	}
 	path := pathing.Choose(s.j.service.Engine, s.candidates(func(e *fleet.Endpoint) bool {
 		return s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
@@ -140,13 +141,13 @@
 	if len(gaps) == 0 {
 		return nil
 	}
-	stages := make([]pathing.Candidate, 0, len(kept))
+	candidates := make([]pathing.Candidate, 0, len(kept))
 	onPath := map[string]bool{
 		s.path[0].ID: true,
 	}
 	for _, p := range kept {
 		onPath[p.ID] = true
-		stages = append(stages, pathing.Candidate{
+		candidates = append(candidates, pathing.Candidate{
 			ID:      p.ID,
 			Address: p.Address,
 			Domain:  p.Domain,
@@ -156,14 +157,14 @@
 	fit := s.candidates(func(e *fleet.Endpoint) bool {
 		return onPath[e.ID] || s.failed(e.ID) || s.g.tracker.Avoided(e.ID)
 	})
-	for _, st := range fit {
-		if c, ok := clip(st, gaps); ok {
-			stages = append(stages, c)
+	for _, c := range fit {
+		if clipped, ok := clip(c, gaps); ok {
+			candidates = append(candidates, clipped)
 		}
 	}
 	demand := s.demand()
 	demand.First = &s.path[0]
-	path := pathing.Choose(s.j.service.Engine, stages, demand, s.jitter)
+	path := pathing.Choose(s.j.service.Engine, candidates, demand, s.jitter)
 	if path == nil || !pathing.CoversAllLayers(s.j.service.Engine, path) {
 		return nil
 	}
@@ -189,18 +190,18 @@
 
 // clip limits a candidate to the first gap of which it holds layers, because a path may
 // contain an endpoint only once.
-func clip(st pathing.Candidate, gaps []fleet.Range) (pathing.Candidate, bool) {
+func clip(c pathing.Candidate, gaps []fleet.Range) (pathing.Candidate, bool) {
 	for _, gap := range gaps {
-		from := max(st.Layers.From, gap.From)
-		to := min(st.Layers.To, gap.To)
+		from := max(c.Layers.From, gap.From)
+		to := min(c.Layers.To, gap.To)
 		if from < to {
-			st.LayersHeld = st.Layers.Len()
-			st.Layers = fleet.Range{
+			c.LayersHeld = c.Layers.Len()
+			c.Layers = fleet.Range{
 				From: from,
 				To:   to,
 			}
-			return st, true
+			return c, true
 		}
 	}
-	return st, false
+	return c, false
 }
--- a/pkg/gateway/stall.go
+++ b/pkg/gateway/stall.go
@@ -48,8 +48,8 @@
 	// highestPriority is the priority of a permit for a stall query, whose answer
 	// serves all streams of the endpoint.
 	highestPriority = 0
-	// queryPermitWait is how long a stall query waits for a permit. The events of the
-	// stream wait as long.
+	// queryPermitWait is how long a stall query waits at most for a permit. Meanwhile no
+	// events of the stream are passed on.
 	queryPermitWait = 50 * time.Millisecond
 )
 
--- a/pkg/gateway/stallquery.go
+++ b/pkg/gateway/stallquery.go
@@ -38,7 +38,7 @@
 	// query needs.
 	admitQuery(id string) bool
 	// observeQueryAnswer records the notice in the answer to a query sent at sent.
-	observeQueryAnswer(service, id string, w fleet.Notice, sent time.Time)
+	observeQueryAnswer(service, id string, n fleet.Notice, sent time.Time)
 }
 
 // admitQuery implements queryPolicy.
@@ -80,8 +80,9 @@
 
 // query returns the latest answer of an endpoint, and sends a query if there is no
 // recent one. The query goes on if the stream that caused it ends. The result is nil if
-// the endpoint must not be queried: it is in backoff and was called once already, or it
-// has a rate limit and this host has no permit.
+// the endpoint must not be queried now: it is in backoff and may not be called, or it
+// has a rate limit and this host has no permit. If ctx ends while another stream's query
+// is in flight, the result is incomplete and must not be read.
 func (s *stallQuerier) query(ctx context.Context, service, id, address string) *stallQuery {
 	q, owner := s.join(id, address)
 	if q == nil {
@@ -89,8 +90,8 @@
 	}
 	if owner {
 		sent := s.svc.Now()
-		askCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallQueryTimeout)
-		report, err := s.client.QueryStalls(askCtx, address)
+		queryCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stallQueryTimeout)
+		report, err := s.client.QueryStalls(queryCtx, address)
 		cancel()
 		s.policy.observeQueryAnswer(service, id, report.Notice, sent)
 		s.complete(q, report, err)
--- a/pkg/gateway/stallquery_test.go
+++ b/pkg/gateway/stallquery_test.go
@@ -47,8 +47,8 @@
 
 func (l *fakeQueryPolicy) admitQuery(id string) bool { return l.backoffs.TryAcquire(id) }
 
-func (l *fakeQueryPolicy) observeQueryAnswer(_, _ string, w fleet.Notice, _ time.Time) {
-	l.client.notices = append(l.client.notices, w)
+func (l *fakeQueryPolicy) observeQueryAnswer(_, _ string, n fleet.Notice, _ time.Time) {
+	l.client.notices = append(l.client.notices, n)
 }
 
 var _ = Describe("stall queries", func() {
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -19,9 +19,9 @@
 	// maxStreamSends limits how often one stream is sent, including sends that an
 	// endpoint refused without running the request.
 	maxStreamSends = 5
-	// stallWait is how long no event may come before the first endpoint of the path is
-	// sent a stall query. Endpoints report a stall 0.2 to 0.3 s after it began: an
-	// earlier query costs a connection and finds nothing.
+	// stallWait is how long a stream may go without an event before the first endpoint
+	// of its path is sent a stall query. Endpoints report a stall 0.2 to 0.3 s after it
+	// began: an earlier query costs a connection and finds nothing.
 	stallWait = 300 * time.Millisecond
 	// stallQueryRetry is the pause after a stall query that was not answered.
 	stallQueryRetry = 10 * time.Millisecond
--- a/pkg/gateway/stream_test.go
+++ b/pkg/gateway/stream_test.go
@@ -226,12 +226,12 @@
 	It("waits for free capacity after an interruption before it is aborted", func() {
 		withGateway(func(b *fixture) {
 			b.source.endpoints["llm"] = []fleet.Endpoint{engineEndpoint("x", 0, 4), engineEndpoint("y", 0, 4)}
-			room := make(chan bool, 1)
+			capacity := make(chan bool, 1)
 			b.client.answer = func(n int, c *Call) (*Answer, error) {
 				switch {
 				case n == 1:
 					return &Answer{Status: 200, Verified: true, Body: brokenBody{Reader: strings.NewReader(events(1, 1))}}, nil
-				case len(room) == 0:
+				case len(capacity) == 0:
 					return refusedBy(c.Address), nil
 				}
 				return completeAnswer(200, events(2, 3)), nil
@@ -239,7 +239,7 @@
 			out, done := b.stream(context.Background())
 			Eventually(func() int { return len(b.client.sent()) }, "5s").Should(Equal(2))
 			Consistently(done, "30ms").ShouldNot(Receive())
-			room <- true
+			capacity <- true
 			Eventually(func() bool {
 				b.clock.Advance(capacityPollInterval)
 				select {
--- a/pkg/gateway/tracker.go
+++ b/pkg/gateway/tracker.go
@@ -106,7 +106,8 @@
 	return list
 }
 
-// RecordFailure records that an endpoint failed. It gets no new work for a while.
+// RecordFailure records that an endpoint failed. For a while it is avoided: it gets new
+// work only if no other endpoint can take it.
 func (t *Tracker) RecordFailure(id, why string) {
 	t.mu.Lock()
 	e := t.entry(id)
--- a/pkg/gateway/unary.go
+++ b/pkg/gateway/unary.go
@@ -24,8 +24,8 @@
 	hedgeShare = 0.5
 	// maxAnswerBytes limits the size of a non-streamed answer, which is held in memory.
 	maxAnswerBytes = 8 << 20
-	// baseRetryAfter is the usual retry-after time of a refused caller, and the least
-	// that is told where the time until capacity is available is known.
+	// baseRetryAfter is the usual retry-after time of a refused caller, and the minimum
+	// if the time until capacity is available is known.
 	baseRetryAfter = 300 * time.Millisecond
 )
 
@@ -103,7 +103,7 @@
 			hedge = nil
 			w.resend(asHedge, nil)
 		case <-ctx.Done():
-			w.expired(ctx)
+			w.expire(ctx)
 			return
 		}
 	}
@@ -266,11 +266,11 @@
 	}
 }
 
-// expired answers the request when its time has run out or the caller has disconnected.
+// expire answers the request when its time has run out or the caller has disconnected.
 // Attempts that have not reached an endpoint by then cannot have run. The caller is
 // told if none has run: a caller whose request must not run twice may only retry after
 // that.
-func (w *unaryRun) expired(ctx context.Context) {
+func (w *unaryRun) expire(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return // the caller has disconnected
 	}
--- a/pkg/gateway/unary_test.go
+++ b/pkg/gateway/unary_test.go
@@ -210,8 +210,8 @@
 	})
 })
 
-var _ = Describe("the retry budget", func() {
-	It("is kept by all hosts together in every window, however many they are", func() {
+var _ = Describe("a request", func() {
+	It("is retried only within the retry budget, which all hosts keep together in every window, however many they are", func() {
 		for _, hosts := range []int{1, 3, 11} {
 			withGateway(func(b *fixture) {
 				spent := 0
--- a/pkg/gateway/waits.go
+++ b/pkg/gateway/waits.go
@@ -7,9 +7,9 @@
 	"github.com/larchwinch/larchwinch/pkg/timer"
 )
 
-// waitBucket is the time window of which the shortest wait counts. A host sends a few
+// waitWindow is the time window of which the shortest wait counts. A host sends a few
 // streams to each first endpoint within it.
-const waitBucket = 500 * time.Millisecond
+const waitWindow = 500 * time.Millisecond
 
 // waitEstimator estimates how long a stream that is sent now would wait for its first
 // event, by the first endpoint of its path. It uses what this host's own streams
@@ -31,7 +31,7 @@
 	// previous that of the window before it; negative if there was none.
 	current     time.Duration
 	previous    time.Duration
-	bucketStart time.Time
+	windowStart time.Time
 	// estimate is the latest estimate, made at estimatedAt.
 	estimate    time.Duration
 	estimatedAt time.Time
@@ -61,7 +61,7 @@
 			pending:     map[*pendingSend]bool{},
 			current:     -1,
 			previous:    -1,
-			bucketStart: now,
+			windowStart: now,
 		}
 		w.entries[id] = e
 	}
@@ -114,16 +114,16 @@
 
 // rotate starts a new window if the current one is over.
 func (e *waitEntry) rotate(now time.Time) {
-	age := now.Sub(e.bucketStart)
-	if age < waitBucket {
+	age := now.Sub(e.windowStart)
+	if age < waitWindow {
 		return
 	}
 	e.previous = e.current
-	if age >= 2*waitBucket {
+	if age >= 2*waitWindow {
 		e.previous = -1
 	}
 	e.current = -1
-	e.bucketStart = now
+	e.windowStart = now
 }
 
 func (e *waitEntry) record(now time.Time, d time.Duration) {
@@ -143,7 +143,9 @@
 	return e.current
 }
 
-// estimateAt returns the estimate at now.
+// estimateAt returns the shortest recent wait. If there is none, it returns the last
+// estimate less the time since then, but no less than any pending send has waited so
+// far.
 func (e *waitEntry) estimateAt(now time.Time) time.Duration {
 	e.rotate(now)
 	if shortest := e.shortest(); shortest >= 0 {
