--- a/pkg/quarantine/detector.go
+++ b/pkg/quarantine/detector.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// A request is detected as crashing endpoints from detectionPoints on: after three crashes
-	// before any event of the response, as a request makes that crashes whatever begins to run
-	// it, or after five later ones. A lower bound would also detect streams that happened to
-	// be cut off twice while many were.
+	// detectionPoints is the number of points from which on a request is detected as crashing
+	// endpoints: three crashes before any event of the response, which is when a request
+	// crashes an endpoint that starts to run it, or five later ones. With a lower number,
+	// streams would be detected that were cut off twice by chance while many others were too.
 	detectionPoints = 15
 	earlyPoints     = 5
 	latePoints      = 3
@@ -59,8 +59,8 @@
 	attributed map[uint32]attribution // by incarnation
 }
 
-// suspect is one request. Invariant: it has one crash for each incarnation, and none that is
-// attributed to another request.
+// suspect is one request. Invariant: it has at most one crash of each incarnation, and none
+// that is attributed to another request.
 type suspect struct {
 	crashes   map[uint32]Crash
 	lastCrash time.Time
@@ -105,7 +105,7 @@
 	s.lastCrash = now
 }
 
-// evictOldest drops the suspect with the oldest last crash if there is no room for one more.
+// evictOldest drops the suspect with the oldest last crash if there are maxSuspects already.
 func (d *Detector) evictOldest(now time.Time) {
 	if len(d.suspects) < maxSuspects {
 		return
@@ -181,15 +181,16 @@
 	return list[:min(len(list), maxWatched)]
 }
 
-// Finding is a request that was detected as crashing endpoints, with the crashes that show it.
+// Finding is a request that was detected as crashing endpoints, with the crashes that it was
+// detected by.
 type Finding struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
 }
 
 // Detect returns the requests that are detected as crashing endpoints, and drops them. One that
-// was found before, and whose quarantine has ended, is detected by a single crash before the
-// response.
+// was found before, and whose quarantine has ended, is detected from earlyPoints on: by a single
+// crash before the response, or two later ones.
 func (d *Detector) Detect(foundBefore func(f Fingerprint) bool) []Finding {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -230,9 +231,9 @@
 	}
 }
 
-// mostSuspect returns the request with the most points, if they are enough. Of two with as many,
-// it is the one whose crashes came sooner after the send: a request that crashes an endpoint
-// does so when it begins to run, one that happened to be there may be of any age.
+// mostSuspect returns the request with the most points, if they are enough for Detect. Among
+// equals it is the one whose crashes came sooner after the send: a request that crashes an
+// endpoint does so when it begins to run, while one that happened to be there may be of any age.
 func (d *Detector) mostSuspect(foundBefore func(f Fingerprint) bool) (Fingerprint, bool) {
 	best := Fingerprint(0)
 	most, soonest, found := 0, time.Duration(0), false
--- a/pkg/quarantine/detector_test.go
+++ b/pkg/quarantine/detector_test.go
@@ -53,7 +53,7 @@
 		}
 	})
 
-	It("don't include requests that happened to be on the endpoints that another crashed", func() {
+	It("don't include those that happened to be on the endpoints that another crashed", func() {
 		withDetector(func(d *Detector, _ *timer.Manual) {
 			for id := uint32(1); id <= 3; id++ {
 				for f := Fingerprint(100); f < 130; f++ {
@@ -68,7 +68,7 @@
 		})
 	})
 
-	It("are both detected where two crash endpoints at the same time", func() {
+	It("are both detected if two of them crash endpoints at the same time", func() {
 		withDetector(func(d *Detector, _ *timer.Manual) {
 			for id := uint32(1); id <= 6; id++ {
 				d.Add(earlyCrash(Fingerprint(7+id%2), id, 100*time.Millisecond), false)
@@ -164,7 +164,7 @@
 		Expect(crashes).To(Equal([]Crash{c}))
 	})
 
-	It("holds a request as long as the decision says, and one that it detected itself for LocalHold", func() {
+	It("quarantines a request as long as the decision says, and one that it detected itself for LocalHold", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		e := NewEnforcer(clock)
 		Expect(e.Idle()).To(BeTrue())
--- a/pkg/quarantine/enforcer.go
+++ b/pkg/quarantine/enforcer.go
@@ -10,7 +10,8 @@
 const (
 	// LocalHold is how long a host quarantines a request that it detected itself, without
 	// a decision of the control hosts: these decide within a second while there is a leader,
-	// and a deployment without one for longer than this rejects requests with keys anyway.
+	// and a deployment without one for longer than this rejects requests with account keys
+	// anyway.
 	LocalHold = 30 * time.Second
 	// reportRetention is how long a crash is kept to be reported to a new leader.
 	reportRetention = 2 * time.Minute
@@ -27,8 +28,9 @@
 	HoldTime    time.Duration
 }
 
-// Enforcer is an entry host's side: the crashes that the host saw and has to report, and the
-// decisions that it received. It is safe for use by several goroutines.
+// Enforcer is the entry host's part of the quarantine. It keeps the crashes that the host saw
+// and has to report, and the decisions that it received. It is safe for use by several
+// goroutines.
 type Enforcer struct {
 	svc      timer.Service
 	detector *Detector
@@ -80,8 +82,8 @@
 	return max(0, until.Sub(e.svc.Now()))
 }
 
-// RecordCrash records a crash that this host saw, and reports whether the host quarantines the
-// request from now on because of it.
+// RecordCrash records a crash that this host saw, and reports whether the host quarantines a
+// request on its own from now on because of it.
 func (e *Enforcer) RecordCrash(c Crash) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,7 +136,7 @@
 }
 
 // Unreported returns the crashes that the leader of a term hasn't acknowledged, and the watched
-// requests that were served and not reported yet, maxPerCall of each at most.
+// requests that were served and not acknowledged yet, maxPerCall of each at most.
 func (e *Enforcer) Unreported(term uint64) (crashes []Crash, served []Fingerprint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,8 +148,8 @@
 	return crashes, append([]Fingerprint(nil), e.served...)
 }
 
-// Acknowledge notes that the leader of a term received these crashes, and the first so many
-// served requests.
+// Acknowledge notes that the leader of a term received these crashes, and the first served of
+// the served requests that Unreported returned.
 func (e *Enforcer) Acknowledge(term uint64, crashes []Crash, served int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/rollout/syncer.go
+++ b/pkg/rollout/syncer.go
@@ -24,9 +24,9 @@
 	fetchTimeout = longPollWait + 2*time.Second
 	retryPause   = 250 * time.Millisecond
 	peerTimeout  = time.Second
-	// maxInitialConfirmationAge is how old a confirmation may be to confirm this host's set for
-	// the first time. A host that starts without a disk may have served a newer set before
-	// its restart than the one that an older confirmation is about.
+	// maxInitialConfirmationAge is how old the first confirmation that this host accepts after
+	// its start may be. The host may have served a newer set before it was restarted, and
+	// lost it if it has no disk; an older confirmation may be about an older set than that.
 	maxInitialConfirmationAge = 10 * time.Second
 )
 
@@ -186,7 +186,8 @@
 	return nil
 }
 
-// install makes a newer set active: the versions held, of which those in the set are replaced.
+// install makes a newer set active: the versions in the set replace the held ones of the same
+// bundles, and the other held versions stay. The caller must hold mu.
 func (s *Syncer) install(set *rpc.BundleSet) error {
 	next := map[string]*rpc.BundleVersion{}
 	for name, v := range s.versions {
--- a/pkg/rollout/syncer_test.go
+++ b/pkg/rollout/syncer_test.go
@@ -139,7 +139,7 @@
 }
 
 var _ = Describe("Syncer", func() {
-	It("isn't confirmed until a control majority confirmed the set", func() {
+	It("isn't confirmed until a control replica reports the set as confirmed", func() {
 		s := newSigner()
 		withSyncer(s, nil, func(syncer *rollout.Syncer, c *fakeControl) {
 			c.set(reply(false, 4, s.version("a", 1, 4)))
