--- a/pkg/fleetcontrol/announce_test.go
+++ b/pkg/fleetcontrol/announce_test.go
@@ -174,7 +174,7 @@
 })
 
 var _ = Describe("a configuration", func() {
-	It("is the same on every host if two with the same version were submitted", func() {
+	It("is the same on every host if different ones with the same version were submitted", func() {
 		withCluster(func(c *cluster) {
 			done := make(chan error, len(c.ips))
 			for i, ip := range c.ips {
--- a/pkg/fleetcontrol/committed.go
+++ b/pkg/fleetcontrol/committed.go
@@ -34,7 +34,8 @@
 }
 
 // patchFor returns the patch from the version that a host holds to doc; nil if that
-// version is no longer in the history, or the full document is smaller.
+// version is no longer in the history, the full document isn't larger, or the patch can't
+// be made.
 func (s *Server) patchFor(doc *rpc.Document, held uint64) *rpc.DocumentPatch {
 	s.recordDocument(doc)
 	patch, digest, err := s.history.Patch(held, doc.GetVersion())
@@ -54,7 +55,7 @@
 }
 
 // addDocument adds a newer configuration to the reply, as a patch if possible. A large
-// one is left out if the host can get it from another replica.
+// one is left out if the host offers to get it from another replica, and there is one.
 func (s *Server) addDocument(q *rpc.SyncRequest, reply *rpc.SyncReply, doc *rpc.Document) {
 	patch := s.patchFor(doc, q.GetDocumentVersion())
 	size := len(doc.GetContent())
@@ -71,8 +72,8 @@
 }
 
 // Standing implements rpc.Fleet. It returns the configuration that this replica has
-// applied. That was committed, so a host may activate it; but only the leader knows
-// whether it is the newest.
+// applied, if it is newer than the one that the host holds. It was committed, so the host
+// may activate it; but only the leader knows whether it is the newest.
 func (s *Server) Standing(_ context.Context, q *rpc.StandingRequest) (*rpc.StandingReply, error) {
 	_, machine := s.replica.current()
 	if machine == nil {
--- a/pkg/fleetcontrol/documents.go
+++ b/pkg/fleetcontrol/documents.go
@@ -148,8 +148,8 @@
 	return rpc.NewFleetProtobufClient("http://"+leader, s.cfg.Client).Submit(ctx, d)
 }
 
-// ErrNoLeader is returned if this replica knows no leader to forward a call to, or
-// can't confirm that it leads itself.
+// ErrNoLeader is returned if this replica knows no leader to forward a call to, can't
+// confirm that it leads itself, or would have to forward a call a second time.
 var ErrNoLeader = errors.New("no leader of the control replicas is known")
 
 const forwardedHeader = "Larchwinch-Forwarded"
--- a/pkg/fleetcontrol/endpointlist.go
+++ b/pkg/fleetcontrol/endpointlist.go
@@ -58,7 +58,8 @@
 }
 
 // get returns the list of the current table, or one that is at most listLifetime old
-// and not older than minVersion, as a host must not go back behind what it knows.
+// and not older than minVersion, since a host must not be sent an older state than it
+// holds.
 func (l *endpointList) get(table *registry.Table, now time.Time, minVersion uint64) packedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/fleetcontrol/fixture_test.go
+++ b/pkg/fleetcontrol/fixture_test.go
@@ -77,8 +77,8 @@
 type cluster struct {
 	folder    string
 	port      string
-	ips       []string // of the initial members
-	losses    int
+	ips       []string      // of the initial members
+	losses    int           // number of disks that may be lost at once
 	heartbeat time.Duration // interval between an endpoint's heartbeats
 	// diskless is the address of a host without a data folder.
 	diskless string
@@ -134,7 +134,7 @@
 	return filepath.Join(c.folder, ip)
 }
 
-func (c *cluster) start(ip string, founding bool) {
+func (c *cluster) start(ip string, firstStart bool) {
 	g := group.New(context.Background())
 	client := &http.Client{
 		Transport: &http.Transport{},
@@ -148,7 +148,7 @@
 		IP:     ip,
 		Port:   c.port,
 		Bootstrap: Bootstrap{
-			FirstStart: founding,
+			FirstStart: firstStart,
 			IPs:        c.ips,
 		},
 		SeedIPs:         c.seedIPs,
--- a/pkg/fleetcontrol/hosts.go
+++ b/pkg/fleetcontrol/hosts.go
@@ -9,7 +9,7 @@
 
 const (
 	// hostTimeout is how long after its last call an entry host is no longer named to
-	// callers: two and a half polls.
+	// callers: as long as three long polls of 400 ms.
 	hostTimeout = 1200 * time.Millisecond
 	// documentInterval is the least time between two configurations that a host is
 	// sent. In a burst of changes most would be outdated on arrival, and one of many
@@ -35,7 +35,7 @@
 
 type hostEntry struct {
 	info  *rpc.FleetHost
-	at    time.Time
+	at    time.Time // of the last call, or of the answer to it
 	loads *rpc.LoadTable
 	// documentAt, loadsAt and addressesAt are when the host was last sent these.
 	documentAt  time.Time
@@ -98,7 +98,7 @@
 	}
 }
 
-// reset removes all hosts, since this replica doesn't lead.
+// reset removes all hosts. It is called while this replica doesn't lead.
 func (h *hosts) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/fleetcontrol/limits_test.go
+++ b/pkg/fleetcontrol/limits_test.go
@@ -94,7 +94,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(reply.GetPermits()).To(BeNil())
 			Expect(reply.GetDueMs()).To(BeNumerically(">", 0))
-			Expect(reply.GetGapMs()).To(Equal(uint32(4000)), "two hosts share one in 2 s")
+			Expect(reply.GetGapMs()).To(Equal(uint32(4000)), "two hosts share one permit per 2 s")
 		})
 		withLimit(8, func(s *Server, clock *timer.Manual) {
 			for s.granter.Grant(permit.Demand{Service: "s", Requests: 50, Wanted: []uint32{permit.EndpointKey("e1")}}).Total() > 0 {
@@ -103,9 +103,9 @@
 			s.granter.ChargeProbe(permit.EndpointKey("e1"))
 			for { // take permits until the next one isn't available yet
 				waiter := s.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
-				_, due := s.granter.TryGrant(waiter)
+				_, wait := s.granter.TryGrant(waiter)
 				s.granter.Dequeue(waiter)
-				if due > 0 {
+				if wait > 0 {
 					break
 				}
 			}
@@ -181,17 +181,17 @@
 
 	It("use permits, for probes and orders alike", func() {
 		withEndpointClient(&countingEndpoints{}, func(c *endpointClient, _ *registry.Table, clock *timer.Manual) {
-			waiter := func() time.Duration {
-				n := c.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
-				defer c.granter.Dequeue(n)
-				_, due := c.granter.TryGrant(n)
-				return due
+			availableIn := func() time.Duration {
+				waiter := c.granter.Enqueue([]uint32{permit.EndpointKey("e1")}, true, 5)
+				defer c.granter.Dequeue(waiter)
+				_, wait := c.granter.TryGrant(waiter)
+				return wait
 			}
 			c.granter.BeginTerm(limitTerm)
 			c.observeLimit("e1", fleet.RateLimit{Status: fleet.LimitSet, PerSecond: 0.5}, clock.Now())
 			clock.Advance(6 * time.Second) // enough for two and a half permits
 			probeAndOrder(c)
-			Expect(waiter()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
+			Expect(availableIn()).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 		})
 	})
 
@@ -215,7 +215,7 @@
 		})
 	})
 
-	It("mark an endpoint as below demand if its limit is lower than the demand on its service", func() {
+	It("count an endpoint as below demand if its limit is lower than the demand on its service", func() {
 		withLimit(8, func(s *Server, _ *timer.Manual) {
 			Expect(s.belowDemand("e1")).To(BeFalse())
 			s.addLimits(demandRequest(20), &rpc.SyncReply{}, limitTerm)
--- a/pkg/fleetcontrol/loads.go
+++ b/pkg/fleetcontrol/loads.go
@@ -19,9 +19,9 @@
 )
 
 // loadTotals is the sum of the loads that all entry hosts have in flight at each
-// endpoint. Each call updates it by its difference to the one before. Every host is sent
-// the same list and subtracts its own load: a sum for each host and answer would take
-// hosts times endpoints steps.
+// endpoint. Each call of a host updates it by the difference to that host's previous
+// call. Every host is sent the same list and subtracts its own load: a sum for each host
+// and answer would take hosts times endpoints steps.
 type loadTotals struct {
 	sums   map[uint32]load
 	table  *rpc.LoadTable
--- a/pkg/fleetcontrol/many_test.go
+++ b/pkg/fleetcontrol/many_test.go
@@ -85,11 +85,11 @@
 			changed int
 			epoch   uint64
 			allowed bool
-			rows    int
+			entries int
 			full    bool
 		}{
-			{changed: maxChangedEntries, epoch: 7, allowed: true, rows: maxChangedEntries},
-			{changed: maxChangedEntries, epoch: 7, allowed: false, rows: maxChangedEntries},
+			{changed: maxChangedEntries, epoch: 7, allowed: true, entries: maxChangedEntries},
+			{changed: maxChangedEntries, epoch: 7, allowed: false, entries: maxChangedEntries},
 			{changed: maxChangedEntries + 1, epoch: 7, allowed: true, full: true},
 			{changed: maxChangedEntries + 1, epoch: 7, allowed: false},
 			{changed: 1, epoch: 5, allowed: true, full: true},
@@ -111,9 +111,9 @@
 				reply := &rpc.SyncReply{Epoch: 7}
 				s.addEndpoints(q, reply, startTime)
 				name := fmt.Sprint(k)
-				Expect(reply.GetEndpoints()).To(HaveLen(k.rows), name)
+				Expect(reply.GetEndpoints()).To(HaveLen(k.entries), name)
 				Expect(reply.GetWhole()).To(Equal(k.full), name)
-				if k.rows > 0 || k.full {
+				if k.entries > 0 || k.full {
 					Expect(reply.GetEndpointsVersion()).To(Equal(s.table.Version()), name)
 					Expect(reply.GetEpoch()).To(BeEquivalentTo(7), name)
 					return
--- a/pkg/fleetcontrol/members.go
+++ b/pkg/fleetcontrol/members.go
@@ -40,15 +40,15 @@
 			r.removeSurplus(ctx, node, st, began)
 			return
 		}
-		if r.mayBeRemoved(st, now, began) {
+		if r.mayHaveBeenRemoved(st, now, began) {
 			r.requestJoin(ctx, st)
 		}
 	})
 }
 
-// mayBeRemoved reports whether this replica may no longer be a member: the log doesn't
-// name it, or it has received nothing from the others for joinSilence.
-func (r *Replica) mayBeRemoved(st replica.Status, now, began time.Time) bool {
+// mayHaveBeenRemoved reports whether this replica may no longer be a member: the log
+// doesn't name it, or it has received nothing from the others for joinSilence.
+func (r *Replica) mayHaveBeenRemoved(st replica.Status, now, began time.Time) bool {
 	if !containsMember(st.Members, st.ID) {
 		return true
 	}
@@ -161,7 +161,8 @@
 	}, nil
 }
 
-// setPeerAddresses lets a replica whose log is still empty answer the other members.
+// setPeerAddresses lets a replica whose log doesn't name it as a member yet answer the
+// other members.
 func (r *Replica) setPeerAddresses(members *rpc.Members) {
 	node, _ := r.current()
 	if node == nil || containsMember(node.Status().Members, node.Status().ID) {
--- a/pkg/fleetcontrol/probe.go
+++ b/pkg/fleetcontrol/probe.go
@@ -28,7 +28,7 @@
 	loadingProbeInterval = 300 * time.Millisecond
 	// probeRate is how many probes the leader sends per second in all. Without a bound,
 	// 3,000 loading endpoints would cause 10,000 probes a second, and overload a leader of
-	// 300 hosts. With more endpoints each is probed less often, and its heartbeats report
+	// 300 entry hosts. With more endpoints each is probed less often, and its heartbeats report
 	// its state.
 	probeRate = 500
 	// probeBurst is how many probes may be sent at once.
@@ -76,8 +76,8 @@
 	return list
 }
 
-// missed counts a probe without an answer, and returns how many there were in a row.
-// answered resets that count.
+// missed counts a probe that failed, and returns how many did in a row. answered resets
+// that count.
 func (s *probeSchedule) missed(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/fleetcontrol/probe_test.go
+++ b/pkg/fleetcontrol/probe_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// withServer runs f on a control host that isn't running, whose endpoints answer by
-// report, and on the group in which its probes run.
+// withServer runs f on a control host whose Run isn't called and whose endpoints answer
+// by report, and on the group in which its probes run.
 func withServer(report func(id string) (placement.Report, error), f func(s *Server, g *group.Group)) {
 	g := group.New(context.Background())
 	defer g.Stop()
--- a/pkg/fleetcontrol/quarantine.go
+++ b/pkg/fleetcontrol/quarantine.go
@@ -35,8 +35,8 @@
 	detector *quarantine.Detector
 
 	mu        sync.Mutex
-	term      uint64 // in which the crashes were reported
-	served    []quarantine.Fingerprint
+	term      uint64                   // in which the crashes were reported
+	served    []quarantine.Fingerprint // reported since the last takeServed
 	decisions decisionList
 }
 
@@ -93,9 +93,9 @@
 	return list
 }
 
-// beginTerm drops everything if the term differs from the one before: hosts then report
-// again. A leader that only lost its lease for a moment keeps what it has, since hosts
-// don't report that twice in one term.
+// beginTerm drops the reported crashes and served requests if the term differs from the
+// one before: hosts then report the crashes again. A leader that only lost its lease for a
+// moment keeps them, since hosts don't report a crash twice in one term.
 func (c *quarantineCoordinator) beginTerm(term uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/fleetcontrol/quarantine_test.go
+++ b/pkg/fleetcontrol/quarantine_test.go
@@ -27,7 +27,7 @@
 	return got
 }
 
-// crashOf is a crash of an endpoint under the crash-causing request.
+// crashOf returns a crash of an endpoint that had the crash-causing request.
 func crashOf(endpoint uint32) *rpc.EndedSend {
 	return &rpc.EndedSend{Fingerprint: crashFingerprint, Endpoint: endpoint, Early: true, AfterMs: 100}
 }
@@ -49,7 +49,7 @@
 			c.reportCrashes("b", crashOf(2), crashOf(1))
 			Consistently(c.quarantined, "500ms", "100ms").Should(BeFalse())
 			c.reportCrashes("c", crashOf(3))
-			Eventually(c.quarantined, "1s", "50ms").Should(BeTrue(), "well within the time of contact")
+			Eventually(c.quarantined, "1s", "50ms").Should(BeTrue(), "within a second of the third crash")
 			oldLeader := c.leader()
 			c.stop(oldLeader)
 			Eventually(c.quarantined, "5s", "50ms").Should(BeTrue())
--- a/pkg/fleetcontrol/replica.go
+++ b/pkg/fleetcontrol/replica.go
@@ -263,8 +263,8 @@
 	return net.JoinHostPort(r.ip, r.port)
 }
 
-// silentFor returns how long nothing was received from a member, counted from since
-// and from this node's start at the earliest.
+// silentFor returns how long nothing was received from a member. Time before since, and
+// before this node was installed, doesn't count.
 func (r *Replica) silentFor(id uint64, since time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/fleetcontrol/restore_test.go
+++ b/pkg/fleetcontrol/restore_test.go
@@ -73,7 +73,7 @@
 					list, err := readEndpoints(c.dataFolder(ip), time.Now())
 					Expect(err).NotTo(HaveOccurred())
 					return len(list)
-				}, "5s", "10ms").Should(Equal(2), "the one that leaves isn't kept")
+				}, "5s", "10ms").Should(Equal(2), "the leaving endpoint isn't saved")
 			}
 			restart(c)
 			lead := c.leader()
--- a/pkg/fleetcontrol/server.go
+++ b/pkg/fleetcontrol/server.go
@@ -41,18 +41,18 @@
 	Decode(content []byte) (*fleet.Configuration, error)
 }
 
-// Config configures a Server. Every field is required but Bootstrap.
+// Config configures a Server. Every field is required but Folder and Bootstrap.
 type Config struct {
-	Folder string
+	Folder string // data folder; empty on a host without a disk
 	IP     string
 	// Port is the port of the internal RPCs, the same on every control host.
 	Port            string
 	Bootstrap       Bootstrap
 	SeedIPs         func() []string
-	ToleratedLosses int // number of disks that may be lost at once
-	Heartbeat       time.Duration
+	ToleratedLosses int           // number of disks that may be lost at once
+	Heartbeat       time.Duration // interval between an endpoint's heartbeats
 	Decoder         Decoder
-	Orders          placement.EndpointClient
+	Orders          placement.EndpointClient // sends the leader's probes and orders
 	Client          *http.Client
 	Timer           timer.Service
 	Log             *eventlog.Log
--- a/pkg/fleetcontrol/size_test.go
+++ b/pkg/fleetcontrol/size_test.go
@@ -25,7 +25,8 @@
 )
 
 // entryHosts is a set of entry hosts that hold what the answers brought, and the size of
-// these answers in bytes. Loads are left out, since they are sent by the clock.
+// these answers in bytes. Loads are left out, since they are sent at intervals whether or
+// not they change.
 type entryHosts struct {
 	list  []*entryHost
 	bytes int
