--- a/pkg/fleetcontrol/announce.go
+++ b/pkg/fleetcontrol/announce.go
@@ -14,8 +14,8 @@
 )
 
 // ErrNoMajority is returned if too few control replicas acknowledged a leave
-// announcement or a deregistration.
-var ErrNoMajority = errors.New("not acknowledged by a majority of the control replicas")
+// announcement or a deregistration. The endpoint is sent the text.
+var ErrNoMajority = errors.New("no majority of the control replicas could be told")
 
 // Announce records an endpoint's heartbeat. A leave announcement is acknowledged only
 // once a majority of the replicas has it: any later leader was elected by a majority,
--- a/pkg/fleetcontrol/documents.go
+++ b/pkg/fleetcontrol/documents.go
@@ -43,8 +43,9 @@
 	return fleet.Unpack(doc.GetContent())
 }
 
-// ErrNoConfiguration is returned while no configuration has ever been accepted.
-var ErrNoConfiguration = errors.New("no configuration has been accepted yet")
+// ErrNoConfiguration is returned while no configuration has ever been accepted. The
+// operator is sent the text.
+var ErrNoConfiguration = errors.New("no configuration was accepted yet")
 
 // Replace replaces the configuration as a whole. It returns once a majority of the
 // replicas holds it or a newer one. The error is an *InvalidError if the configuration
