--- a/pkg/fleetcontrol/documents.go
+++ b/pkg/fleetcontrol/documents.go
@@ -43,8 +43,9 @@
 	return fleet.Unpack(doc.GetContent())
 }
 
-// ErrNoConfiguration is returned while no configuration has ever been accepted.
-var ErrNoConfiguration = errors.New("no configuration has been accepted yet")
+// ErrNoConfiguration is returned while no configuration has ever been accepted. The
+// operator is sent the text.
+var ErrNoConfiguration = errors.New("no configuration was accepted yet")
 
 // Replace replaces the configuration as a whole. It returns once a majority of the
 // replicas holds it or a newer one. The error is an *InvalidError if the configuration
@@ -148,8 +149,8 @@
 	return rpc.NewFleetProtobufClient("http://"+leader, s.cfg.Client).Submit(ctx, d)
 }
 
-// ErrNoLeader is returned if this replica knows no leader to forward a call to, or
-// can't confirm that it leads itself.
+// ErrNoLeader is returned if this replica knows no leader to forward a call to, can't
+// confirm that it leads itself, or would have to forward a call a second time.
 var ErrNoLeader = errors.New("no leader of the control replicas is known")
 
 const forwardedHeader = "Larchwinch-Forwarded"
