--- a/pkg/pathing/bench_test.go
+++ b/pkg/pathing/bench_test.go
@@ -29,7 +29,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				Choose(e, candidates, demand, even)
+				Choose(e, candidates, demand, noJitter)
 			}
 		})
 	}
--- a/pkg/pathing/pathing.go
+++ b/pkg/pathing/pathing.go
@@ -251,12 +251,12 @@
 		read = s.demand.Prompt / e.ReadPerSecond * 1000 * k.ReadFactor * share * contention
 	}
 	cost := (write + read) * math.Max(1, c.Slowdown)
-	room := e.CacheTokens(c.Kind, int(held)) / math.Max(1, held)
+	capacity := e.CacheTokens(c.Kind, int(held)) / math.Max(1, held)
 	need := c.Tokens + s.demand.MeanKVTokens()
-	if room <= 0 || need > room {
+	if capacity <= 0 || need > capacity {
 		return cost * fullMemoryPenalty
 	}
-	return cost * (1 + need/room)
+	return cost * (1 + need/capacity)
 }
 
 // loadStepMs is what the requests at a candidate add to a step through all layers, in
--- a/pkg/pathing/pathing_test.go
+++ b/pkg/pathing/pathing_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func even() float64 {
+func noJitter() float64 {
 	return 1
 }
 
@@ -62,7 +62,7 @@
 
 var _ = Describe("a path", func() {
 	It("uses the faster of two endpoints with the same layers", func() {
-		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 0, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 0, 10)}, demand, noJitter)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
 	})
 
@@ -70,57 +70,57 @@
 		home := demand
 		home.HomeDomain = "a"
 		near, far := candidate("near", "a", "slow", 0, 10), candidate("far", "b", "fast", 0, 10)
-		Expect(ids(Choose(engine(), []Candidate{near, far}, home, even))).To(Equal([]string{"near=0-10"}))
-		Expect(ids(Choose(engine(), []Candidate{near, far}, demand, even))).To(Equal([]string{"far=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{near, far}, home, noJitter))).To(Equal([]string{"near=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{near, far}, demand, noJitter))).To(Equal([]string{"far=0-10"}))
 		near.Slowdown = 10
-		Expect(ids(Choose(engine(), []Candidate{near, far}, home, even))).To(Equal([]string{"far=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{near, far}, home, noJitter))).To(Equal([]string{"far=0-10"}))
 	})
 
 	It("splits overlapping ranges so that the faster endpoint runs more layers", func() {
-		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 4, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{candidate("s", "a", "slow", 0, 10), candidate("f", "a", "fast", 4, 10)}, demand, noJitter)
 		Expect(ids(path)).To(Equal([]string{"s=0-4", "f=4-10"}))
 	})
 
 	It("stays in a domain though a faster endpoint is in another", func() {
 		path := Choose(engine(), []Candidate{
 			candidate("x", "a", "slow", 0, 5), candidate("y", "a", "slow", 5, 10), candidate("z", "b", "fast", 5, 10),
-		}, demand, even)
+		}, demand, noJitter)
 		Expect(ids(path)).To(Equal([]string{"x=0-5", "y=5-10"}))
 		Expect(DomainCrossings(path)).To(Equal(0))
 	})
 
 	It("crosses failure domains if there is no other path", func() {
-		path := Choose(engine(), []Candidate{candidate("x", "a", "slow", 0, 5), candidate("z", "b", "fast", 5, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{candidate("x", "a", "slow", 0, 5), candidate("z", "b", "fast", 5, 10)}, demand, noJitter)
 		Expect(DomainCrossings(path)).To(Equal(1))
 	})
 
 	It("is nil if no endpoint holds some layer", func() {
-		Expect(Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 5), candidate("y", "a", "fast", 6, 10)}, demand, even)).To(BeNil())
+		Expect(Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 5), candidate("y", "a", "fast", 6, 10)}, demand, noJitter)).To(BeNil())
 	})
 
 	It("keeps a fixed first stage", func() {
 		first := fleet.Stage{ID: "x", Address: "x", Domain: "a", Layers: fleet.Range{From: 0, To: 3}}
 		d := demand
 		d.First = &first
-		path := Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 10), candidate("y", "a", "slow", 2, 10)}, d, even)
+		path := Choose(engine(), []Candidate{candidate("x", "a", "fast", 0, 10), candidate("y", "a", "slow", 2, 10)}, d, noJitter)
 		Expect(ids(path)).To(Equal([]string{"x=0-3", "y=3-10"}))
 	})
 
 	It("begins where the wait is shorter, and ignores waits at later stages", func() {
 		x, y, z := candidate("x", "a", "fast", 0, 5), candidate("y", "a", "slow", 0, 5), candidate("z", "a", "fast", 5, 10)
 		z.Wait = time.Minute
-		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"x=0-5", "z=5-10"}))
+		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, noJitter))).To(Equal([]string{"x=0-5", "z=5-10"}))
 		x.Wait = time.Second
-		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, even))).To(Equal([]string{"y=0-5", "z=5-10"}))
+		Expect(ids(Choose(engine(), []Candidate{x, y, z}, demand, noJitter))).To(Equal([]string{"y=0-5", "z=5-10"}))
 	})
 
 	It("counts the memory that a request holds on average", func() {
 		nearlyFull := candidate("f", "a", "fast", 0, 10)
 		nearlyFull.Tokens = 98_500 // of 100,000
 		d := Demand{Prompt: 100, Answer: 2000}
-		Expect(ids(Choose(engine(), []Candidate{nearlyFull, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"f=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearlyFull, candidate("m", "a", "mid", 0, 10)}, d, noJitter))).To(Equal([]string{"f=0-10"}))
 		nearlyFull.Tokens = 99_500
-		Expect(ids(Choose(engine(), []Candidate{nearlyFull, candidate("m", "a", "mid", 0, 10)}, d, even))).To(Equal([]string{"m=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{nearlyFull, candidate("m", "a", "mid", 0, 10)}, d, noJitter))).To(Equal([]string{"m=0-10"}))
 	})
 
 	It("weighs what requests at a loaded endpoint cost each other", func() {
@@ -128,29 +128,29 @@
 		loaded.Requests = 450
 		loaded.Tokens = 80e3
 		idle := candidate("m", "a", "mid", 0, 10)
-		Expect(ids(Choose(engine(), []Candidate{loaded, idle}, demand, even))).To(Equal([]string{"m=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{loaded, idle}, demand, noJitter))).To(Equal([]string{"m=0-10"}))
 		loaded.Requests = 40
 		loaded.Tokens = 8e3
-		Expect(ids(Choose(engine(), []Candidate{loaded, idle}, demand, even))).To(Equal([]string{"f=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{loaded, idle}, demand, noJitter))).To(Equal([]string{"f=0-10"}))
 	})
 
 	It("counts full passes even where it uses few of an endpoint's layers", func() {
 		single := candidate("a", "d", "mid", 0, 10)
 		single.Requests = 30 // 24 % more for a layer, by contention
 		head, tail := candidate("b", "d", "mid", 0, 5), candidate("c", "d", "mid", 5, 10)
-		Expect(ids(Choose(engine(), []Candidate{single, head, tail}, demand, even))).To(Equal([]string{"b=0-5", "c=5-10"}))
+		Expect(ids(Choose(engine(), []Candidate{single, head, tail}, demand, noJitter))).To(Equal([]string{"b=0-5", "c=5-10"}))
 		head.LayersHeld, tail.LayersHeld = 10, 10
-		Expect(ids(Choose(engine(), []Candidate{single, head, tail}, demand, even))).To(Equal([]string{"a=0-10"}))
+		Expect(ids(Choose(engine(), []Candidate{single, head, tail}, demand, noJitter))).To(Equal([]string{"a=0-10"}))
 	})
 
 	It("avoids a slow endpoint and one whose memory is full", func() {
 		slow := candidate("s", "a", "fast", 0, 10)
 		slow.Slowdown = 5
-		path := Choose(engine(), []Candidate{slow, candidate("f", "a", "fast", 0, 10)}, demand, even)
+		path := Choose(engine(), []Candidate{slow, candidate("f", "a", "fast", 0, 10)}, demand, noJitter)
 		Expect(ids(path)).To(Equal([]string{"f=0-10"}))
 		full := candidate("f", "a", "fast", 0, 10)
 		full.Tokens = 1e9
-		path = Choose(engine(), []Candidate{candidate("s", "a", "fast", 0, 10), full}, demand, even)
+		path = Choose(engine(), []Candidate{candidate("s", "a", "fast", 0, 10), full}, demand, noJitter)
 		Expect(ids(path)).To(Equal([]string{"s=0-10"}))
 	})
 })
@@ -175,7 +175,7 @@
 				held[l] = true
 			}
 		}
-		path := Choose(e, candidates, demand, even)
+		path := Choose(e, candidates, demand, noJitter)
 		all := true
 		for _, h := range held {
 			all = all && h
--- a/pkg/placement/controller.go
+++ b/pkg/placement/controller.go
@@ -68,9 +68,9 @@
 	maxOrdersInFlight = 64
 )
 
-// Controller sends the orders that Plan returns. Only the leader's does so; an order of
-// an earlier leader that arrives late is rejected, since the number of orders that the
-// endpoint has accepted no longer matches.
+// Controller sends the orders that Plan returns. Only the leader's does so. An endpoint
+// doesn't accept an order of an earlier leader that arrives after it has accepted a newer
+// one, since its number of accepted orders no longer matches.
 type Controller struct {
 	client      EndpointClient
 	table       *registry.Table
@@ -85,7 +85,7 @@
 	firstSeen map[string]time.Time   // by incarnation
 	addresses map[string]bool        // at which incarnations were seen
 	crashes   *crashTracker
-	startedAt time.Time     // when the controller first saw endpoints; zero: not yet
+	startedAt time.Time     // endpoints that joined by then replace no others; zero before the first Reconcile
 	inFlight  chan struct{} // holds one element for each order in flight
 }
 
@@ -167,7 +167,8 @@
 }
 
 // Reconcile plans the placement of each service and sends the orders that are due.
-// leads is called right before each order, which is sent only if it returns true.
+// leads is called before each order is queued for sending; once it returns false, no
+// further orders of the service are.
 func (c *Controller) Reconcile(ctx context.Context, cfg *fleet.Configuration, leads func() bool) {
 	endpoints := c.table.All()
 	for i := range cfg.Services {
--- a/pkg/placement/crashes.go
+++ b/pkg/placement/crashes.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// crashesBeforeBackoff is how many incarnations in a row may end at an address
-	// while they load what was ordered before the address gets no orders for a while:
+	// crashesBeforeBackoff is how many incarnations in a row may crash at an address
+	// while they load what was ordered, until the address gets no orders for a while:
 	// the order itself may crash them. A lower number would include endpoints that just
 	// crash often.
 	crashesBeforeBackoff = 3
@@ -60,7 +60,7 @@
 }
 
 // replaced records that another incarnation is at the address. crashed says that the
-// previous one ended while it loaded.
+// previous one was still loading what it was ordered to hold.
 func (a *addressCrashes) replaced(crashed bool, now time.Time) {
 	if !crashed {
 		return
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -51,14 +51,15 @@
 	JustJoined bool
 }
 
-// Plan returns the orders that are due. Layers that no endpoint serves come first, and
-// nothing else is ordered until they are served. Then each empty endpoint gets the
-// layers with the least coverage, in the first place within its group: the failure
-// domains that hold a copy together. A gap that no empty endpoint fills gets an
-// endpoint whose layers all are held by others too. If there is none, endpoints shift
-// along the layers until their overlaps fill the gap, if others serve their layers
-// meanwhile. No other endpoint is moved, and no more loads are started at once than the
-// store of weights serves.
+// Plan returns the orders that are due. Layers that no endpoint serves normally come
+// first, and while some layer isn't served at all, nothing else is ordered. Then each
+// empty endpoint gets the first layers that its group, the failure domains that hold a
+// copy together, lacks, or else the layers with the least coverage. A gap that no empty
+// endpoint fills gets an endpoint whose layers all are held by others too. If there is
+// none, endpoints shift along the layers until their overlaps fill the gap, if others
+// serve their layers meanwhile. No other endpoint is moved. Apart from orders for
+// unserved layers and the first placement, the loads in progress are bounded by what the
+// store of weights serves at once, see loadBudget.
 func Plan(e *fleet.Engine, endpoints []EndpointState) []Order {
 	if e.Layers <= 0 || e.LayerMB <= 0 {
 		return nil
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -72,7 +72,9 @@
 	return true
 }
 
-func userDeployment() []placement.EndpointState {
+// mixedEndpoints returns empty endpoints of several kinds in three failure domains, each of
+// which can hold all layers.
+func mixedEndpoints() []placement.EndpointState {
 	list := emptyEndpoints("a", "mid", 2)
 	list = append(list, emptyEndpoints("a", "small", 4)...)
 	list = append(list, emptyEndpoints("a", "tiny", 7)...)
@@ -87,14 +89,14 @@
 
 var _ = Describe("a plan", func() {
 	It("gives each failure domain that can hold the model a complete copy", func() {
-		list := apply(userDeployment(), placement.Plan(engine(), userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(engine(), mixedEndpoints()))
 		for _, d := range []string{"a", "b", "c"} {
 			Expect(covered(list, d, 80)).To(BeTrue(), d)
 		}
 	})
 
 	It("orders nothing more once everything is placed", func() {
-		list := apply(userDeployment(), placement.Plan(engine(), userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(engine(), mixedEndpoints()))
 		Expect(placement.Plan(engine(), list)).To(BeEmpty())
 	})
 
@@ -109,7 +111,7 @@
 
 	It("keeps an endpoint that has just joined for the gap that the old one leaves", func() {
 		e := engine()
-		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(e, mixedEndpoints()))
 		joined := placement.EndpointState{ID: "new", Domain: "c", Kind: "small", JustJoined: true}
 		Expect(placement.Plan(e, append(list, joined))).To(BeEmpty())
 		var old placement.EndpointState
@@ -129,7 +131,7 @@
 
 	It("copies layers that only endpoints below demand hold, and doesn't move these", func() {
 		e := engine()
-		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(e, mixedEndpoints()))
 		belowDemand := map[string]bool{}
 		last := ""
 		for i := range list {
@@ -156,7 +158,7 @@
 
 	It("covers the layers of a slow endpoint with a redundant one, but doesn't repack for them", func() {
 		e := engine()
-		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(e, mixedEndpoints()))
 		for i := range list {
 			if list[i].ID == "b-mid-0" {
 				list[i].Slowdown = 12
@@ -176,9 +178,9 @@
 			}
 		}
 		Expect(covered(fast, "b", 80)).To(BeTrue())
-		none := apply(emptyEndpoints("a", "small", 10), placement.Plan(e, emptyEndpoints("a", "small", 10)))
-		none[3].Slowdown = 12
-		Expect(placement.Plan(e, none)).To(BeEmpty())
+		noSpare := apply(emptyEndpoints("a", "small", 10), placement.Plan(e, emptyEndpoints("a", "small", 10)))
+		noSpare[3].Slowdown = 12
+		Expect(placement.Plan(e, noSpare)).To(BeEmpty())
 	})
 
 	It("repacks endpoints if no single one can fill a gap", func() {
@@ -198,7 +200,7 @@
 		Expect(covered(after, "a", 80)).To(BeTrue())
 		Expect(len(orders)).To(BeNumerically("<=", 3))
 		for _, o := range orders {
-			Expect(o.ID).NotTo(Equal("a-mid-0"), "the first stage of every path")
+			Expect(o.ID).NotTo(Equal("a-mid-0"), "it is the first stage of every path")
 		}
 		Expect(placement.Plan(e, after)).To(BeEmpty())
 		list[7].OrderPending = true
@@ -219,14 +221,14 @@
 
 	It("moves a redundant endpoint into a gap that no empty one fills", func() {
 		e := engine()
-		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(e, mixedEndpoints()))
 		var remaining []placement.EndpointState
 		for _, s := range list {
 			if s.ID != "b-small-2" {
 				remaining = append(remaining, s)
 			}
 		}
-		Expect(covered(remaining, "b", 80)).To(BeTrue(), "layers of small ones are covered twice first")
+		Expect(covered(remaining, "b", 80)).To(BeTrue(), "the layers of the lost small endpoint are held twice")
 		for i := 0; i < len(remaining); i++ {
 			if remaining[i].ID == "b-mid-0" {
 				remaining = append(remaining[:i], remaining[i+1:]...)
@@ -240,7 +242,7 @@
 
 	It("sends no order to endpoints with a pending one", func() {
 		e := engine()
-		list := apply(userDeployment(), placement.Plan(e, userDeployment()))
+		list := apply(mixedEndpoints(), placement.Plan(e, mixedEndpoints()))
 		var remaining []placement.EndpointState
 		for _, s := range list {
 			s.OrderPending = true
--- a/pkg/placement/recovery.go
+++ b/pkg/placement/recovery.go
@@ -2,10 +2,11 @@
 
 import "github.com/larchwinch/larchwinch/pkg/fleet"
 
-// recoverLayers returns orders for the layers that no endpoint serves, in any group,
-// and that none is loading: no request can be served until they are. An endpoint of any
-// group may be moved there if others serve its own layers meanwhile. If there is none,
-// endpoints of all groups are repacked.
+// recoverLayers returns orders for the layers that no endpoint serves normally, in any
+// group, and that none is loading: until they are, requests are slow, or can't be served
+// at all. An endpoint of any group may be moved there if others serve its own layers
+// meanwhile. If there is none, endpoints of all groups are repacked for the layers that
+// not even a degraded endpoint serves.
 func (p *planner) recoverLayers() []Order {
 	var orders []Order
 	if !p.anyLayerServed() {
@@ -59,8 +60,8 @@
 	return false
 }
 
-// nextUnserved returns the first range of layers at or after a layer that no healthy
-// endpoint serves and none is loading.
+// nextUnserved returns the first range of layers at or after a layer that no endpoint
+// serves normally and none is loading.
 func (p *planner) nextUnserved(from int) (fleet.Range, bool) {
 	for l := from; l < p.engine.Layers; l++ {
 		if p.serving[l]+p.loading[l] > 0 {
--- a/pkg/placement/recovery_test.go
+++ b/pkg/placement/recovery_test.go
@@ -111,11 +111,11 @@
 			for _, i := range moving {
 				list[i].OrderPending = true
 			}
-			taken := map[string]bool{}
+			isLost := map[string]bool{}
 			for _, i := range gone {
-				taken[all[i].ID] = true
+				isLost[all[i].ID] = true
 			}
-			list = without(list, func(s placement.EndpointState) bool { return taken[s.ID] })
+			list = without(list, func(s placement.EndpointState) bool { return isLost[s.ID] })
 			before := countServing(list, nil, e.Layers)
 			if countUnserved(before) > 0 {
 				return // no request can be served anyway, so any endpoint may be shifted
@@ -188,11 +188,11 @@
 		all := loadedDomains(e)
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			gone := rapid.SliceOfNDistinct(rapid.IntRange(0, len(all)-1), 0, 24, rapid.ID[int]).Draw(t, "lost")
-			taken := map[string]bool{}
+			isLost := map[string]bool{}
 			for _, i := range gone {
-				taken[all[i].ID] = true
+				isLost[all[i].ID] = true
 			}
-			list := without(all, func(s placement.EndpointState) bool { return taken[s.ID] })
+			list := without(all, func(s placement.EndpointState) bool { return isLost[s.ID] })
 			for range 4 {
 				list = apply(list, placement.Plan(e, list))
 			}
