--- a/pkg/backoff/backoff.go
+++ b/pkg/backoff/backoff.go
@@ -25,9 +25,9 @@
 // poll after its start.
 //
 // Invariants: the end of a backoff never moves earlier; neither a request for a shorter one
-// nor a successful answer cuts it short. During a backoff an endpoint is called at most once,
-// until it was out of backoff in between: endpoints tolerate two calls, and one may be in
-// flight when they ask.
+// nor a successful answer cuts it short. From when an endpoint asks for backoff until it is out
+// of backoff, it is called at most once, however often the backoff is extended: endpoints
+// tolerate two calls, and one may be in flight when they ask.
 type Tracker struct {
 	svc timer.Service
 
--- a/pkg/bound/bound_test.go
+++ b/pkg/bound/bound_test.go
@@ -38,7 +38,7 @@
 	}{
 		{name: "one engine", layers: 4, engines: []bound.Engine{engine(0, 4)}, want: 25},
 		{name: "two in parallel", layers: 4, engines: []bound.Engine{engine(0, 4), engine(0, 4)}, want: 50},
-		{name: "the shorter half waits for the longer", layers: 4, engines: []bound.Engine{engine(0, 1), engine(1, 4)}, want: 100.0 / 3},
+		{name: "two in sequence, limited by the one with more layers", layers: 4, engines: []bound.Engine{engine(0, 1), engine(1, 4)}, want: 100.0 / 3},
 		{name: "layers split at different boundaries", layers: 4, engines: []bound.Engine{engine(0, 2), engine(2, 4), engine(0, 1), engine(1, 4)}, want: 50 + 100.0/3},
 		{name: "a layer that no engine holds", layers: 4, engines: []bound.Engine{engine(0, 3)}, want: 0},
 		{name: "no engines", layers: 4, want: 0},
--- a/pkg/permit/granter.go
+++ b/pkg/permit/granter.go
@@ -169,7 +169,7 @@
 	return g.changed
 }
 
-// UpToDate reports whether a host with the limits of a term up to a version lacks none.
+// UpToDate reports whether a host with the limits of a term up to a version has all changes.
 func (g *Granter) UpToDate(term, version uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/permit/granter_test.go
+++ b/pkg/permit/granter_test.go
@@ -81,15 +81,15 @@
 			for range 400 {
 				clock.Advance(step)
 				granted = append(granted, g.Grant(demandOf(1000, "e")).Total())
-				out := 0
+				outstanding := 0
 				for i := range granted {
 					if age := step * time.Duration(len(granted)-1-i); age < Lifetime {
-						out += granted[i]
+						outstanding += granted[i]
 					} else if age == Lifetime {
 						g.ReturnUnused(1, Counts{EndpointKey("e"): granted[i]})
 					}
 				}
-				Expect(out).To(BeNumerically("<=", int(8*outstandingTime.Seconds())+outstandingExtra))
+				Expect(outstanding).To(BeNumerically("<=", int(8*outstandingTime.Seconds())+outstandingExtra))
 			}
 		})
 	})
@@ -293,7 +293,7 @@
 			case 1: // some expired permits are returned unused
 				for i := range batches {
 					if b := &batches[i]; b.granted && b.n > 0 && now-b.at >= Lifetime {
-						returned := rapid.IntRange(0, b.n).Draw(t, "back")
+						returned := rapid.IntRange(0, b.n).Draw(t, "returned")
 						b.n -= returned
 						g.ReturnUnused(term, Counts{EndpointKey("e"): returned})
 					}
--- a/pkg/permit/holder.go
+++ b/pkg/permit/holder.go
@@ -285,7 +285,8 @@
 	return report
 }
 
-// demands returns the requests that weren't reported yet, and drops services without any.
+// demands returns the demand for each service that received requests lately, and drops the
+// other services.
 func (h *Holder) demands(now time.Time) []Demand {
 	wanted := h.wanted(now)
 	var list []Demand
--- a/pkg/permit/limiter.go
+++ b/pkg/permit/limiter.go
@@ -12,7 +12,7 @@
 	burstExtra = 2.5
 	// At most outstandingTime's worth of the limit and outstandingExtra permits may be
 	// outstanding. Together with the bucket size this bounds the calls of any 4 s to
-	// 1.5 times what the limit allows, plus 3.5 of the 5 that are permitted beyond it.
+	// 1.5 times what the limit allows, plus 3.5. Endpoints tolerate 1.5 times, plus 5.
 	outstandingTime  = 1500 * time.Millisecond
 	outstandingExtra = 1
 	// After a limit was first reported, nothing is granted for grantPause: until then the
@@ -144,7 +144,8 @@
 	return max(d, retryInterval)
 }
 
-// retryInterval is when to try again if it isn't known when a permit becomes available.
+// retryInterval is the shortest time after which to try again, and the one used if it isn't
+// known when a permit becomes available.
 const retryInterval = slotTime
 
 // maxAvailableIn bounds the wait that a caller is given.
--- a/pkg/permit/waiter.go
+++ b/pkg/permit/waiter.go
@@ -115,8 +115,8 @@
 	return granted
 }
 
-// GrantInterval returns the mean time between two permits, over all hosts, of the kind that a
-// waiter waits for; 0 if none of its endpoints has a limit.
+// GrantInterval returns the mean time that the limits leave between two grants of what a waiter
+// waits for, whichever hosts get them; 0 if none of its endpoints has a limit.
 func (g *Granter) GrantInterval(w *Waiter) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/registry/registry.go
+++ b/pkg/registry/registry.go
@@ -197,7 +197,7 @@
 // that at its address: a network partition may delay it until its sender has crashed and
 // another has announced itself. Start times decide if both have them. Otherwise the higher
 // sequence is the earlier one's, since sequences restart with each incarnation. If the other
-// incarnation is gone itself, a heartbeat is accepted within two intervals.
+// incarnation has crashed too, heartbeats are accepted again two intervals after its last one.
 func (t *Table) isDelayed(e *fleet.Endpoint) bool {
 	if e.Gone || e.Address == "" {
 		return false
--- a/pkg/registry/registry_test.go
+++ b/pkg/registry/registry_test.go
@@ -75,7 +75,7 @@
 		}{
 			{name: "delayed by a partition", late: 40, silent: interval, accepted: false},
 			{name: "a new incarnation after a crash", late: 1, silent: interval, accepted: true, replaced: true},
-			{name: "the other is gone itself", late: 40, silent: 2 * interval, accepted: true, replaced: true},
+			{name: "the other has crashed too", late: 40, silent: 2 * interval, accepted: true, replaced: true},
 		}
 		for _, c := range cases {
 			withTable(func(t *Table, clock *timer.Manual) {
@@ -320,7 +320,7 @@
 			}
 			m.sequence = max(m.sequence, e.Sequence)
 			m.leaving = m.leaving || e.Leaving
-			if rapid.Bool().Draw(rt, "spread") {
+			if rapid.Bool().Draw(rt, "propagate") {
 				tables[1].Merge(tables[0].All())
 			}
 		}
