--- a/pkg/backoff/backoff_test.go
+++ b/pkg/backoff/backoff_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRest(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "backoff")
 }
@@ -96,7 +96,7 @@
 	})
 })
 
-func BenchmarkLeft(b *testing.B) {
+func BenchmarkRemaining(b *testing.B) {
 	tracker := New(timer.NewSystem())
 	tracker.Record("p", time.Hour)
 	for b.Loop() {
--- a/pkg/permit/granter_test.go
+++ b/pkg/permit/granter_test.go
@@ -333,7 +333,7 @@
 	})
 }
 
-func BenchmarkLend(b *testing.B) {
+func BenchmarkGrant(b *testing.B) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	g := NewGranter(clock)
 	g.BeginTerm(1)
@@ -351,7 +351,7 @@
 	}
 }
 
-func BenchmarkNews(b *testing.B) {
+func BenchmarkTakeReport(b *testing.B) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	holder := NewHolder(clock, 1)
 	for n := range 1600 {
--- a/pkg/resumption/resumption_test.go
+++ b/pkg/resumption/resumption_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestCrowd(t *testing.T) {
+func TestResumption(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "resumption")
 }
--- a/pkg/simulation/simulation_test.go
+++ b/pkg/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPattern(t *testing.T) {
+func TestSimulation(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "simulation")
 }
