--- a/pkg/resumption/resumption_test.go
+++ b/pkg/resumption/resumption_test.go
@@ -9,12 +9,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestCrowd(t *testing.T) {
+func TestResumption(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "resumption")
 }
 
-// withSpreader runs f with a spreader and its clock, which stands still.
+// withSpreader runs f with a spreader and its manual clock.
 func withSpreader(f func(s *Spreader, clock *timer.Manual)) {
 	clock := timer.NewManual(time.Unix(1000, 0))
 	f(New(clock), clock)
