--- a/pkg/chain/move.go
+++ b/pkg/chain/move.go
@@ -29,8 +29,9 @@
 	kv   *api.EngineKV // nil if the export failed
 }
 
-// leavingStages returns the stages whose endpoints are leaving, or nil if the
-// request has too few tokens left to be moved.
+// leavingStages returns the stages whose endpoints are leaving. It returns nil if
+// there are none, if no check is due at this token, or if the request must not be
+// moved or has too few tokens left for that.
 func (x *execution) leavingStages() lostStages {
 	if x.movesDisabled || len(x.emitted)%leavingCheckTokens != 0 || x.req.MaxTokens-len(x.emitted) < minMoveTokens {
 		return nil
--- a/pkg/control/presence.go
+++ b/pkg/control/presence.go
@@ -77,6 +77,8 @@
 	newEpoch := r.GetEpoch() != p.epoch
 	reply.Entries = p.entriesSince(r.GetEntriesVersion(), newEpoch)
 	if !p.listRead {
+		// Without the platform's list, p.table may be incomplete. A reply with
+		// epoch 0 makes the host keep the endpoints that it has.
 		return reply
 	}
 	reply.Epoch = p.epoch
--- a/pkg/entry/presence.go
+++ b/pkg/entry/presence.go
@@ -291,9 +291,9 @@
 	return engineToWire(i)
 }
 
-// get reads path into out, unless it still has the last ETag that this host has
-// seen; out then stays as it is. It returns the answer's ETag, or "" if there is none
-// or nothing changed.
+// get decodes the endpoint's answer at path into out. It leaves out unchanged if the
+// answer still has the ETag that is recorded for the endpoint. It returns the new
+// ETag, or "" if there is none or nothing changed.
 func (w *watcher) get(ctx context.Context, address, path string, out any) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
--- a/pkg/raft/core.go
+++ b/pkg/raft/core.go
@@ -84,7 +84,8 @@
 	role   Role
 	leader uint64
 	// electionElapsed is the number of ticks since the last message from the
-	// leader or, on the leader, since the last quorum check.
+	// leader, the last vote granted or the last campaign; on the leader, since
+	// the last quorum check.
 	electionElapsed  int
 	heartbeatElapsed int // ticks since the last heartbeat was sent
 	electionTimeout  int
--- a/pkg/replica/node.go
+++ b/pkg/replica/node.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// drainQueues handles up to maxBatch more queued messages and requests, so that
-// one sync covers all of them.
+// drainQueues handles up to maxBatch more queued batches of messages and
+// requests, so that one sync covers all of them.
 func (n *Node) drainQueues() {
 	for range maxBatch {
 		select {
--- a/pkg/replica/sim_test.go
+++ b/pkg/replica/sim_test.go
@@ -19,6 +19,7 @@
 // a fake network, fake disks and manual clocks. It checks that all hosts apply
 // one history, that no acknowledged write is lost, that at most one host holds
 // the leader lease, and that each term has at most one leader.
+
 const simTick = 20 * time.Millisecond
 
 // history is a state machine that records the applied values in order.
--- a/pkg/replica/transport.go
+++ b/pkg/replica/transport.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func (p *peer) run(ctx context.Context, client rpc.Replica, idle *http.Client) {
+func (p *peer) run(ctx context.Context, client rpc.Replica, httpClient *http.Client) {
 	for {
 		batch := p.nextBatch(ctx)
 		if batch == nil {
@@ -108,7 +108,7 @@
 			// Heartbeats cause a lost batch to be sent again. Other idle
 			// connections may be broken as well; close them, since each would
 			// cost another timeout.
-			idle.CloseIdleConnections()
+			httpClient.CloseIdleConnections()
 		}
 	}
 }
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -145,6 +145,7 @@
 	return s.rotate()
 }
 
+// Close closes the log file. Every later write fails.
 func (s *Store) Close() error {
 	s.writeErr = errors.New("the store is closed")
 	return s.log.Close()
