--- a/pkg/store/load.go
+++ b/pkg/store/load.go
@@ -181,7 +181,7 @@
 		return &CorruptError{
 			File:   name,
 			Offset: offset,
-			What:   "a record's checksum is right but its content isn't",
+			What:   "a record has a matching checksum but cannot be decoded",
 		}
 	}
 	return nil
--- a/pkg/store/record.go
+++ b/pkg/store/record.go
@@ -58,14 +58,14 @@
 	if len(b) < prefixSize || string(b[:formatOffset]) != magic {
 		return &CorruptError{
 			File: file,
-			What: "the file's first bytes",
+			What: "the file's prefix is truncated or its magic number is wrong",
 		}
 	}
 	v := binary.LittleEndian.Uint32(b[formatOffset:])
 	if v == 0 {
 		return &CorruptError{
 			File: file,
-			What: "the file's format",
+			What: "the format version is 0",
 		}
 	}
 	if v > format {
@@ -99,7 +99,7 @@
 		return nil, 0, &CorruptError{
 			File:   file,
 			Offset: offset,
-			What:   "a record's header",
+			What:   "the checksum of a record's header does not match",
 		}
 	}
 	n := int64(binary.LittleEndian.Uint32(rest))
@@ -116,7 +116,7 @@
 	return nil, 0, &CorruptError{
 		File:   file,
 		Offset: offset,
-		What:   "a record's content",
+		What:   "the checksum of a record's payload does not match",
 	}
 }
 
