--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The build needs Go, gcc, make and git. Programs are linked to the C library.
+# The build needs Go, gcc, make and git. Programs are linked against the C library.
 export CGO_ENABLED := 1
 PROGRAMS := larchwinch larchwinch-entry larchwinch-control larchwinch-standin larchwinch-load
 GOFILES := $(shell git ls-files '*.go' | grep -v '\.pb\.go$$\|\.twirp\.go$$')
@@ -29,7 +29,7 @@
 	cd _tools && GOBIN=$(CURDIR)/bin go install tool
 	cd pkg/rpc && PATH=$(CURDIR)/bin:$$PATH protoc --go_out=. --go_opt=paths=source_relative --twirp_out=. --twirp_opt=paths=source_relative larchwinch.proto
 
-# Random seeds; a failure prints the seed that reproduces it.
+# Uses a random seed; a failure prints the seed that reproduces it.
 fuzz:
 	go test ./pkg/replica -run Fuzz -rapid.checks=5000 -rapid.steps=80 -rapid.seed=$$(date +%s) -v | grep -v draw
 
@@ -37,8 +37,8 @@
 	_scripts/mutate.sh
 	_scripts/mutate-fleet.sh
 
-# Fifty runs of the real programs under faults from outside, each with a fresh
-# seed; a failure prints the seed that reproduces it.
+# Runs the real programs 50 times under injected faults, each time with another seed;
+# a failure prints the seed that reproduces it.
 soak:
 	_scripts/soak.sh 50 12
 
--- a/_scripts/common.sh
+++ b/_scripts/common.sh
@@ -1,5 +1,5 @@
-# What the scripts that start a system share. The caller sets dir, the folder
-# for logs, before it sources this.
+# Functions for scripts that start the programs as separate processes. The sourcing
+# script must set dir, whose subfolder log receives their output.
 
 pids=()
 declare -A pid_of
@@ -17,14 +17,14 @@
 }
 trap stop_all EXIT
 
-try() { # try COMMAND... until it succeeds, for 30 seconds at most
+try() { # try COMMAND...: retries it until it succeeds, for about 30 s
   local n
   for n in $(seq 1 150); do
     if "$@" >"$dir/log/try.log" 2>&1; then return 0; fi
     sleep 0.2
   done
   cat "$dir/log/try.log"
-  echo "gave up: $*"
+  echo "command kept failing: $*"
   exit 1
 }
 
--- a/_scripts/days.sh
+++ b/_scripts/days.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays each day of deploy/days/ on the users' bench and prints one line a day.
+# Runs each day of deploy/days/ on the users' bench and prints one line per day.
 # Usage: days.sh BENCH SITE WHY
 set -euo pipefail
 bench=$1
--- a/_scripts/measure.sh
+++ b/_scripts/measure.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures the request path: a deployment like those of the brief, as separate
-# processes on loopback, at saturation. Figures go to docs/measurements.
-# Usage: measure.sh throughput|recovery|rest [seconds]
+# Measures the request path under load, with 40 engines, 3 control hosts and 3 entry
+# hosts as separate processes on loopback. Writes its figures to docs/measurements.
+# Usage: measure.sh throughput|storm|cost|recovery [seconds]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 what=${1:-throughput}
@@ -13,8 +13,8 @@
 . _scripts/common.sh
 trap 'exit 1' INT TERM
 
-# Forty engines: 16 large, 14 medium, 10 small over three failure domains. A
-# range is held by kinds in about the same mix, so that all three can be equal.
+# 40 engines in three failure domains: 16 large, 14 medium and 10 small. Each range of
+# layers is held by about the same mix of kinds, so that their capacities are close.
 kinds=(large medium small large medium large medium small large medium large medium small)
 domains=(tallinn-a tallinn-b tallinn-c)
 n=0
@@ -60,7 +60,7 @@
   for i in 1 2 3; do kill "${pid_of[entry-$i]}" 2>/dev/null || true; done
   for i in 1 2 3; do wait "${pid_of[entry-$i]}" 2>/dev/null || true; done
 }
-entry_ticks() { # clock ticks that the entry hosts have used
+entry_ticks() { # prints the CPU time of the entry hosts in clock ticks
   for i in 1 2 3; do awk '{print $14+$15}' "/proc/${pid_of[entry-$i]}/stat"; done | awk '{s+=$1} END {print s}'
 }
 live() { [ "$(bin/larchwinch status | grep -c ' live ')" -ge 40 ]; }
@@ -99,11 +99,11 @@
     try all_ready
     bin/larchwinch-load --experiment "$dir/experiment.toml" --name "$policy" --csv "$out/throughput.csv" --svg "$out/$policy.svg" | grep -E '^experiment|\(all\)'
     stop_entries
-    echo "$policy: $(cat "$dir"/log/entry-*.log | grep -c 'stage lost' || true) stages taken for lost"
+    echo "$policy: $(cat "$dir"/log/entry-*.log | grep -c 'stage lost' || true) stages lost"
   done
   ;;
 storm)
-  # The same engines at their capacity, and under far more clients who come back.
+  # Compares load at the engines' capacity with overload by clients that keep retrying.
   rm -f "$out/storm.csv"
   start_entries expected-finish
   try all_ready
@@ -114,7 +114,7 @@
   done
   ;;
 cost)
-  # Processor time and memory of the entry hosts against the tokens they pass.
+  # Relates CPU time and memory of the entry hosts to the tokens that they forward.
   echo "clients,tokens_per_s_per_host,cpu_us_per_s_per_host,rss_kb_per_host" >"$out/entry-cost.csv"
   start_entries expected-finish
   try all_ready
--- a/_scripts/mutate-fleet.sh
+++ b/_scripts/mutate-fleet.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Breaks each rule of mutations-fleet.txt in a copy, and checks that the tests of
-# the package named beside it notice.
+# Breaks each rule of mutations-fleet.txt in a copy of the source, and checks that
+# the tests of the package that the entry names fail.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
--- a/_scripts/mutate.sh
+++ b/_scripts/mutate.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Breaks each safety rule of the replicated log in a copy, and checks that the
-# fuzz notices. Usage: mutate.sh [checks]
+# Breaks each rule of mutations.txt, the safety rules of the replicated log, in a copy
+# of the source, and checks that directed tests or the fuzz test fail.
+# Usage: mutate.sh [checks]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 checks=${1:-1000}
@@ -26,10 +27,10 @@
     echo "does not build: $rule"
     survived=$((survived + 1))
   elif ! grep -q 'failed after' "$copy/mutate.log"; then
-    echo "no verdict: $rule"
+    echo "inconclusive: $rule"
     survived=$((survived + 1))
   else
-    echo "caught by the fuzz: $rule: $(grep -m1 -o 'failed after .*' "$copy/mutate.log" | cut -c1-110)"
+    echo "caught by the fuzz test: $rule: $(grep -m1 -o 'failed after .*' "$copy/mutate.log" | cut -c1-110)"
   fi
   cp "$file" "$copy/$file"
 done <_scripts/mutations.txt
--- a/_scripts/soak.sh
+++ b/_scripts/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays the soak with fresh seeds. Usage: soak.sh RUNS SECONDS [FIRST SEED]
+# Runs the soak test repeatedly, each time with another seed. Usage: soak.sh RUNS SECONDS [FIRST SEED]
 set -euo pipefail
 cd "$(dirname "$0")/../platform"
 runs=$1
@@ -12,7 +12,7 @@
 for ((i = 0; i < runs; i++)); do
   export SOAK_SEED=$((first + i))
   if out=$(timeout $((SOAK_SECONDS + 90)) "$tests" -ginkgo.focus "real programs" 2>&1); then
-    echo "seed $SOAK_SEED: good"
+    echo "seed $SOAK_SEED: passed"
   else
     failed=$((failed + 1))
     echo "seed $SOAK_SEED: FAILED"
