--- a/_scripts/run.sh
+++ b/_scripts/run.sh
@@ -52,10 +52,10 @@
   wait "${pid_of[engine-$busy]}" 2>/dev/null || true
   wait "$asked"
   tail -2 run/killed.txt
-  if ! grep -q "stage lost" run/log/entry-*.log; then echo "no stage was lost: the kill did not affect the stream"; exit 1; fi
+  if ! grep -q "stage lost" run/log/entry-*.log; then echo "no stage was lost: the kill missed"; exit 1; fi
   if [ "$(grep -v path run/whole.txt)" = "$(grep -v path run/killed.txt)" ]; then
     grep -h "stage lost" run/log/entry-*.log | tail -1
-    echo "the answer is complete and the same as without the kill"
+    echo "the answer came whole, and is the same as without the kill"
   else
     echo "the answers differ"; exit 1
   fi
@@ -64,11 +64,11 @@
 
 cat <<'END'
 
-The system is running. In another terminal, try:
+It is up. In another terminal, try:
   export LARCHWINCH_ADMIN=127.0.1.1:7001,127.0.1.2:7001,127.0.1.3:7001 LARCHWINCH_KEY=lw_example_operator
   bin/larchwinch status
   bin/larchwinch ask --key lw_example_haabersti --entry 127.0.2.1:8080 --pipeline daily-note "Tere!"
   bin/larchwinch-standin fault 127.0.3.4:6100 --slow 5
-Logs are in run/log. Ctrl-C stops the system.
+Logs are in run/log. Ctrl-C ends it.
 END
 while true; do sleep 1; done
