--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -101,7 +101,8 @@
 }
 
 // removeStale removes what is dead, and what the present leader hasn't reported
-// within settleTime. It is called with d.mu held.
+// within settleTime, but no endpoint on which this host has a session open. It is
+// called with d.mu held.
 func (d *Directory) removeStale() {
 	settled := d.svc.Now().Sub(d.epochSeenAt) > settleTime
 	for address, e := range d.endpoints {
--- a/pkg/fleet/incarnation.go
+++ b/pkg/fleet/incarnation.go
@@ -12,7 +12,8 @@
 // id and, if it reports one, its start time (a Unix time in milliseconds; 0 if
 // not). An endpoint that restarts under the same id has lost all state, so
 // everything that is kept by incarnation starts afresh with it: layers, orders, loads,
-// failures, and that it left.
+// failures, and that it left. A start time of 0 is appended only to an id that
+// itself ends like a start time, so that SplitIncarnation returns that id unchanged.
 func IncarnationID(id string, startedAt int64) string {
 	if _, suffix := SplitIncarnation(id); startedAt == 0 && suffix == 0 {
 		return id
--- a/pkg/fleet/pack.go
+++ b/pkg/fleet/pack.go
@@ -8,11 +8,12 @@
 	"github.com/go-faster/errors"
 )
 
-// maxUnpackedBytes bounds a configuration as the operator sent it.
+// maxUnpackedBytes bounds what Unpack and ApplyPatch return.
 const maxUnpackedBytes = 64 << 20
 
 // Pack compresses a configuration as the operator sent it, for the replicated
-// log and for sending it to every entry host.
+// log and for sending it to every entry host. Full lists of endpoints are sent in
+// this form too.
 func Pack(content []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -28,7 +29,8 @@
 	return b.Bytes(), nil
 }
 
-// Unpack returns the content that Pack compressed.
+// Unpack returns the content that Pack compressed, at most its first
+// maxUnpackedBytes.
 func Unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/pkg/fleetentry/apply.go
+++ b/pkg/fleetentry/apply.go
@@ -75,8 +75,9 @@
 	c.rebuild(now)
 }
 
-// mergeEndpoint adds or updates an endpoint. The higher sequence number wins, and an
-// endpoint that was leaving or gone remains so, whichever control host sent it.
+// mergeEndpoint adds or updates an endpoint. The higher sequence number wins. An endpoint
+// that is held as leaving or gone remains so, whichever control host sent the update, until
+// a full list of a settled term replaces all that are held.
 func (c *ControlClient) mergeEndpoint(e fleet.Endpoint) {
 	old, known := c.endpoints[e.ID]
 	if known && e.Sequence < old.Sequence {
@@ -92,8 +93,8 @@
 
 // rebuild recomputes the usable endpoints of each service and their digest, and drops
 // endpoints and leave notices that are past their retention. Endpoints that reported their
-// leaving only to this host count in the digest, since the leader still lists them. The
-// caller holds mu.
+// leaving only to this host count in the digest, since the leader still lists them. It
+// signals the change through c.changed. The caller holds mu.
 func (c *ControlClient) rebuild(now time.Time) {
 	c.byService = map[string][]fleet.Endpoint{}
 	usable := make([]fleet.Endpoint, 0, len(c.endpoints))
@@ -139,7 +140,7 @@
 // share, which is what it reported with the call that is being answered.
 func (c *ControlClient) applyLoads(l *rpc.LoadTable) {
 	if l == nil || len(l.GetRequests()) != len(l.GetEndpoints()) || len(l.GetTokens()) != len(l.GetEndpoints()) {
-		return // the reply has no load table
+		return // the reply has no load table, or one whose columns differ in length
 	}
 	c.peerLoads = make(map[uint32]gateway.Load, len(l.GetEndpoints()))
 	for i, key := range l.GetEndpoints() {
--- a/pkg/fleetentry/controlclient.go
+++ b/pkg/fleetentry/controlclient.go
@@ -46,7 +46,7 @@
 // Loads provides the load that this host puts on endpoints.
 type Loads interface {
 	Loads() map[string]gateway.Load
-	// Load returns the requests in flight at one endpoint.
+	// Load returns the load that this host puts on one endpoint.
 	Load(id string) gateway.Load
 	// Suspects returns the endpoints at which this host's requests failed recently.
 	Suspects() []string
@@ -106,8 +106,8 @@
 	replicas         []string
 	leaving          bool
 	shutdownAt       time.Time // zero unless the host is stopping
-	settled          bool
-	targetIndex      int // position of the control host to call next, unless leaderHint is set
+	settled          bool      // every endpoint has had time to announce itself since the leader's term began
+	targetIndex      int       // position of the control host to call next, unless leaderHint is set
 	leaderHint       string
 	interrupt        context.CancelFunc // cancels the current call
 	interrupted      bool
--- a/pkg/fleetentry/controlclient_test.go
+++ b/pkg/fleetentry/controlclient_test.go
@@ -236,7 +236,7 @@
 		Expect(client.View().Index.Version()).To(BeEquivalentTo(7))
 	})
 
-	It("keeps leaving endpoints as leaving, and removes endpoints only by a full list of a settled term", func() {
+	It("replaces its endpoints by a full list of a settled term, and removes none by one of a term that has not settled", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		client := newTestClient(clock)
 		client.applyReply("c", confirmedReply(3), clock.Now())
--- a/pkg/fleetentry/document.go
+++ b/pkg/fleetentry/document.go
@@ -87,7 +87,7 @@
 }
 
 // fetchConfig fetches a configuration that the leader didn't send itself from the control
-// replicas. Each entry host starts with another replica, which spreads the transfers.
+// replicas. The entry host's name selects the first of them, which spreads the transfers.
 // If no replica returns the version newest, the next Sync asks the leader for it.
 func (c *ControlClient) fetchConfig(ctx context.Context, newest uint64) {
 	for _, address := range c.replicasToAsk() {
--- a/pkg/fleetentry/host.go
+++ b/pkg/fleetentry/host.go
@@ -89,7 +89,8 @@
 }
 
 // Drain makes the host unready and waits until no request is in flight, but for
-// minListenTime at least and for the grace period less its margin at most.
+// minListenTime at least and for the grace period less its margin at most. It returns
+// earlier if ctx ends.
 func (h *Host) Drain(ctx context.Context) {
 	now := h.svc.Now()
 	end := now.Add(h.grace - min(drainMargin, time.Duration(drainMarginShare*float64(h.grace))))
--- a/pkg/fleetentry/limits_test.go
+++ b/pkg/fleetentry/limits_test.go
@@ -94,16 +94,16 @@
 
 	It("are requested from the leader, which says when a permit is available if none is now", func() {
 		cases := []struct {
-			name  string
-			reply *rpc.BorrowReply
-			lost  bool
-			due   time.Duration
-			gap   time.Duration
+			name        string
+			reply       *rpc.BorrowReply
+			lost        bool
+			availableIn time.Duration
+			interval    time.Duration
 		}{
 			{name: "granted", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}},
-			{name: "none available", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, DueMs: 700, GapMs: 1400}, due: 700 * time.Millisecond, gap: 1400 * time.Millisecond},
-			{name: "granted by a replica that isn't the leader", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, due: permitRetryDelay},
-			{name: "no leader", lost: true, due: noLeaderRetryAfter},
+			{name: "none available", reply: &rpc.BorrowReply{Confirmed: true, Term: 1, DueMs: 700, GapMs: 1400}, availableIn: 700 * time.Millisecond, interval: 1400 * time.Millisecond},
+			{name: "granted by a replica that isn't the leader", reply: &rpc.BorrowReply{Permits: permit.Counts{permit.EndpointKey("e1"): 1}.ToWire()}, availableIn: permitRetryDelay},
+			{name: "no leader", lost: true, availableIn: noLeaderRetryAfter},
 		}
 		for _, c := range cases {
 			withGrantingControl(c.reply, func(client *ControlClient, holder *permit.Holder, _ *grantingControl, _ *timer.Manual) {
@@ -111,9 +111,9 @@
 					client.syncFailed("c", "", nil)
 				}
 				permits := client.RequestPermits(context.Background(), []string{"e1"}, true, 5, 0)
-				Expect(permits.AvailableIn).To(Equal(c.due), c.name)
-				Expect(permits.Interval).To(Equal(c.gap), c.name)
-				Expect(holder.TryAcquire("e1")).To(Equal(c.due == 0), c.name)
+				Expect(permits.AvailableIn).To(Equal(c.availableIn), c.name)
+				Expect(permits.Interval).To(Equal(c.interval), c.name)
+				Expect(holder.TryAcquire("e1")).To(Equal(c.availableIn == 0), c.name)
 			})
 		}
 	})
--- a/pkg/fleetentry/notices.go
+++ b/pkg/fleetentry/notices.go
@@ -51,10 +51,10 @@
 }
 
 // addNotices adds the notices that endpoints sent to this host. Any control host receives
-// the endpoints that are leaving, as long as it lists them as usable. Only a control process
-// on this host receives the endpoints in backoff, since its probes and orders come from the
-// same host. Endpoints in backoff aren't reported as suspects: they have just answered, and
-// a suspect would be probed.
+// the endpoints that are leaving, as long as the list held here has them as usable. Only a
+// control process on this host receives the endpoints in backoff, since its probes and
+// orders come from the same host. Endpoints in backoff aren't reported as suspects: they
+// have just answered, and a suspect would be probed.
 func (c *ControlClient) addNotices(q *rpc.SyncRequest, address string) {
 	for id := range c.leavingSince {
 		if e, known := c.endpoints[id]; known && e.Usable() {
--- a/pkg/fleetentry/quarantine.go
+++ b/pkg/fleetentry/quarantine.go
@@ -14,8 +14,9 @@
 	// Unreported returns the crashes and the served requests that the leader of a term has
 	// not acknowledged yet.
 	Unreported(term uint64) (crashes []quarantine.Crash, served []quarantine.Fingerprint)
-	// Acknowledge records that the leader of a term received them.
-	Acknowledge(term uint64, ends []quarantine.Crash, served int)
+	// Acknowledge records that the leader of a term received these crashes, and the first
+	// served of the served requests that Unreported returned.
+	Acknowledge(term uint64, crashes []quarantine.Crash, served int)
 	// SetDecisions replaces the decisions of the control hosts, and Digest returns the
 	// digest of those held.
 	SetDecisions(list []quarantine.Decision, digest uint64)
--- a/pkg/keys/keys.go
+++ b/pkg/keys/keys.go
@@ -1,5 +1,6 @@
 // Package keys implements mutual TLS between the system's own processes: both
-// sides present a certificate of the same authority for their IP address.
+// sides present a certificate of the same authority, and a client also verifies
+// that the server's certificate is for the address that it connects to.
 package keys
 
 import (
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -1,7 +1,7 @@
 // Package membership decides which endpoints are live, leaving, suspect or
-// dead, from the platform's host list, which lags, the probe reports of a few
-// watchers for each endpoint, and what endpoints report of themselves. It has no
-// clock and makes no calls.
+// dead, from the platform's host list, which lags, the reports of the few hosts
+// that probe an endpoint (its watchers), and what endpoints report of themselves.
+// It has no clock and makes no calls.
 //
 // The first rule that applies decides. Only reports of trusted watchers count,
 // and only while they are no older than reportMaxAge:
@@ -54,8 +54,8 @@
 // use.
 //
 // Invariants: version rises with every change that entry hosts must receive; an
-// entry's version is the table's as of its last change; an endpoint that was
-// Leaving stays so until it returns with a new incarnation.
+// entry's version is the table's as of its last change; an endpoint that reported
+// that it is leaving counts as leaving until it returns with a new incarnation.
 type Table struct {
 	entries map[string]*entry
 	version uint64
--- a/pkg/timeline/timeline.go
+++ b/pkg/timeline/timeline.go
@@ -92,7 +92,9 @@
 
 // ForRequest returns the timeline of a request, sorted by time: its own lines, and those
 // about the endpoints and hosts involved, from contextWindow before it arrived to
-// contextWindow after its last line. It is nil if no line names the request.
+// contextWindow after its last line. Changes of a control replica's role and accepted
+// configurations in that time are included from all hosts. It is nil if no line names the
+// request.
 func ForRequest(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
