--- a/pkg/fleet/configuration.go
+++ b/pkg/fleet/configuration.go
@@ -106,7 +106,7 @@
 
 // Kind is one kind of accelerator.
 type Kind struct {
-	MB float64
+	MB float64 // memory
 	// Pace multiplies the time of decode steps, with what sequences and context
 	// add to them; ReadFactor multiplies the time of prefill.
 	Pace       float64
--- a/pkg/fleetentry/controlclient.go
+++ b/pkg/fleetentry/controlclient.go
@@ -23,7 +23,8 @@
 	// syncWait is how long a control host holds a long poll open while nothing changes.
 	// It is also the interval at which loads are reported.
 	syncWait = 400 * time.Millisecond
-	// syncTimeout bounds a call to a control host that doesn't answer.
+	// syncTimeout bounds a long poll together with the fetches of a configuration that
+	// follow it.
 	syncTimeout = 900 * time.Millisecond
 	// retryDelay is the pause after a failed call.
 	retryDelay = 50 * time.Millisecond
