--- a/pkg/fleetentry/controlclient.go
+++ b/pkg/fleetentry/controlclient.go
@@ -23,7 +23,8 @@
 	// syncWait is how long a control host holds a long poll open while nothing changes.
 	// It is also the interval at which loads are reported.
 	syncWait = 400 * time.Millisecond
-	// syncTimeout bounds a call to a control host that doesn't answer.
+	// syncTimeout bounds a long poll together with the fetches of a configuration that
+	// follow it.
 	syncTimeout = 900 * time.Millisecond
 	// retryDelay is the pause after a failed call.
 	retryDelay = 50 * time.Millisecond
@@ -46,7 +47,7 @@
 // Loads provides the load that this host puts on endpoints.
 type Loads interface {
 	Loads() map[string]gateway.Load
-	// Load returns the requests in flight at one endpoint.
+	// Load returns the load that this host puts on one endpoint.
 	Load(id string) gateway.Load
 	// Suspects returns the endpoints at which this host's requests failed recently.
 	Suspects() []string
@@ -106,8 +107,8 @@
 	replicas         []string
 	leaving          bool
 	shutdownAt       time.Time // zero unless the host is stopping
-	settled          bool
-	targetIndex      int // position of the control host to call next, unless leaderHint is set
+	settled          bool      // every endpoint has had time to announce itself since the leader's term began
+	targetIndex      int       // position of the control host to call next, unless leaderHint is set
 	leaderHint       string
 	interrupt        context.CancelFunc // cancels the current call
 	interrupted      bool
