--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/larchwinch/larchwinch/pkg/rpc"
 )
 
-// BenchmarkJudge measures one evaluation by the leader of n endpoints with three
+// BenchmarkEvaluate measures one evaluation by the leader of n endpoints with three
 // watchers each.
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			t := membership.New()
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestStory(t *testing.T) {
+func TestTimeline(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "timeline")
 }
