--- a/pkg/fleetentry/quarantine.go
+++ b/pkg/fleetentry/quarantine.go
@@ -63,7 +63,7 @@
 	for _, s := range reply.GetSuspects() {
 		list = append(list, quarantine.Decision{
 			Fingerprint: quarantine.Fingerprint(s.GetFingerprint()),
-			HoldTime:    time.Duration(s.GetHeldMs()) * time.Millisecond,
+			Duration:    time.Duration(s.GetHeldMs()) * time.Millisecond,
 		})
 	}
 	c.enforcer.SetDecisions(list, reply.GetSuspectsDigest())
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -25,7 +25,7 @@
 	if g.quarantine.Idle() {
 		return nil
 	}
-	left := g.quarantine.HoldRemaining(j.fingerprint())
+	left := g.quarantine.Remaining(j.fingerprint())
 	if left <= 0 {
 		return nil
 	}
@@ -44,7 +44,7 @@
 		After:          after,
 	}) {
 		g.log.Event(eventlog.RequestHeld, eventlog.Str("fingerprint", j.fingerprint().String()), eventlog.Str("by", "this host"),
-			eventlog.Str("request", j.req.ID), eventlog.Ms("for_ms", quarantine.LocalHold))
+			eventlog.Str("request", j.req.ID), eventlog.Ms("for_ms", quarantine.LocalDuration))
 	}
 }
 
--- a/pkg/quarantine/detector_test.go
+++ b/pkg/quarantine/detector_test.go
@@ -164,24 +164,24 @@
 		Expect(crashes).To(Equal([]Crash{c}))
 	})
 
-	It("quarantines a request as long as the decision says, and one that it detected itself for LocalHold", func() {
+	It("quarantines a request as long as the decision says, and one that it detected itself for LocalDuration", func() {
 		clock := timer.NewManual(time.Unix(1000, 0))
 		e := NewEnforcer(clock)
 		Expect(e.Idle()).To(BeTrue())
-		e.SetDecisions([]Decision{{Fingerprint: 7, HoldTime: time.Minute}, {Fingerprint: 8}}, 5)
-		Expect(e.HoldRemaining(7)).To(Equal(time.Minute))
-		Expect(e.HoldRemaining(8)).To(BeZero())
+		e.SetDecisions([]Decision{{Fingerprint: 7, Duration: time.Minute}, {Fingerprint: 8}}, 5)
+		Expect(e.Remaining(7)).To(Equal(time.Minute))
+		Expect(e.Remaining(8)).To(BeZero())
 		Expect(e.Digest()).To(Equal(uint64(5)))
 		clock.Advance(2 * time.Minute)
-		Expect(e.HoldRemaining(7)).To(BeZero())
+		Expect(e.Remaining(7)).To(BeZero())
 		for id := uint32(1); id <= 3; id++ {
 			e.RecordCrash(earlyCrash(9, id, time.Second))
 		}
-		Expect(e.HoldRemaining(9)).To(Equal(LocalHold))
+		Expect(e.Remaining(9)).To(Equal(LocalDuration))
 		e.SetDecisions(nil, 0)
-		Expect(e.HoldRemaining(9)).To(Equal(LocalHold))
-		clock.Advance(LocalHold)
-		Expect(e.HoldRemaining(9)).To(BeZero())
+		Expect(e.Remaining(9)).To(Equal(LocalDuration))
+		clock.Advance(LocalDuration)
+		Expect(e.Remaining(9)).To(BeZero())
 	})
 
 	It("reports watched requests that were served, and no others", func() {
--- a/pkg/quarantine/enforcer.go
+++ b/pkg/quarantine/enforcer.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// LocalHold is how long a host quarantines a request that it detected itself, without
+	// LocalDuration is how long a host quarantines a request that it detected itself, without
 	// a decision of the control hosts: these decide within a second while there is a leader,
 	// and a deployment without one for longer than this rejects requests with account keys
 	// anyway.
-	LocalHold = 30 * time.Second
+	LocalDuration = 30 * time.Second
 	// reportRetention is how long a crash is kept to be reported to a new leader.
 	reportRetention = 2 * time.Minute
 	// maxReports bounds the crashes that a host keeps to report, and maxPerCall those that
@@ -21,11 +21,11 @@
 	maxPerCall = 128
 )
 
-// Decision is what the control hosts decided about a request: it is quarantined for HoldTime,
+// Decision is what the control hosts decided about a request: it is quarantined for Duration,
 // or only watched if that is 0.
 type Decision struct {
 	Fingerprint Fingerprint
-	HoldTime    time.Duration
+	Duration    time.Duration
 }
 
 // Enforcer is the entry host's part of the quarantine. It keeps the crashes that the host saw
@@ -67,8 +67,8 @@
 	return len(e.decisions) == 0 && len(e.localHolds) == 0
 }
 
-// HoldRemaining returns how much longer a request is quarantined; 0 if it isn't.
-func (e *Enforcer) HoldRemaining(f Fingerprint) time.Duration {
+// Remaining returns how much longer a request is quarantined; 0 if it isn't.
+func (e *Enforcer) Remaining(f Fingerprint) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holdRemaining(f)
@@ -99,7 +99,7 @@
 	}
 	found := e.detector.Detect(func(Fingerprint) bool { return false })
 	for _, finding := range found {
-		e.localHolds[finding.Fingerprint] = now.Add(LocalHold)
+		e.localHolds[finding.Fingerprint] = now.Add(LocalDuration)
 	}
 	return len(found) > 0
 }
@@ -173,8 +173,8 @@
 	e.decisions = make(map[Fingerprint]time.Time, len(list))
 	for _, d := range list {
 		until := time.Time{}
-		if d.HoldTime > 0 {
-			until = now.Add(d.HoldTime)
+		if d.Duration > 0 {
+			until = now.Add(d.Duration)
 		}
 		e.decisions[d.Fingerprint] = until
 	}
