--- a/pkg/quarantine/enforcer.go
+++ b/pkg/quarantine/enforcer.go
@@ -35,12 +35,12 @@
 	svc      timer.Service
 	detector *Detector
 
-	mu         sync.Mutex
-	reports    []report
-	served     []Fingerprint             // watched requests to report as served
-	decisions  map[Fingerprint]time.Time // until when quarantined; zero if watched
-	digest     uint64
-	localHolds map[Fingerprint]time.Time // until when quarantined by this host alone
+	mu               sync.Mutex
+	reports          []report
+	served           []Fingerprint             // watched requests to report as served
+	decisions        map[Fingerprint]time.Time // until when quarantined; zero if watched
+	digest           uint64
+	localQuarantines map[Fingerprint]time.Time // until when quarantined by this host alone
 }
 
 // report is a crash that the leader must learn of.
@@ -53,10 +53,10 @@
 // NewEnforcer returns an enforcer without crashes and decisions.
 func NewEnforcer(svc timer.Service) *Enforcer {
 	return &Enforcer{
-		svc:        svc,
-		detector:   NewDetector(svc),
-		decisions:  map[Fingerprint]time.Time{},
-		localHolds: map[Fingerprint]time.Time{},
+		svc:              svc,
+		detector:         NewDetector(svc),
+		decisions:        map[Fingerprint]time.Time{},
+		localQuarantines: map[Fingerprint]time.Time{},
 	}
 }
 
@@ -64,19 +64,19 @@
 func (e *Enforcer) Idle() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.decisions) == 0 && len(e.localHolds) == 0
+	return len(e.decisions) == 0 && len(e.localQuarantines) == 0
 }
 
 // Remaining returns how much longer a request is quarantined; 0 if it isn't.
 func (e *Enforcer) Remaining(f Fingerprint) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.holdRemaining(f)
+	return e.remaining(f)
 }
 
-func (e *Enforcer) holdRemaining(f Fingerprint) time.Duration {
+func (e *Enforcer) remaining(f Fingerprint) time.Duration {
 	until := e.decisions[f]
-	if localUntil := e.localHolds[f]; localUntil.After(until) {
+	if localUntil := e.localQuarantines[f]; localUntil.After(until) {
 		until = localUntil
 	}
 	return max(0, until.Sub(e.svc.Now()))
@@ -93,27 +93,27 @@
 		crash: c,
 		at:    now,
 	})
-	e.detector.Add(c, e.holdRemaining(c.Fingerprint) > 0)
+	e.detector.Add(c, e.remaining(c.Fingerprint) > 0)
 	if !e.detector.detectable(c.Fingerprint) {
 		return false // saves Detect, which looks at all requests
 	}
 	found := e.detector.Detect(func(Fingerprint) bool { return false })
 	for _, finding := range found {
-		e.localHolds[finding.Fingerprint] = now.Add(LocalDuration)
+		e.localQuarantines[finding.Fingerprint] = now.Add(LocalDuration)
 	}
 	return len(found) > 0
 }
 
-// dropReports makes room for one more report, and drops old ones and expired local holds.
+// dropReports makes room for one more report, and drops old ones and expired local quarantines.
 func (e *Enforcer) dropReports(now time.Time) {
 	first := max(0, len(e.reports)-maxReports+1)
 	for first < len(e.reports) && now.Sub(e.reports[first].at) > reportRetention {
 		first++
 	}
 	e.reports = append([]report(nil), e.reports[first:]...)
-	for f, until := range e.localHolds {
+	for f, until := range e.localQuarantines {
 		if !now.Before(until) {
-			delete(e.localHolds, f)
+			delete(e.localQuarantines, f)
 		}
 	}
 }
